--- a/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
@@ -8,7 +8,7 @@
 from bendwind_core.core import Seconds
 from bendwind_core.membership import LeaseTimes
 from bendwind_core.membership.renewal import MAX_WATCHED
-from bendwind_core.routing.subset import SUBSET
+from bendwind_core.routing.subset import SUBSET_SIZE
 from bendwind_node.claims.placer import PLACE_EVERY
 from bendwind_node.links.hub import IDLE_LINK, PING_INTERVAL_S
 
@@ -38,7 +38,7 @@
     return Design(
         ping_s=PING_INTERVAL_S,
         idle_link_s=IDLE_LINK,
-        subset=SUBSET,
+        subset=SUBSET_SIZE,
         watched_most=MAX_WATCHED,
         claims=claims.claims,
         claim_bytes=claims.bytes,
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/routing.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/routing.py
@@ -9,9 +9,9 @@
 from bendwind_core.routing import (
     UpstreamTable,
     choose_upstream,
-    create_table,
-    note_answered,
-    note_sent,
+    create_upstream_table,
+    record_attempt_answered,
+    record_attempt_sent,
     set_upstreams,
 )
 from bendwind_core.world import LoadSample, Policy
@@ -24,7 +24,7 @@
 
 def make_table(upstreams: int) -> UpstreamTable:
     """Make the table of a service."""
-    table = create_table("service-001")
+    table = create_upstream_table("service-001")
     fleet = [make_upstream(index, "service-001") for index in range(upstreams)]
     set_upstreams(table, fleet, 0.0)
     return table
@@ -50,6 +50,6 @@
         now = next(clock) * _CALL_S
         upstream = choose_upstream(Policy.SCORE, table, _NOTHING, now, rng)
         attempt = AttemptId("node-00001", 1, next(clock))
-        note_sent(table, upstream.name, attempt, now)
-        note_answered(table, upstream.name, attempt, now + _CALL_S, 200, load)
+        record_attempt_sent(table, upstream.name, attempt, now)
+        record_attempt_answered(table, upstream.name, attempt, now + _CALL_S, 200, load)
     return _BATCH
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
@@ -30,13 +30,13 @@
     UpstreamTable,
     choose_subset,
     choose_upstream,
-    create_table,
-    find_room_at,
-    note_answered,
-    note_cancelled,
-    note_not_run,
-    note_sent,
-    note_unknown,
+    create_upstream_table,
+    find_earliest_capacity_at,
+    record_attempt_answered,
+    record_attempt_cancelled,
+    record_attempt_not_run,
+    record_attempt_sent,
+    record_attempt_unknown,
     set_upstreams,
 )
 from bendwind_core.suspicion import SuspectTable, SuspectTold, find_told, sign_request
@@ -142,7 +142,7 @@
         self.runs: dict[int, CallRun] = {}
         self.is_stopped = False
         for table in scenario.services:
-            self.tables[table.name] = create_table(table.name)
+            self.tables[table.name] = create_upstream_table(table.name)
             self.budgets[table.name] = RetryBudget(scenario.policy.retry_ratio)
             self.services[table.name] = Service(
                 table.name,
@@ -213,7 +213,7 @@
         )
         if chosen is not None:
             return chosen
-        room_at = find_room_at(table)
+        room_at = find_earliest_capacity_at(table)
         if room_at is None or room_at <= now:
             return None
         return NoRoom((room_at - now) * MILLISECONDS_PER_SECOND)
@@ -223,13 +223,13 @@
         match effect:
             case ev.SendHandOver(attempt=attempt, upstream=upstream):
                 self.runs[attempt.sequence] = run
-                note_sent(table, upstream.name, attempt, now)
+                record_attempt_sent(table, upstream.name, attempt, now)
                 self.network.note_attempt(upstream.name)
                 if any(one.not_run is None for one in run.call.attempts[:-1]):
                     self.network.note_retry()
                 self.network.send(self.name, upstream.owner.name, self._make(run, effect))
             case ev.SendCancel(attempt=attempt, upstream=upstream):
-                note_cancelled(table, upstream.name, attempt, now)
+                record_attempt_cancelled(table, upstream.name, attempt, now)
                 self.network.send(self.name, upstream.owner.name, Cancel(attempt, upstream.name))
             case ev.SendFence(attempt=attempt, upstream=upstream):
                 fence = Fence(attempt, upstream.owner.incarnation, upstream.name)
@@ -278,9 +278,9 @@
         # A core that is compared against may not know of it.
         if "limit_per_s" not in HandOver.__struct_fields__:
             return {}
-        from bendwind_core.routing import find_limit
+        from bendwind_core.routing import find_rate_limit
 
-        return {"limit_per_s": find_limit(self.tables[run.route.service].notices, upstream)}
+        return {"limit_per_s": find_rate_limit(self.tables[run.route.service].notices, upstream)}
 
     def _name_near(self) -> dict[str, str]:
         # A core that is compared against may not know of it.
@@ -321,14 +321,14 @@
         match message:
             case Answer(attempt=id, status=status, load=load):
                 run.status = status
-                note_answered(table, name, id, now, status, load)
+                record_attempt_answered(table, name, id, now, status, load)
                 self._feed(run, ev.AttemptHead(id, status, True))
             case NotRun(attempt=id, reason=reason, load=load, wait_ms=wait_ms):
-                note_not_run(table, name, id, now, reason, load)
+                record_attempt_not_run(table, name, id, now, reason, load)
                 self.network.note_sent_back(run.target, reason)
                 self._feed(run, ev.AttemptNotRun(id, reason, load, wait_ms))
             case Unknown(attempt=id, reason=reason):
-                note_unknown(table, name, id, now)
+                record_attempt_unknown(table, name, id, now)
                 self._feed(run, ev.AttemptUnknown(id, reason))
             case Fenced(attempt=id, verdict=verdict):
                 self._feed(run, ev.FenceAnswered(id, verdict))
@@ -339,7 +339,7 @@
             for attempt in list(run.call.attempts):
                 is_there = attempt.upstream.owner.name == node
                 if is_there and attempt.state is AttemptState.OUTSTANDING:
-                    note_unknown(
+                    record_attempt_unknown(
                         self.tables[run.route.service],
                         attempt.upstream.name,
                         attempt.id,
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
@@ -19,10 +19,10 @@
 from bendwind_core.limits import RetryBudget
 from bendwind_core.routing import (
     choose_upstream,
-    create_table,
-    note_answered,
-    note_not_run,
-    note_sent,
+    create_upstream_table,
+    record_attempt_answered,
+    record_attempt_not_run,
+    record_attempt_sent,
     set_upstreams,
 )
 from bendwind_core.world import Instance, Policy, Repeat, Rule, Service, Upstream, UpstreamState
@@ -72,7 +72,7 @@
         known = [place.upstream for place in self.places.values()]
         self.nodes = []
         for number in range(nodes):
-            table = create_table("s")
+            table = create_upstream_table("s")
             set_upstreams(table, known, 0.0)
             self.nodes.append((table, AttemptIds(f"e{number}", 1), RetryBudget(0.1)))
         self.runs = {}
@@ -125,7 +125,7 @@
 
         for effect in entry.step(run.call, event, self.now, choose):
             if isinstance(effect, ev.SendHandOver):
-                note_sent(run.table, effect.upstream.name, effect.attempt, self.now)
+                record_attempt_sent(run.table, effect.upstream.name, effect.attempt, self.now)
                 self.runs[effect.attempt] = run
                 self._hand_over(self.places[effect.upstream.name], run, effect)
 
@@ -193,14 +193,14 @@
         self.step(place, ov.DispatchDone(attempt))
         run = self.runs[attempt]
         load = owner.load_sample(place.owner_state, self.now)
-        note_answered(run.table, place.upstream.name, attempt, self.now, 200, load)
+        record_attempt_answered(run.table, place.upstream.name, attempt, self.now, 200, load)
         self.feed(run, ev.AttemptHead(attempt, 200, True))
 
     def _send_back(self, place, attempt, reason, load, wait_ms):
         run = self.runs[attempt]
         self.sent_back[reason] += 1
         name = place.upstream.name
-        note_not_run(run.table, name, attempt, self.now, reason, load)
+        record_attempt_not_run(run.table, name, attempt, self.now, reason, load)
         # As a message would come: after what the owner still does in this step.
         self.at(self.now, lambda: self.feed(run, ev.AttemptNotRun(attempt, reason, load, wait_ms)))
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
@@ -13,7 +13,12 @@
 from bendwind_core.attempts import AttemptId, HandOver, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.tests.limited_upstream import LimitOracle
-from bendwind_core.routing import create_table, find_limit, note_answered, set_upstreams
+from bendwind_core.routing import (
+    create_upstream_table,
+    find_rate_limit,
+    record_attempt_answered,
+    set_upstreams,
+)
 from bendwind_core.world import Instance, Repeat, Upstream, UpstreamState
 
 NODES = ("e0", "e1", "e2")
@@ -47,7 +52,7 @@
     @initialize()
     def begin(self):
         for node in NODES:
-            self.tables[node] = create_table("s")
+            self.tables[node] = create_upstream_table("s")
         self.start_owner("e0", self.now)
 
     def start_owner(self, node, alone_from):
@@ -88,7 +93,7 @@
             route="r",
             target_ms=1500.0 if has_target else None,
             may_wait=waits,
-            limit_per_s=find_limit(self.tables[node].notices, self.make_upstream(seat)),
+            limit_per_s=find_rate_limit(self.tables[node].notices, self.make_upstream(seat)),
         )
         self.feed(seat, ov.HandOverArrived(message, 1))
 
@@ -130,7 +135,7 @@
         self.feed(seat, ov.DispatchDone(attempt))
         if attempt.entry in self.tables and seat in self.owners:
             load = owner.load_sample(seat.state, self.now)
-            note_answered(self.tables[attempt.entry], "u", attempt, self.now, 200, load)
+            record_attempt_answered(self.tables[attempt.entry], "u", attempt, self.now, 200, load)
             if limit is not None and self.oracle.per_second is not None:
                 self.oracle.tell(attempt.entry, self.now)
 
@@ -161,7 +166,7 @@
         seat = self.owners.pop()
         self.running = [one for one in self.running if one[0] is not seat]
         self.oracle.restart(seat.node)
-        self.tables[seat.node] = create_table("s")
+        self.tables[seat.node] = create_upstream_table("s")
         self.start_owner(seat.node, max(self.now, seat.state.rate_limit.alone_from))
 
     @rule()
--- a/packages/bendwind-core/src/bendwind_core/routing/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/__init__.py
@@ -2,21 +2,21 @@
 
 from bendwind_core.routing.choice import choose_upstream
 from bendwind_core.routing.messages import LoadProbe, LoadReport
-from bendwind_core.routing.notices import find_limit
+from bendwind_core.routing.notices import find_rate_limit
 from bendwind_core.routing.probes import plan_probes
 from bendwind_core.routing.route_table import RouteTable, choose_part, find_route, set_routing
 from bendwind_core.routing.subset import choose_subset
 from bendwind_core.routing.table import (
+    TrackedUpstream,
     UpstreamTable,
-    UpstreamView,
-    create_table,
-    find_room_at,
-    note_answered,
-    note_cancelled,
-    note_load,
-    note_not_run,
-    note_sent,
-    note_unknown,
+    create_upstream_table,
+    find_earliest_capacity_at,
+    record_attempt_answered,
+    record_attempt_cancelled,
+    record_attempt_not_run,
+    record_attempt_sent,
+    record_attempt_unknown,
+    record_load,
     set_upstreams,
 )
 
@@ -24,22 +24,22 @@
     "LoadProbe",
     "LoadReport",
     "RouteTable",
+    "TrackedUpstream",
     "UpstreamTable",
-    "UpstreamView",
     "choose_part",
     "choose_subset",
     "choose_upstream",
-    "create_table",
-    "find_limit",
-    "find_room_at",
+    "create_upstream_table",
+    "find_earliest_capacity_at",
+    "find_rate_limit",
     "find_route",
-    "note_answered",
-    "note_cancelled",
-    "note_load",
-    "note_not_run",
-    "note_sent",
-    "note_unknown",
     "plan_probes",
+    "record_attempt_answered",
+    "record_attempt_cancelled",
+    "record_attempt_not_run",
+    "record_attempt_sent",
+    "record_attempt_unknown",
+    "record_load",
     "set_routing",
     "set_upstreams",
 ]
--- a/packages/bendwind-core/src/bendwind_core/routing/choice.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/choice.py
@@ -4,19 +4,19 @@
 
 from bendwind_core.core import Milliseconds, Seconds
 from bendwind_core.routing.score import score
-from bendwind_core.routing.table import UpstreamTable, UpstreamView, fade_error_rate
+from bendwind_core.routing.table import TrackedUpstream, UpstreamTable, find_decayed_error_rate
 from bendwind_core.world import Policy, Upstream
 
 # Power of d choices: the score is compared over this many random upstreams.
-CHOICES = 4
+SAMPLE_SIZE = 4
 # The median of the upstreams' averages is worked out anew after this time.
-USUAL_REFRESH: Seconds = 0.010
+MEDIAN_REFRESH: Seconds = 0.010
 # In overload a retry at an upstream whose queue was full this short a time ago is only work.
-FULL_PAUSE: Seconds = 0.020
+QUEUE_FULL_BACKOFF: Seconds = 0.020
 # A round trip to another data centre and back is worth a wait of this length.
-BUSY_FROM: Seconds = 0.010
+BUSY_THRESHOLD: Seconds = 0.010
 # An upstream that fails this share of its requests is no better for being near.
-FAILING = 0.3
+FAILING_ERROR_RATE = 0.3
 
 _NONE: frozenset[str] = frozenset()
 
@@ -29,7 +29,7 @@
     rng: random.Random,
     near: str | None = None,
     *,
-    stays: bool = False,
+    stays_near: bool = False,
     target_at: Seconds | None = None,
 ) -> Upstream | None:
     """Return an upstream that takes new requests and is not excluded, or None.
@@ -40,87 +40,100 @@
     no upstream that serves. A cold upstream that bears no further request until `target_at` is left
     out.
     """
-    views = _find_candidates(table, excluded)
+    candidates = _find_candidates(table, excluded)
     if target_at is not None:
-        views = [view for view in views if view.room_at <= max(now, target_at)]
+        candidates = [
+            tracked for tracked in candidates if tracked.capacity_at <= max(now, target_at)
+        ]
     if excluded:
-        views = [view for view in views if now - view.full_at >= FULL_PAUSE]
-    nearby = views
+        candidates = [
+            tracked for tracked in candidates if now - tracked.queue_full_at >= QUEUE_FULL_BACKOFF
+        ]
+    nearby = candidates
     if near is not None:
-        has_home = stays and bool(_list_near(_find_candidates(table, _NONE), near, now))
-        nearby = _list_near(views, near, now) or ([] if has_home else views)
-        views = nearby if has_home else views
-    views = _prefer_free(nearby, views, now) if policy is Policy.SCORE else nearby
-    if not views:
+        has_serving_nearby = stays_near and bool(
+            _list_near(_find_candidates(table, _NONE), near, now)
+        )
+        nearby = _list_near(candidates, near, now) or ([] if has_serving_nearby else candidates)
+        candidates = nearby if has_serving_nearby else candidates
+    candidates = _prefer_free(nearby, candidates, now) if policy is Policy.SCORE else nearby
+    if not candidates:
         return None
-    if len(views) == 1:
-        return views[0].upstream
+    if len(candidates) == 1:
+        return candidates[0].upstream
     match policy:
         case Policy.SCORE:
-            return _choose_by_score(table, views, now, rng).upstream
+            return _choose_by_score(table, candidates, now, rng).upstream
         case Policy.RANDOM:
-            return rng.choice(views).upstream
+            return rng.choice(candidates).upstream
         case Policy.ROUND_ROBIN:
-            return _choose_in_turn(table, views).upstream
+            return _choose_round_robin(table, candidates).upstream
         case Policy.LEAST_IN_FLIGHT:
-            return _choose_least_in_flight(views, rng).upstream
+            return _choose_least_in_flight(candidates, rng).upstream
 
 
-def _find_candidates(table: UpstreamTable, excluded: frozenset[str]) -> list[UpstreamView]:
+def _find_candidates(table: UpstreamTable, excluded: frozenset[str]) -> list[TrackedUpstream]:
     return [
-        view for name, view in table.views.items() if not view.is_draining and name not in excluded
+        tracked
+        for name, tracked in table.upstreams.items()
+        if not tracked.is_draining and name not in excluded
     ]
 
 
-def _list_near(views: list[UpstreamView], near: str, now: Seconds) -> list[UpstreamView]:
+def _list_near(candidates: list[TrackedUpstream], near: str, now: Seconds) -> list[TrackedUpstream]:
     return [
-        view
-        for view in views
-        if view.upstream.owner.data_centre == near and fade_error_rate(view, now) < FAILING
+        tracked
+        for tracked in candidates
+        if tracked.upstream.owner.data_centre == near
+        and find_decayed_error_rate(tracked, now) < FAILING_ERROR_RATE
     ]
 
 
 def _prefer_free(
-    nearby: list[UpstreamView], views: list[UpstreamView], now: Seconds
-) -> list[UpstreamView]:
+    nearby: list[TrackedUpstream], candidates: list[TrackedUpstream], now: Seconds
+) -> list[TrackedUpstream]:
     """Return the near ones unless all of them are known to be busy and others are not.
 
     Near first is a price: a way there and back is little beside a wait.
     """
-    free = [view for view in nearby if view.free_at <= now + BUSY_FROM]
-    free = free or [view for view in views if view.free_at <= now + BUSY_FROM]
+    free = [tracked for tracked in nearby if tracked.free_at <= now + BUSY_THRESHOLD]
+    free = free or [tracked for tracked in candidates if tracked.free_at <= now + BUSY_THRESHOLD]
     return free or nearby
 
 
 def _choose_by_score(
-    table: UpstreamTable, views: list[UpstreamView], now: Seconds, rng: random.Random
-) -> UpstreamView:
-    usual_ms = _find_usual_latency_ms(table, now)
-    if len(views) > CHOICES:
-        views = rng.sample(views, CHOICES)
-    start = int(rng.random() * len(views))
-    best, best_score = views[start], score(views[start], usual_ms, now)
-    for view in views[start + 1 :] + views[:start]:
-        view_score = score(view, usual_ms, now)
-        if view_score < best_score:
-            best, best_score = view, view_score
+    table: UpstreamTable, candidates: list[TrackedUpstream], now: Seconds, rng: random.Random
+) -> TrackedUpstream:
+    median_latency_ms = _find_median_latency_ms(table, now)
+    if len(candidates) > SAMPLE_SIZE:
+        candidates = rng.sample(candidates, SAMPLE_SIZE)
+    start = int(rng.random() * len(candidates))
+    best, best_score = candidates[start], score(candidates[start], median_latency_ms, now)
+    for tracked in candidates[start + 1 :] + candidates[:start]:
+        candidate_score = score(tracked, median_latency_ms, now)
+        if candidate_score < best_score:
+            best, best_score = tracked, candidate_score
     return best
 
 
-def _find_usual_latency_ms(table: UpstreamTable, now: Seconds) -> Milliseconds:
-    if now - table.usual_at >= USUAL_REFRESH:
-        table.usual_at = now
-        known = sorted(view.latency_ms for view in table.views.values() if view.latency_ms > 0.0)
-        table.usual_ms = known[(len(known) - 1) // 2] if known else 0.0
-    return table.usual_ms
+def _find_median_latency_ms(table: UpstreamTable, now: Seconds) -> Milliseconds:
+    if now - table.median_at >= MEDIAN_REFRESH:
+        table.median_at = now
+        known = sorted(
+            tracked.latency_ms for tracked in table.upstreams.values() if tracked.latency_ms > 0.0
+        )
+        table.median_latency_ms = known[(len(known) - 1) // 2] if known else 0.0
+    return table.median_latency_ms
 
 
-def _choose_in_turn(table: UpstreamTable, views: list[UpstreamView]) -> UpstreamView:
-    view = views[table.next_turn % len(views)]
-    table.next_turn += 1
-    return view
+def _choose_round_robin(table: UpstreamTable, candidates: list[TrackedUpstream]) -> TrackedUpstream:
+    tracked = candidates[table.round_robin_index % len(candidates)]
+    table.round_robin_index += 1
+    return tracked
 
 
-def _choose_least_in_flight(views: list[UpstreamView], rng: random.Random) -> UpstreamView:
-    rng.shuffle(views)
-    return min(views, key=lambda view: len(view.outstanding))
+def _choose_least_in_flight(
+    candidates: list[TrackedUpstream], rng: random.Random
+) -> TrackedUpstream:
+    rng.shuffle(candidates)
+    return min(candidates, key=lambda tracked: len(tracked.outstanding))
--- a/packages/bendwind-core/src/bendwind_core/routing/notices.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/notices.py
@@ -28,7 +28,7 @@
 Notices = dict[str, Notice]
 
 
-def note_notice(notices: Notices, upstream: Upstream, load: LoadSample) -> None:
+def record_notice(notices: Notices, upstream: Upstream, load: LoadSample) -> None:
     """Take over what an owner reports of its upstream's word; it may know less than was heard."""
     if load.limit_per_s is None and not load.is_leaving:
         return
@@ -52,13 +52,13 @@
     return None if is_other_run else notice
 
 
-def find_limit(notices: Notices, upstream: Upstream) -> float | None:
+def find_rate_limit(notices: Notices, upstream: Upstream) -> float | None:
     """Return the limit that an upstream named last, or None."""
     notice = find_notice(notices, upstream)
     return None if notice is None else notice.limit_per_s
 
 
-def has_said_to_leave(notices: Notices, upstream: Upstream) -> bool:
+def has_announced_leaving(notices: Notices, upstream: Upstream) -> bool:
     """Tell whether the present run of an upstream has said that it leaves."""
     notice = find_notice(notices, upstream)
     return notice is not None and notice.is_leaving
--- a/packages/bendwind-core/src/bendwind_core/routing/probes.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/probes.py
@@ -2,9 +2,9 @@
 
 from bendwind_core.core import Seconds
 from bendwind_core.limits import ProbeBudget, spend_probe
-from bendwind_core.routing.table import UpstreamTable, UpstreamView
+from bendwind_core.routing.table import TrackedUpstream, UpstreamTable
 
-FRESH: Seconds = 1.0
+REPORT_MAX_AGE: Seconds = 1.0
 # A probe and its answer.
 PROBE_MESSAGES = 2
 PROBE_BYTES = 160
@@ -16,17 +16,17 @@
     An upstream that answers calls has a fresh report and is not probed, so that probes end as
     traffic rises; neither is one that owes an answer.
     """
-    stale = [view for view in table.views.values() if _needs_probe(view, now)]
-    stale.sort(key=lambda view: max(view.reported_at, view.probed_at))
+    stale = [tracked for tracked in table.upstreams.values() if _needs_probe(tracked, now)]
+    stale.sort(key=lambda tracked: max(tracked.reported_at, tracked.probed_at))
     names = []
-    for view in stale:
+    for tracked in stale:
         if not spend_probe(budget, PROBE_MESSAGES, PROBE_BYTES, now):
             break
-        view.probed_at = now
-        names.append(view.upstream.name)
+        tracked.probed_at = now
+        names.append(tracked.upstream.name)
     return names
 
 
-def _needs_probe(view: UpstreamView, now: Seconds) -> bool:
-    is_fresh = now - max(view.reported_at, view.probed_at) < FRESH
-    return not is_fresh and not view.outstanding and not view.is_draining
+def _needs_probe(tracked: TrackedUpstream, now: Seconds) -> bool:
+    is_fresh = now - max(tracked.reported_at, tracked.probed_at) < REPORT_MAX_AGE
+    return not is_fresh and not tracked.outstanding and not tracked.is_draining
--- a/packages/bendwind-core/src/bendwind_core/routing/route_table.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/route_table.py
@@ -19,7 +19,7 @@
 
     routing: Routing = EMPTY_ROUTING
     by_host: dict[str, dict[str, Route]] = msgspec.field(default_factory=dict)
-    shares: dict[str, float] = msgspec.field(default_factory=dict)
+    split_positions: dict[str, float] = msgspec.field(default_factory=dict)
 
 
 def set_routing(table: RouteTable, routing: Routing) -> None:
@@ -30,7 +30,9 @@
     names = {route.name for route in routing.routes}
     table.routing = routing
     table.by_host = by_host
-    table.shares = {name: share for name, share in table.shares.items() if name in names}
+    table.split_positions = {
+        name: share for name, share in table.split_positions.items() if name in names
+    }
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
@@ -55,8 +57,8 @@
     if len(route.parts) == 1:
         return route.parts[0].service
     # Each node begins elsewhere, so that the first requests of all nodes do not agree.
-    share = (table.shares.get(route.name, rng.random()) + _GOLDEN_STEP) % 1.0
-    table.shares[route.name] = share
+    share = (table.split_positions.get(route.name, rng.random()) + _GOLDEN_STEP) % 1.0
+    table.split_positions[route.name] = share
     total = sum(part.weight for part in route.parts)
     position = share * total
     for part in route.parts:
--- a/packages/bendwind-core/src/bendwind_core/routing/subset.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/subset.py
@@ -6,11 +6,11 @@
 from bendwind_core.world import Upstream, UpstreamState
 
 # Each upstream in use costs a link between two processes. Of eight, four are compared for a call.
-SUBSET = 8
+SUBSET_SIZE = 8
 
 
 def choose_subset(
-    node: str, data_centre: str, upstreams: Iterable[Upstream], size: int = SUBSET
+    node: str, data_centre: str, upstreams: Iterable[Upstream], size: int = SUBSET_SIZE
 ) -> tuple[Upstream, ...]:
     """Return the upstreams this node uses: half from its own data centre where there are enough.
 
--- a/packages/bendwind-core/src/bendwind_core/routing/table.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/table.py
@@ -10,18 +10,18 @@
 
 from bendwind_core.attempts.messages import AttemptId, NotRunReason
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
-from bendwind_core.routing.notices import Notices, has_said_to_leave, note_notice
+from bendwind_core.routing.notices import Notices, has_announced_leaving, record_notice
 from bendwind_core.world import LoadSample, Upstream, UpstreamState
 
 LATENCY_WEIGHT = 0.3
 ERROR_WEIGHT = 0.1
 # An upstream that failed is tried again after some such times without an attempt.
-ERROR_HALF_TIME: Seconds = 2.0
-NO_ERRORS = 0.001
+ERROR_HALF_LIFE: Seconds = 2.0
+NEGLIGIBLE_ERROR_RATE = 0.001
 _FAILED_STATUS = 500
 
 
-class UpstreamView(msgspec.Struct):
+class TrackedUpstream(msgspec.Struct):
     """Hold what is known of one upstream.
 
     `outstanding` holds when each attempt was sent, oldest first. `reported_others` is the
@@ -31,17 +31,17 @@
     """
 
     upstream: Upstream
-    seen_at: Seconds
+    first_seen_at: Seconds
     outstanding: dict[AttemptId, Seconds] = msgspec.field(default_factory=dict)
     latency_ms: Milliseconds = 0.0
     error_rate: float = 0.0
-    reported_others: float = 0.0
+    reported_other_load: float = 0.0
     reported_at: Seconds = 0.0
     answered_at: Seconds = 0.0
     probed_at: Seconds = 0.0
-    result_at: Seconds = 0.0
-    full_at: Seconds = float("-inf")
-    room_at: Seconds = float("-inf")
+    last_result_at: Seconds = 0.0
+    queue_full_at: Seconds = float("-inf")
+    capacity_at: Seconds = float("-inf")
     free_at: Seconds = float("-inf")
     is_draining: bool = False
 
@@ -50,46 +50,46 @@
     """Hold the upstreams of one service in a fixed order, and what these and former ones said."""
 
     service: str
-    views: dict[str, UpstreamView] = msgspec.field(default_factory=dict)
+    upstreams: dict[str, TrackedUpstream] = msgspec.field(default_factory=dict)
     notices: Notices = msgspec.field(default_factory=dict)
-    next_turn: int = 0
-    usual_ms: Milliseconds = 0.0
-    usual_at: Seconds = float("-inf")
+    round_robin_index: int = 0
+    median_latency_ms: Milliseconds = 0.0
+    median_at: Seconds = float("-inf")
 
 
-def create_table(service: str) -> UpstreamTable:
+def create_upstream_table(service: str) -> UpstreamTable:
     """Create the empty table of a service."""
     return UpstreamTable(service)
 
 
 def set_upstreams(table: UpstreamTable, upstreams: Iterable[Upstream], now: Seconds) -> None:
     """Take over the full set of announced upstreams; keep what is known of those that stay."""
-    views = {}
-    is_first = not table.views
+    tracked_upstreams = {}
+    is_first = not table.upstreams
     for upstream in upstreams:
         if upstream.state is UpstreamState.GONE:
             continue
-        views[upstream.name] = _renew_view(table, upstream, now, is_first=is_first)
-    table.views = views
+        tracked_upstreams[upstream.name] = _update_tracked(table, upstream, now, is_first=is_first)
+    table.upstreams = tracked_upstreams
 
 
-def _renew_view(
+def _update_tracked(
     table: UpstreamTable, upstream: Upstream, now: Seconds, *, is_first: bool
-) -> UpstreamView:
-    view = table.views.get(upstream.name)
-    is_same_run = view is not None and _is_same_run(view.upstream, upstream)
-    if view is None or not is_same_run:
+) -> TrackedUpstream:
+    tracked = table.upstreams.get(upstream.name)
+    is_same_run = tracked is not None and _is_same_run(tracked.upstream, upstream)
+    if tracked is None or not is_same_run:
         # What was there before this node looked is taken as warm.
-        seen_at = float("-inf") if is_first else now
-        view = UpstreamView(upstream, seen_at)
-    view.upstream = upstream
-    view.is_draining = _is_draining(table, upstream)
-    return view
+        first_seen_at = float("-inf") if is_first else now
+        tracked = TrackedUpstream(upstream, first_seen_at)
+    tracked.upstream = upstream
+    tracked.is_draining = _is_draining(table, upstream)
+    return tracked
 
 
 def _is_draining(table: UpstreamTable, upstream: Upstream) -> bool:
     is_announced = upstream.state is UpstreamState.READY
-    return not is_announced or has_said_to_leave(table.notices, upstream)
+    return not is_announced or has_announced_leaving(table.notices, upstream)
 
 
 def _is_same_run(before: Upstream, after: Upstream) -> bool:
@@ -97,14 +97,14 @@
     return is_same_owner and before.born_ms == after.born_ms
 
 
-def note_sent(table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds) -> None:
+def record_attempt_sent(table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds) -> None:
     """Note that an attempt was handed over."""
-    view = table.views.get(name)
-    if view is not None:
-        view.outstanding[attempt] = now
+    tracked = table.upstreams.get(name)
+    if tracked is not None:
+        tracked.outstanding[attempt] = now
 
 
-def note_answered(
+def record_attempt_answered(
     table: UpstreamTable,
     name: str,
     attempt: AttemptId,
@@ -113,19 +113,19 @@
     load: LoadSample | None,
 ) -> None:
     """Note the head of an attempt's answer."""
-    view = table.views.get(name)
-    if view is None:
+    tracked = table.upstreams.get(name)
+    if tracked is None:
         return
     is_error = status >= _FAILED_STATUS
-    view.answered_at = now
-    sent_at = view.outstanding.pop(attempt, None)
+    tracked.answered_at = now
+    sent_at = tracked.outstanding.pop(attempt, None)
     if sent_at is not None and not is_error:
-        _note_latency(view, (now - sent_at) * MILLISECONDS_PER_SECOND)
-    _note_result(view, now, is_error=is_error)
-    _note_view_load(table, view, load, now)
+        _record_latency(tracked, (now - sent_at) * MILLISECONDS_PER_SECOND)
+    _record_result(tracked, now, is_error=is_error)
+    _apply_load(table, tracked, load, now)
 
 
-def note_not_run(
+def record_attempt_not_run(
     table: UpstreamTable,
     name: str,
     attempt: AttemptId,
@@ -134,84 +134,89 @@
     load: LoadSample | None = None,
 ) -> None:
     """Note that an attempt bounced."""
-    view = table.views.get(name)
-    if view is None:
+    tracked = table.upstreams.get(name)
+    if tracked is None:
         return
-    view.outstanding.pop(attempt, None)
+    tracked.outstanding.pop(attempt, None)
     if reason in (NotRunReason.SHED, NotRunReason.CONNECT_FAILED, NotRunReason.FENCED):
-        _note_result(view, now, is_error=True)
+        _record_result(tracked, now, is_error=True)
     if reason is NotRunReason.QUEUE_FULL:
-        view.full_at = now
+        tracked.queue_full_at = now
     if reason in (NotRunReason.DRAINING, NotRunReason.NO_UPSTREAM):
-        view.is_draining = True
-    _note_view_load(table, view, load, now)
+        tracked.is_draining = True
+    _apply_load(table, tracked, load, now)
 
 
-def note_unknown(table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds) -> None:
+def record_attempt_unknown(
+    table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds
+) -> None:
     """Note that an attempt's answer was lost."""
-    view = table.views.get(name)
-    if view is None:
+    tracked = table.upstreams.get(name)
+    if tracked is None:
         return
-    view.outstanding.pop(attempt, None)
-    _note_result(view, now, is_error=True)
+    tracked.outstanding.pop(attempt, None)
+    _record_result(tracked, now, is_error=True)
 
 
-def note_cancelled(table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds) -> None:
+def record_attempt_cancelled(
+    table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds
+) -> None:
     """Note that an attempt was given up; it would have taken longer than it did so far."""
-    view = table.views.get(name)
-    if view is None:
+    tracked = table.upstreams.get(name)
+    if tracked is None:
         return
-    sent_at = view.outstanding.pop(attempt, None)
+    sent_at = tracked.outstanding.pop(attempt, None)
     if sent_at is None:
         return
     age_ms = (now - sent_at) * MILLISECONDS_PER_SECOND
-    if age_ms > view.latency_ms:
-        _note_latency(view, age_ms)
+    if age_ms > tracked.latency_ms:
+        _record_latency(tracked, age_ms)
 
 
-def note_load(table: UpstreamTable, name: str, load: LoadSample, now: Seconds) -> None:
+def record_load(table: UpstreamTable, name: str, load: LoadSample, now: Seconds) -> None:
     """Note a load sample that came by itself."""
-    view = table.views.get(name)
-    if view is not None:
-        _note_view_load(table, view, load, now)
+    tracked = table.upstreams.get(name)
+    if tracked is not None:
+        _apply_load(table, tracked, load, now)
 
 
-def _note_latency(view: UpstreamView, latency_ms: Milliseconds) -> None:
-    if view.latency_ms == 0.0:
-        view.latency_ms = latency_ms
+def _record_latency(tracked: TrackedUpstream, latency_ms: Milliseconds) -> None:
+    if tracked.latency_ms == 0.0:
+        tracked.latency_ms = latency_ms
     else:
-        view.latency_ms += LATENCY_WEIGHT * (latency_ms - view.latency_ms)
+        tracked.latency_ms += LATENCY_WEIGHT * (latency_ms - tracked.latency_ms)
 
 
-def _note_result(view: UpstreamView, now: Seconds, *, is_error: bool) -> None:
-    error_rate = fade_error_rate(view, now)
-    view.error_rate = error_rate + ERROR_WEIGHT * ((1.0 if is_error else 0.0) - error_rate)
-    view.result_at = now
+def _record_result(tracked: TrackedUpstream, now: Seconds, *, is_error: bool) -> None:
+    error_rate = find_decayed_error_rate(tracked, now)
+    tracked.error_rate = error_rate + ERROR_WEIGHT * ((1.0 if is_error else 0.0) - error_rate)
+    tracked.last_result_at = now
 
 
-def find_room_at(table: UpstreamTable) -> Seconds | None:
+def find_earliest_capacity_at(table: UpstreamTable) -> Seconds | None:
     """Return when the first upstream that takes requests bears one, None where none takes any."""
     return min(
-        (view.room_at for view in table.views.values() if not view.is_draining), default=None
+        (tracked.capacity_at for tracked in table.upstreams.values() if not tracked.is_draining),
+        default=None,
     )
 
 
-def fade_error_rate(view: UpstreamView, now: Seconds) -> float:
+def find_decayed_error_rate(tracked: TrackedUpstream, now: Seconds) -> float:
     """Return the error rate, faded by the time since the last result."""
-    if view.error_rate < NO_ERRORS:
+    if tracked.error_rate < NEGLIGIBLE_ERROR_RATE:
         return 0.0
-    return view.error_rate * 0.5 ** ((now - view.result_at) / ERROR_HALF_TIME)
+    return tracked.error_rate * 0.5 ** ((now - tracked.last_result_at) / ERROR_HALF_LIFE)
 
 
-def _note_view_load(
-    table: UpstreamTable, view: UpstreamView, load: LoadSample | None, now: Seconds
+def _apply_load(
+    table: UpstreamTable, tracked: TrackedUpstream, load: LoadSample | None, now: Seconds
 ) -> None:
     if load is None:
         return
     busy = load.in_flight + load.queued
-    view.reported_others = max(0.0, float(busy - len(view.outstanding)))
-    view.reported_at = now
-    note_notice(table.notices, view.upstream, load)
-    view.is_draining = load.draining or _is_draining(table, view.upstream)
-    view.room_at = now + load.room_wait_ms / MILLISECONDS_PER_SECOND
-    view.free_at = now + load.wait_ms / MILLISECONDS_PER_SECOND
+    tracked.reported_other_load = max(0.0, float(busy - len(tracked.outstanding)))
+    tracked.reported_at = now
+    record_notice(table.notices, tracked.upstream, load)
+    tracked.is_draining = load.draining or _is_draining(table, tracked.upstream)
+    tracked.capacity_at = now + load.room_wait_ms / MILLISECONDS_PER_SECOND
+    tracked.free_at = now + load.wait_ms / MILLISECONDS_PER_SECOND
--- a/packages/bendwind-core/src/bendwind_core/routing/tests/test_choice.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/tests/test_choice.py
@@ -8,12 +8,12 @@
 from bendwind_core.limits import ProbeBudget
 from bendwind_core.routing import (
     choose_upstream,
-    create_table,
-    note_answered,
-    note_load,
-    note_not_run,
-    note_sent,
+    create_upstream_table,
     plan_probes,
+    record_attempt_answered,
+    record_attempt_not_run,
+    record_attempt_sent,
+    record_load,
     set_upstreams,
 )
 from bendwind_core.world import Instance, LoadSample, Policy, Upstream, UpstreamState
@@ -31,7 +31,7 @@
         self.rng = random.Random(1)
         self.sequence = 0
         self.upstreams = [describe(f"u{index}") for index in range(4)]
-        self.table = create_table("s")
+        self.table = create_upstream_table("s")
         set_upstreams(self.table, self.upstreams, 0.0)
         for _ in range(20):
             for upstream in self.upstreams:
@@ -40,12 +40,12 @@
     def send(self, name, now):
         self.sequence += 1
         attempt = AttemptId("e", 1, self.sequence)
-        note_sent(self.table, name, attempt, now)
+        record_attempt_sent(self.table, name, attempt, now)
         return attempt
 
     def answer(self, name, now, took, status=200):
         attempt = self.send(name, now)
-        note_answered(self.table, name, attempt, now + took, status, LoadSample(1, 0, 12))
+        record_attempt_answered(self.table, name, attempt, now + took, status, LoadSample(1, 0, 12))
 
     def share_of(self, name, now, policy=Policy.SCORE, excluded=NONE):
         picks = [choose_upstream(policy, self.table, excluded, now, self.rng) for _ in range(200)]
@@ -54,15 +54,15 @@
 
     def choose_staying(self, excluded=NONE):
         rest = (self.table, frozenset(excluded), 1.0, self.rng, "here")
-        chosen = choose_upstream(Policy.SCORE, *rest, stays=True)
+        chosen = choose_upstream(Policy.SCORE, *rest, stays_near=True)
         return None if chosen is None else chosen.name
 
     def make_busy(self, name, now, wait_ms):
-        note_load(self.table, name, LoadSample(2, 0, 3, wait_ms=wait_ms), now)
+        record_load(self.table, name, LoadSample(2, 0, 3, wait_ms=wait_ms), now)
 
-    def choose_near(self, now, *, stays=False):
+    def choose_near(self, now, *, stays_near=False):
         near = (Policy.SCORE, self.table, NONE, now, self.rng, "here")
-        return {choose_upstream(*near, stays=stays).name for _ in range(100)}
+        return {choose_upstream(*near, stays_near=stays_near).name for _ in range(100)}
 
     def test_upstreams_that_told_how_long_they_are_busy_are_passed_over_so_long(self):
         for name in ("u0", "u1"):
@@ -80,7 +80,7 @@
         self.assertEqual(self.choose_near(1.0), {"u1"})
         self.make_busy("u1", 1.0, 120.0)
         self.assertEqual(self.choose_near(1.0), {"u2", "u3"})
-        self.assertEqual(self.choose_near(1.0, stays=True), {"u0", "u1"})
+        self.assertEqual(self.choose_near(1.0, stays_near=True), {"u0", "u1"})
         # A wait as short as the way there and back is none.
         self.make_busy("u1", 1.0, 8.0)
         self.assertEqual(self.choose_near(1.0), {"u1"})
@@ -150,21 +150,21 @@
     def test_a_bounce_by_a_draining_owner_is_believed_before_the_announcement(self):
         attempt = self.send("u0", 1.0)
         load = LoadSample(0, 0, 12, draining=True)
-        note_not_run(self.table, "u0", attempt, 1.0, NotRunReason.DRAINING, load)
+        record_attempt_not_run(self.table, "u0", attempt, 1.0, NotRunReason.DRAINING, load)
         for policy in Policy:
             self.assertEqual(self.share_of("u0", 1.0, policy), 0.0)
 
     def test_a_retry_leaves_out_an_upstream_whose_queue_was_just_full(self):
         attempt = self.send("u0", 1.0)
         load = LoadSample(12, 16, 12)
-        note_not_run(self.table, "u0", attempt, 1.0, NotRunReason.QUEUE_FULL, load)
+        record_attempt_not_run(self.table, "u0", attempt, 1.0, NotRunReason.QUEUE_FULL, load)
         others = frozenset({"u1", "u2", "u3"})
         for policy in Policy:
             self.assertIsNone(choose_upstream(policy, self.table, others, 1.01, self.rng))
             self.assertIsNotNone(choose_upstream(policy, self.table, others, 1.1, self.rng))
 
     def test_a_lying_report_fades(self):
-        note_load(self.table, "u0", LoadSample(100, 0, 12), 1.0)
+        record_load(self.table, "u0", LoadSample(100, 0, 12), 1.0)
         self.assertEqual(self.share_of("u0", 1.0), 0.0)
         for upstream in self.upstreams[1:]:
             self.send(upstream.name, 9.0)
@@ -173,10 +173,10 @@
 
 class TestProbes(unittest.TestCase):
     def test_only_stale_and_idle_upstreams_are_probed_within_the_budget(self):
-        table = create_table("s")
+        table = create_upstream_table("s")
         set_upstreams(table, [describe(f"u{index}") for index in range(4)], 0.0)
-        note_load(table, "u0", LoadSample(0, 0, 12), 9.5)
-        note_sent(table, "u1", AttemptId("e", 1, 1), 9.9)
+        record_load(table, "u0", LoadSample(0, 0, 12), 9.5)
+        record_attempt_sent(table, "u1", AttemptId("e", 1, 1), 9.9)
         budget = ProbeBudget(messages_per_s=2, bytes_per_s=1000)
         first = plan_probes(table, budget, 10.0)
         self.assertEqual(len(first), 1)
--- a/packages/bendwind-core/src/bendwind_core/routing/tests/test_notices.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/tests/test_notices.py
@@ -1,7 +1,7 @@
 import math
 import unittest
 
-from bendwind_core.routing import create_table, find_limit, note_load, set_upstreams
+from bendwind_core.routing import create_upstream_table, find_rate_limit, record_load, set_upstreams
 from bendwind_core.routing.notices import MAX_NOTICES
 from bendwind_core.world import Instance, LoadSample, Upstream
 
@@ -13,17 +13,17 @@
 
 class NoticesTest(unittest.TestCase):
     def setUp(self):
-        self.table = create_table("s")
+        self.table = create_upstream_table("s")
         self.list(make_upstream())
 
     def list(self, *upstreams):
         set_upstreams(self.table, upstreams, 100.0)
 
     def report(self, name="u", **more):
-        note_load(self.table, name, LoadSample(1, 0, 6, **more), 100.0)
+        record_load(self.table, name, LoadSample(1, 0, 6, **more), 100.0)
 
     def find(self, upstream):
-        return find_limit(self.table.notices, upstream)
+        return find_rate_limit(self.table.notices, upstream)
 
     def test_limit_outlasts_the_node_beside_its_upstream(self):
         self.report(limit_per_s=5.0)
@@ -43,7 +43,7 @@
         self.report(limit_per_s=5.0, is_leaving=True)
         self.list(make_upstream(born_ms=8))
         self.assertIsNone(self.find(make_upstream(born_ms=8)))
-        self.assertFalse(self.table.views["u"].is_draining)
+        self.assertFalse(self.table.upstreams["u"].is_draining)
 
     def test_run_whose_birth_is_told_is_another_than_one_whose_birth_never_was(self):
         self.report(limit_per_s=5.0, is_leaving=True)
@@ -60,9 +60,9 @@
         self.report(is_leaving=True)
         self.list()
         self.list(make_upstream(incarnation=2))
-        self.assertTrue(self.table.views["u"].is_draining)
+        self.assertTrue(self.table.upstreams["u"].is_draining)
         self.report()
-        self.assertTrue(self.table.views["u"].is_draining)
+        self.assertTrue(self.table.upstreams["u"].is_draining)
 
     def test_what_is_remembered_is_bounded(self):
         for number in range(2 * MAX_NOTICES):
--- a/packages/bendwind-core/src/bendwind_core/routing/tests/test_route_table.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/tests/test_route_table.py
@@ -60,9 +60,9 @@
         route = make_route("a", "/a/", (SplitPart("x"), SplitPart("y")))
         table = make_table(route)
         choose_part(table, route, random.Random(1))
-        share = table.shares["a"]
+        share = table.split_positions["a"]
         set_routing(table, Routing(2, (route, make_route("b", "/b/"))))
-        self.assertEqual(table.shares["a"], share)
+        self.assertEqual(table.split_positions["a"], share)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/routing/tests/test_subset.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/tests/test_subset.py
@@ -5,7 +5,7 @@
 
 import bendwind_core.core.tests.profiles  # noqa: F401
 from bendwind_core.routing import choose_subset
-from bendwind_core.routing.subset import SUBSET
+from bendwind_core.routing.subset import SUBSET_SIZE
 from bendwind_core.world import Instance, Upstream, UpstreamState
 
 
@@ -27,8 +27,8 @@
         self.assertLessEqual(set(chosen), set(upstreams))
         self.assertNotIn(UpstreamState.GONE, [upstream.state for upstream in chosen])
         ready = sum(upstream.state is UpstreamState.READY for upstream in upstreams)
-        self.assertGreaterEqual(len(chosen), min(ready, SUBSET))
-        self.assertLessEqual(len(chosen), SUBSET)
+        self.assertGreaterEqual(len(chosen), min(ready, SUBSET_SIZE))
+        self.assertLessEqual(len(chosen), SUBSET_SIZE)
 
     @given(NUMBERS, st.integers(0, 60))
     def test_one_upstream_less_changes_one_place_at_most(self, numbers, gone):
@@ -46,4 +46,4 @@
     def test_prefers_the_own_data_centre_for_half(self):
         chosen = choose_subset("a", "dc1", [make_upstream(number) for number in range(40)])
         near = [upstream for upstream in chosen if upstream.owner.data_centre == "dc1"]
-        self.assertGreaterEqual(len(near), SUBSET // 2)
+        self.assertGreaterEqual(len(near), SUBSET_SIZE // 2)
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -31,12 +31,12 @@
 from bendwind_core.messages import PeerMessage
 from bendwind_core.routing import (
     RouteTable,
-    find_limit,
-    note_answered,
-    note_cancelled,
-    note_not_run,
-    note_sent,
-    note_unknown,
+    find_rate_limit,
+    record_attempt_answered,
+    record_attempt_cancelled,
+    record_attempt_not_run,
+    record_attempt_sent,
+    record_attempt_unknown,
     set_routing,
 )
 from bendwind_core.suspicion import SuspectTold, find_told, hear, sign_request
@@ -148,10 +148,10 @@
         now = trio.current_time()
         for run, attempt in self._find_attempts_at(link.peer.name):
             table = self.choices[run.call.service.name].table
-            note_unknown(table, attempt.upstream.name, attempt.id, now)
+            record_attempt_unknown(table, attempt.upstream.name, attempt.id, now)
             run.feed(ev.OwnerLost(attempt.id))
         for service, choice in self.choices.items():
-            owners = {view.upstream.owner.name for view in choice.table.views.values()}
+            owners = {view.upstream.owner.name for view in choice.table.upstreams.values()}
             if link.peer.name in owners:
                 self.refresh_upstreams(service)
 
@@ -222,7 +222,7 @@
     def _note_answer(self, run: CallRun, upstream: Upstream, head: AnswerHead) -> None:
         table = self.choices[run.call.service.name].table
         now = trio.current_time()
-        note_answered(table, upstream.name, head.attempt, now, head.status, head.load)
+        record_attempt_answered(table, upstream.name, head.attempt, now, head.status, head.load)
         self.recorder.record(
             EventKind.ATTEMPT_ANSWERED,
             call=run.call.call_id,
@@ -233,7 +233,7 @@
     def _note_not_run(self, run: CallRun, upstream: Upstream, proof: NotRun) -> None:
         table = self.choices[run.call.service.name].table
         now = trio.current_time()
-        note_not_run(table, upstream.name, proof.attempt, now, proof.reason, proof.load)
+        record_attempt_not_run(table, upstream.name, proof.attempt, now, proof.reason, proof.load)
         run.is_inner = run.is_inner or proof.is_inner
         self.recorder.record(
             EventKind.ATTEMPT_NOT_RUN,
@@ -246,7 +246,7 @@
         self, run: CallRun, upstream: Upstream, attempt: AttemptId, reason: str
     ) -> None:
         table = self.choices[run.call.service.name].table
-        note_unknown(table, upstream.name, attempt, trio.current_time())
+        record_attempt_unknown(table, upstream.name, attempt, trio.current_time())
         self.recorder.record(
             EventKind.ATTEMPT_UNKNOWN,
             call=run.call.call_id,
@@ -279,7 +279,7 @@
             case ev.StartTimer():
                 run.start_timer(effect)
             case ev.SendCancel(attempt=attempt, upstream=upstream):
-                note_cancelled(choice.table, upstream.name, attempt, trio.current_time())
+                record_attempt_cancelled(choice.table, upstream.name, attempt, trio.current_time())
                 self.send(upstream.owner.name, Cancel(attempt, upstream.name))
             case ev.SendFence(attempt=attempt, upstream=upstream):
                 fence = Fence(attempt, upstream.owner.incarnation, upstream.name)
@@ -334,10 +334,10 @@
             customer=run.call.customer,
             may_wait=effect.may_wait,
             run_rank=self.owner.find_run_rank(),
-            limit_per_s=find_limit(choice.table.notices, upstream),
+            limit_per_s=find_rate_limit(choice.table.notices, upstream),
         )
         self.runs[effect.attempt.sequence] = run
-        note_sent(choice.table, upstream.name, effect.attempt, trio.current_time())
+        record_attempt_sent(choice.table, upstream.name, effect.attempt, trio.current_time())
         self.recorder.record(
             EventKind.ATTEMPT_SENT,
             call=run.call.call_id,
@@ -400,7 +400,7 @@
         now = trio.current_time()
         for attempt in run.call.attempts:
             self.runs.pop(attempt.id.sequence, None)
-            note_cancelled(table, attempt.upstream.name, attempt.id, now)
+            record_attempt_cancelled(table, attempt.upstream.name, attempt.id, now)
             outflow = run.outflows.get(attempt.id)
             if outflow is not None:
                 outflow.lose()
--- a/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
@@ -5,7 +5,7 @@
 
 from bendwind_core.core import Seconds
 from bendwind_core.limits import ProbeBudget
-from bendwind_core.routing import LoadProbe, LoadReport, note_load, plan_probes
+from bendwind_core.routing import LoadProbe, LoadReport, plan_probes, record_load
 from bendwind_node.calls.entry_node import EntryNode
 from bendwind_node.calls.owner_node import OwnerNode
 from bendwind_node.calls.service_choice import ServiceChoice
@@ -49,7 +49,7 @@
 
     def _probe(self, choice: ServiceChoice, now: Seconds) -> None:
         for name in plan_probes(choice.table, self.budget, now):
-            owner = choice.table.views[name].upstream.owner.name
+            owner = choice.table.upstreams[name].upstream.owner.name
             # A probe is no reason to open a link.
             if owner in self.entry.hub.dialed:
                 self.entry.send(owner, LoadProbe(name))
@@ -59,4 +59,4 @@
         """Hear the load of an upstream."""
         choice = self.entry.choices.get(report.service)
         if choice is not None:
-            note_load(choice.table, report.upstream, report.load, trio.current_time())
+            record_load(choice.table, report.upstream, report.load, trio.current_time())
--- a/packages/bendwind-node/src/bendwind_node/calls/service_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/service_choice.py
@@ -17,10 +17,10 @@
     UpstreamTable,
     choose_subset,
     choose_upstream,
-    create_table,
-    find_limit,
-    find_room_at,
-    note_load,
+    create_upstream_table,
+    find_earliest_capacity_at,
+    find_rate_limit,
+    record_load,
     set_upstreams,
 )
 from bendwind_core.world import Instance, Service, StaleAction, Upstream, may_serve
@@ -44,7 +44,9 @@
 
 def create_choice(service: Service) -> ServiceChoice:
     """Create the choice of a service that has no upstreams yet."""
-    return ServiceChoice(create_table(service.name), RetryBudget(service.limits.retry_ratio))
+    return ServiceChoice(
+        create_upstream_table(service.name), RetryBudget(service.limits.retry_ratio)
+    )
 
 
 def refresh_choice(
@@ -58,7 +60,7 @@
     used = choose_subset(own.name, own.data_centre, admitted)
     listed = {upstream.name for upstream in announced}
     reached = _list_reached(choice.table, listed, membership, hub)
-    before = {view.upstream.owner.name for view in choice.table.views.values()}
+    before = {view.upstream.owner.name for view in choice.table.upstreams.values()}
     set_upstreams(choice.table, (*used, *reached), now)
     # An attempt at an owner that fell silent should not have to wait for its deadline.
     for owner in before - {upstream.owner.name for upstream in used}:
@@ -82,7 +84,7 @@
     # worst seconds was earned instead of 45% (one run each).
     return [
         view.upstream
-        for name, view in table.views.items()
+        for name, view in table.upstreams.items()
         if name not in listed
         and not view.is_draining
         and view.upstream.owner.data_centre not in membership.evacuated
@@ -119,7 +121,7 @@
         now,
         rng,
         near,
-        stays=stays,
+        stays_near=stays,
         target_at=run.call.target_at,
     )
     return _explain_absence(choice.table, now, rng) if chosen is None else chosen
@@ -127,11 +129,11 @@
 
 def _explain_absence(table: UpstreamTable, now: Seconds, rng: random.Random) -> NoRoom | None:
     """Say when there is room again where only cold or limited upstreams are left, else None."""
-    room_at = find_room_at(table)
+    room_at = find_earliest_capacity_at(table)
     if room_at is None or room_at <= now:
         return None
     wait_ms = (room_at - now) * MILLISECONDS_PER_SECOND
-    limits = [find_limit(table.notices, view.upstream) for view in table.views.values()]
+    limits = [find_rate_limit(table.notices, view.upstream) for view in table.upstreams.values()]
     if all(limit is None for limit in limits):
         return NoRoom(wait_ms)
     # At a limit there is room for one at that moment, and for one more each such while.
@@ -141,5 +143,5 @@
 def note_own_load(choice: ServiceChoice, owner: OwnerNode, now: Seconds) -> None:
     """Have a choice weigh the exact load of the upstreams beside this process."""
     for name in owner.register.owned:
-        if name in choice.table.views:
-            note_load(choice.table, name, owner.read_load(name), now)
+        if name in choice.table.upstreams:
+            record_load(choice.table, name, owner.read_load(name), now)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
@@ -202,7 +202,7 @@
                 done = await bench.call(make_exchange())
                 self.assertEqual(done.headers[b"bendwind-reason"], b"no-upstream")
             bench.entry.refresh_upstreams("svc")
-            self.assertEqual(bench.entry.choices["svc"].table.views, {})
+            self.assertEqual(bench.entry.choices["svc"].table.upstreams, {})
             self.assertEqual(self.runs, 1)
 
         self.run_with(self.answer_ok, check)
@@ -268,7 +268,7 @@
             exchange = make_exchange(POST, b"x", bendwind_timeout_ms="100")
             done = await bench.call(exchange)
             self.assertEqual(done.headers[b"bendwind-outcome"], b"unknown")
-            view = bench.entry.choices["svc"].table.views["svc-1"]
+            view = bench.entry.choices["svc"].table.upstreams["svc-1"]
             self.assertEqual((view.error_rate, len(view.outstanding)), (0.0, 0))
 
         self.run_with(wait, check)
@@ -394,7 +394,7 @@
             announce(owner, port)
             await bench.call(make_exchange())
             owner_state = bench.entry.choices["svc"]
-            view = owner_state.table.views["svc-1"]
+            view = owner_state.table.upstreams["svc-1"]
             probes = ProbeTask(bench.entry, bench.owner, ProbeBudget(20, 4000))
             bench.hub.reports = probes.receive
             bench.hub.dialed = bench.hub.links
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_service_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_service_choice.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bendwind_core.attempts import NotRunReason
-from bendwind_core.routing import note_load, set_upstreams
+from bendwind_core.routing import record_load, set_upstreams
 from bendwind_core.world import Instance, LoadSample, Service, Upstream
 from bendwind_node.calls.service_choice import RETURN_SPREAD, choose_for, create_choice
 
@@ -15,7 +15,7 @@
         service = Service("s", ("*",))
         choice = create_choice(service)
         set_upstreams(choice.table, [Upstream("u", "s", OWN, 6, 6)], 100.0)
-        note_load(choice.table, "u", LoadSample(0, 0, 6, room_wait_ms=1000.0, **said), 100.0)
+        record_load(choice.table, "u", LoadSample(0, 0, 6, room_wait_ms=1000.0, **said), 100.0)
         run = types.SimpleNamespace(call=types.SimpleNamespace(service=service, target_at=100.2))
         rng = random.Random(1)
         return [choose_for(choice, run, frozenset(), OWN, 100.0, rng, stays=False) for _ in "abc"]
