--- a/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
@@ -39,7 +39,7 @@
     record_attempt_unknown,
     set_upstreams,
 )
-from bendwind_core.suspicion import SuspectTable, SuspectTold, find_told, sign_request
+from bendwind_core.suspicion import SuspectReport, SuspectTable, compute_signature, find_report
 from bendwind_core.world import Rule, Service, Upstream
 
 
@@ -293,11 +293,11 @@
         combine = getattr(world, "combine_ranks", lambda rank, route_rank: rank)
         return combine(run.call.rank, run.route.priority)
 
-    def _find_suspicion(self, run: CallRun) -> SuspectTold | None:
+    def _find_suspicion(self, run: CallRun) -> SuspectReport | None:
         if not self.suspects.suspects:
             return None
-        signature = sign_request("GET", run.target, (), b"")
-        return find_told(self.suspects, signature, self.agenda.now)
+        signature = compute_signature("GET", run.target, (), b"")
+        return find_report(self.suspects, signature, self.agenda.now)
 
     def _fire(self, run: CallRun, kind: ev.TimerKind, at: Seconds) -> None:
         if run.timers.get(kind) == at:
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/interfaces.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/interfaces.py
@@ -15,7 +15,7 @@
 from bendwind_bench.emulator.upstream import CrashCount, UpstreamModel
 from bendwind_core.attempts import NotRunReason
 from bendwind_core.core import Record, Seconds
-from bendwind_core.suspicion import SuspectTold
+from bendwind_core.suspicion import SuspectReport
 
 
 class Instance(Protocol):
@@ -62,7 +62,7 @@
     def send(self, sender: str, to: str, message: Record) -> None:
         """Carry a message of an entry node to an owner node."""
 
-    def tell_voters(self, told: tuple[SuspectTold, ...]) -> None:
+    def tell_voters(self, told: tuple[SuspectReport, ...]) -> None:
         """Carry to the voters what a node knows against requests."""
 
 
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
@@ -9,11 +9,11 @@
 from bendwind_bench.emulator.upstream import UpstreamModel
 from bendwind_core.core import Record
 from bendwind_core.suspicion import (
+    SuspectReport,
     SuspectTable,
-    SuspectTold,
     SuspicionLimits,
-    hear,
-    take_news,
+    merge_report,
+    pop_unreported,
 )
 from bendwind_core.world import Instance, Upstream
 
@@ -75,12 +75,12 @@
 
     def tell_suspects(self) -> None:
         """Tell the voters what is new against requests."""
-        self.world.tell_voters(take_news(self.suspects, self.world.agenda.now))
+        self.world.tell_voters(pop_unreported(self.suspects, self.world.agenda.now))
 
-    def hear_suspects(self, told: tuple[SuspectTold, ...]) -> None:
+    def hear_suspects(self, told: tuple[SuspectReport, ...]) -> None:
         """Hear from the voters what is known against requests."""
         for one in told:
-            hear(self.suspects, one, self.world.agenda.now)
+            merge_report(self.suspects, one, self.world.agenda.now)
 
     def describe(self) -> Upstream:
         """Return the upstream as it is announced."""
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
@@ -125,7 +125,7 @@
         """Apply an event and carry out what the owner decides."""
         for effect in owner.step(self.owner_state, event, self.agenda.now):
             self._carry_out(effect)
-        if self.owner_state.suspects.news:
+        if self.owner_state.suspects.unreported:
             self.beside.tell_suspects()
         due = owner.next_due(self.owner_state, self.agenda.now)
         if due is not None and (self.ticks_at is None or due < self.ticks_at):
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
@@ -15,11 +15,11 @@
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Record, Seconds
 from bendwind_core.suspicion import (
+    SuspectReport,
     SuspectTable,
-    SuspectTold,
-    hear_and_pass_on,
-    take_news,
-    tell,
+    create_report,
+    merge_and_queue_report,
+    pop_unreported,
 )
 from bendwind_core.world import Upstream, UpstreamState
 
@@ -181,15 +181,15 @@
                 for service, upstreams in serving.items():
                     node.entry.hear_upstreams(service, tuple(upstreams))
 
-    def tell_voters(self, told: tuple[SuspectTold, ...]) -> None:
+    def tell_voters(self, told: tuple[SuspectReport, ...]) -> None:
         """Carry to the voters what a node knows against requests, and on to all nodes."""
         delay = self.scenario.places.push_ms / MILLISECONDS_PER_SECOND
         self.agenda.after(delay, lambda: self._pass_on(told))
 
-    def _pass_on(self, told: tuple[SuspectTold, ...]) -> None:
+    def _pass_on(self, told: tuple[SuspectReport, ...]) -> None:
         for one in told:
-            hear_and_pass_on(self.voters, one, self.agenda.now)
-        news = take_news(self.voters, self.agenda.now)
+            merge_and_queue_report(self.voters, one, self.agenda.now)
+        news = pop_unreported(self.voters, self.agenda.now)
         for node in self.nodes.values():
             if node.is_up:
                 node.hear_suspects(news)
@@ -213,7 +213,7 @@
         node.owner.announce()
         self._push_now()
         known = self.voters.suspects.values()
-        node.hear_suspects(tuple(tell(suspect, self.agenda.now) for suspect in known))
+        node.hear_suspects(tuple(create_report(suspect, self.agenda.now) for suspect in known))
 
     def set_evacuated(self, data_centre: str, *, evacuated: bool) -> None:
         """Evacuate a data centre or take it back."""
--- a/packages/bendwind-core/src/bendwind_core/attempts/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/messages.py
@@ -3,7 +3,7 @@
 import enum
 
 from bendwind_core.core import Milliseconds, Record
-from bendwind_core.suspicion import SuspectTold
+from bendwind_core.suspicion import SuspectReport
 from bendwind_core.world import LoadSample, Repeat
 
 Header = tuple[bytes, bytes]
@@ -103,7 +103,7 @@
     route: str = ""
     target_ms: Milliseconds | None = None
     origin: str = ""
-    suspicion: SuspectTold | None = None
+    suspicion: SuspectReport | None = None
     rank: float = 0.0
     customer: str = ""
     may_wait: bool = True
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
@@ -19,7 +19,7 @@
 from bendwind_core.attempts.upstream_end import EndWatch
 from bendwind_core.core import Milliseconds, Seconds
 from bendwind_core.limits import FairQueue, Turns, UrgencyQueue
-from bendwind_core.suspicion import Served, SuspectTable
+from bendwind_core.suspicion import ServedRequests, SuspectTable
 from bendwind_core.world import UpstreamState
 
 REMEMBERED_ATTEMPTS = 4096
@@ -124,7 +124,7 @@
     rate_limit: RateLimit = msgspec.field(default_factory=RateLimit)
     ends: EndWatch = msgspec.field(default_factory=EndWatch)
     suspects: SuspectTable = msgspec.field(default_factory=SuspectTable)
-    served: Served = msgspec.field(default_factory=Served)
+    served: ServedRequests = msgspec.field(default_factory=ServedRequests)
     turns: Turns = msgspec.field(default_factory=Turns)
     rank_counts: RankCounts = msgspec.field(default_factory=RankCounts)
     arrivals: Arrivals = msgspec.field(default_factory=Arrivals)
--- a/packages/bendwind-core/src/bendwind_core/attempts/suspects.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/suspects.py
@@ -8,20 +8,20 @@
 from bendwind_core.attempts.upstream_end import number_hand_over, sign_hand_over, take_unanswered
 from bendwind_core.core import Milliseconds, Seconds
 from bendwind_core.suspicion import (
-    EndName,
+    Isolated,
     Quarantined,
-    RunApart,
-    clear,
-    hear_and_pass_on,
+    UpstreamEndId,
+    clear_suspect,
+    find_restriction,
     is_quarantined,
     is_withheld,
-    judge,
-    note_end,
-    note_let_in,
-    note_served,
-    take_served,
+    merge_and_queue_report,
+    pop_served,
+    record_end,
+    record_served,
+    record_trial,
 )
-from bendwind_core.suspicion.table import MOST_TOGETHER
+from bendwind_core.suspicion.table import MAX_CONCURRENT_SUSPECTS
 from bendwind_core.world import UpstreamState
 
 
@@ -41,15 +41,15 @@
     # One that leaves as it said may break off what it runs.
     if not under or owner_state.state is not UpstreamState.READY:
         return
-    name = EndName(
-        owner_state.suspects.own,
+    name = UpstreamEndId(
+        owner_state.suspects.node,
         owner_state.incarnation,
         owner_state.upstream,
         owner_state.ends.ends,
     )
     for ended in under:
-        is_served = take_served(owner_state.served, ended.number, now)
-        note_end(
+        is_served = pop_served(owner_state.served, ended.number, now)
+        record_end(
             owner_state.suspects, ended.signature, ended.service, name, now, is_served=is_served
         )
     effects.append(UpstreamEnded(under))
@@ -58,9 +58,9 @@
 def note_success(owner_state: OwnerState, running: RunningAttempt, now: Seconds) -> None:
     """Note that a request was answered with success, which clears it of suspicion."""
     hand_over = running.hand_over
-    note_served(owner_state.served, number_hand_over(hand_over), now)
+    record_served(owner_state.served, number_hand_over(hand_over), now)
     if owner_state.suspects.suspects:
-        clear(owner_state.suspects, running.signature or sign_hand_over(hand_over), now)
+        clear_suspect(owner_state.suspects, running.signature or sign_hand_over(hand_over), now)
 
 
 def find_suspicion(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> Withheld | None:
@@ -68,15 +68,15 @@
     hand_over = queued.hand_over
     queued.signature = sign_hand_over(hand_over)
     if hand_over.suspicion is not None:
-        hear_and_pass_on(owner_state.suspects, hand_over.suspicion, now)
-    match judge(owner_state.suspects, queued.signature, now):
+        merge_and_queue_report(owner_state.suspects, hand_over.suspicion, now)
+    match find_restriction(owner_state.suspects, queued.signature, now):
         case Quarantined(wait_ms=wait_ms):
             return Withheld(NotRunReason.QUARANTINED, wait_ms)
-        case RunApart(others=others):
+        case Isolated(max_other_suspects=others):
             if _count_other_suspects(owner_state, queued.signature) > others:
                 return Withheld(NotRunReason.KEPT_APART)
             queued.is_suspect = True
-            note_let_in(owner_state.suspects, queued.signature, now)
+            record_trial(owner_state.suspects, queued.signature, now)
     return None
 
 
@@ -86,7 +86,7 @@
     others = {attempt.signature for attempt in held if attempt.is_suspect} - {signature}
     suspects = (owner_state.suspects.suspects.get(other) for other in others)
     has_trial = any(found and is_quarantined(owner_state.suspects, found) for found in suspects)
-    return MOST_TOGETHER if has_trial else len(others)
+    return MAX_CONCURRENT_SUSPECTS if has_trial else len(others)
 
 
 def is_withheld_here(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_suspects.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_suspects.py
@@ -2,13 +2,19 @@
 
 from bendwind_core.attempts import AttemptId, CutReason, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.suspicion import EndName, SuspectTable, find_told, note_end, sign_request
-from bendwind_core.suspicion.table import MOST_TOGETHER
+from bendwind_core.suspicion import (
+    SuspectTable,
+    UpstreamEndId,
+    compute_signature,
+    find_report,
+    record_end,
+)
+from bendwind_core.suspicion.table import MAX_CONCURRENT_SUSPECTS
 from bendwind_core.world import Repeat, UpstreamState
 
 
 def sign(path):
-    return sign_request("GET", path, (), b"")
+    return compute_signature("GET", path, (), b"")
 
 
 class SuspectsTest(unittest.TestCase):
@@ -36,8 +42,8 @@
 
     def suspect(self, path, count, table=None):
         for number in range(count):
-            name = EndName("n2", 1, "v", number)
-            note_end(table or self.table, sign(path), "s", name, self.now)
+            name = UpstreamEndId("n2", 1, "v", number)
+            record_end(table or self.table, sign(path), "s", name, self.now)
 
     def end_upstream(self, *attempts):
         for attempt in attempts:
@@ -81,13 +87,13 @@
     def test_what_its_entry_node_knows_counts_too(self):
         elsewhere = SuspectTable("n2")
         self.suspect(b"/a", 3, elsewhere)
-        told = find_told(elsewhere, sign(b"/a"), self.now)
+        told = find_report(elsewhere, sign(b"/a"), self.now)
         _, refusal = self.hand_over(b"/a", told)
         self.assertIs(refusal.reason, NotRunReason.QUARANTINED)
-        self.assertIn(sign(b"/a"), self.table.news)
+        self.assertIn(sign(b"/a"), self.table.unreported)
 
     def test_few_suspects_run_beside_each_other(self):
-        paths = [b"/a", *(f"/{number}".encode() for number in range(MOST_TOGETHER))]
+        paths = [b"/a", *(f"/{number}".encode() for number in range(MAX_CONCURRENT_SUSPECTS))]
         for path in paths:
             self.suspect(path, 2)
         attempt, started = self.hand_over(b"/a")
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
@@ -11,7 +11,7 @@
 
 from bendwind_core.attempts.messages import AttemptId, CutReason, HandOver, Header
 from bendwind_core.core import Seconds
-from bendwind_core.suspicion import number_request, sign_request
+from bendwind_core.suspicion import compute_signature, hash_request
 
 # Nine connections of an upstream that ended were read as broken within 1 ms; a busy node is slower.
 SETTLING: Seconds = 0.1
@@ -57,7 +57,7 @@
 
 def sign_hand_over(hand_over: HandOver) -> bytes:
     """Return the signature of the request that is handed over."""
-    return sign_request(
+    return compute_signature(
         hand_over.method,
         hand_over.target,
         hand_over.headers,
@@ -68,7 +68,7 @@
 
 def number_hand_over(hand_over: HandOver) -> int | None:
     """Return what `number_request` gives the request that is handed over."""
-    return number_request(hand_over.method, hand_over.target, hand_over.body)
+    return hash_request(hand_over.method, hand_over.target, hand_over.body)
 
 
 def note_unanswered(watch: EndWatch, hand_over: HandOver, reason: CutReason, now: Seconds) -> None:
--- a/packages/bendwind-core/src/bendwind_core/customers/table.py
+++ b/packages/bendwind-core/src/bendwind_core/customers/table.py
@@ -26,15 +26,15 @@
     put = tuple(put)
     # A key may go from one of these customers to another: all are taken out first.
     for name in (*removed, *(customer.name for customer in put)):
-        _take_out(table, name)
+        _remove_customer(table, name)
     for customer in put:
         table.by_name[customer.name] = customer
         table.by_key |= dict.fromkeys(customer.keys, customer)
 
 
-def _take_out(table: CustomerTable, name: str) -> None:
-    held = table.by_name.pop(name, None)
-    for key in held.keys if held else ():
+def _remove_customer(table: CustomerTable, name: str) -> None:
+    customer = table.by_name.pop(name, None)
+    for key in customer.keys if customer else ():
         table.by_key.pop(key, None)
 
 
--- a/packages/bendwind-core/src/bendwind_core/membership/events.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/events.py
@@ -5,7 +5,7 @@
 from bendwind_core.claims import ClaimGroup
 from bendwind_core.core import Milliseconds, Record, Seconds
 from bendwind_core.membership.messages import VoterPlace
-from bendwind_core.suspicion import SuspectTold
+from bendwind_core.suspicion import SuspectReport
 from bendwind_core.world import Configuration, Instance, Upstream
 
 
@@ -111,7 +111,7 @@
 class SuspectsLearned(msgspec.Struct, frozen=True):
     """Tell what a voter knows against requests of the services that a node watches."""
 
-    suspects: tuple[SuspectTold, ...]
+    suspects: tuple[SuspectReport, ...]
 
 
 class ClaimGroupsChanged(msgspec.Struct, frozen=True):
--- a/packages/bendwind-core/src/bendwind_core/membership/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/messages.py
@@ -4,7 +4,7 @@
 from bendwind_core.core import Milliseconds, Record
 from bendwind_core.customers import CustomersChange
 from bendwind_core.membership.routing_changes import RoutingChange
-from bendwind_core.suspicion import SuspectTold
+from bendwind_core.suspicion import SuspectReport
 from bendwind_core.world import Instance, Service, Upstream
 
 
@@ -171,7 +171,7 @@
 class SuspectsTold(Record, frozen=True, array_like=True, tag="suspects"):
     """Tell what is known against requests, from node to voter, between voters and to nodes."""
 
-    suspects: tuple[SuspectTold, ...]
+    suspects: tuple[SuspectReport, ...]
 
 
 class StatusRequest(Record, frozen=True, array_like=True, tag="status-request"):
--- a/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
@@ -7,12 +7,12 @@
 from bendwind_core.membership.messages import SuspectsTold, Watch
 from bendwind_core.membership.state import VoterRegistry
 from bendwind_core.suspicion import (
-    SuspectTold,
-    forget_over,
-    hear_and_pass_on,
-    list_serious,
-    take_news,
-    tell,
+    SuspectReport,
+    create_report,
+    list_restricted,
+    merge_and_queue_report,
+    pop_unreported,
+    remove_expired,
 )
 
 # What has a consequence is told again this often. By then a voter that was cut off, or that missed
@@ -25,28 +25,28 @@
 def take_suspects(registry: VoterRegistry, message: SuspectsTold, now: Seconds) -> None:
     """Take over what a node or another voter tells; what is new is passed on at the next flush."""
     for told in message.suspects:
-        hear_and_pass_on(registry.suspects, told, now)
+        merge_and_queue_report(registry.suspects, told, now)
 
 
 def flush_suspects(registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds) -> None:
     """Tell the other voters and the nodes that watch the service what is new against requests."""
-    if registry.suspects.news:
-        news = take_news(registry.suspects, now)
+    if registry.suspects.unreported:
+        news = pop_unreported(registry.suspects, now)
         for voter in registry.peers:
             _send(voter, news, effects)
         _push(registry, news, effects)
     if registry.suspects.suspects and now >= registry.suspects_at:
         registry.suspects_at = now + REPEAT_EVERY
-        forget_over(registry.suspects, now)
-        serious = list_serious(registry.suspects, now)
+        remove_expired(registry.suspects, now)
+        serious = list_restricted(registry.suspects, now)
         for voter in registry.peers:
             _send(voter, serious, effects)
 
 
 def _push(
-    registry: VoterRegistry, news: tuple[SuspectTold, ...], effects: list[RegistryEffect]
+    registry: VoterRegistry, news: tuple[SuspectReport, ...], effects: list[RegistryEffect]
 ) -> None:
-    by_service: dict[str, list[SuspectTold]] = {}
+    by_service: dict[str, list[SuspectReport]] = {}
     for told in news:
         by_service.setdefault(told.service, []).append(told)
     for service, suspects in by_service.items():
@@ -63,12 +63,12 @@
     known = registry.suspects.suspects.values()
     _send(
         watch.node,
-        [tell(suspect, now) for suspect in known if suspect.service in services],
+        [create_report(suspect, now) for suspect in known if suspect.service in services],
         effects,
     )
 
 
-def _send(to: str, suspects: Iterable[SuspectTold], effects: list[RegistryEffect]) -> None:
+def _send(to: str, suspects: Iterable[SuspectReport], effects: list[RegistryEffect]) -> None:
     told = tuple(suspects)
     for start in range(0, len(told), _PER_MESSAGE):
         effects.append(SendTo(to, SuspectsTold(told[start : start + _PER_MESSAGE])))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
@@ -16,15 +16,15 @@
 )
 from bendwind_core.membership.suspicions import REPEAT_EVERY
 from bendwind_core.suspicion import (
-    EndName,
     Quarantined,
     SuspectTable,
-    clear,
-    hear,
-    judge,
-    list_serious,
-    note_end,
-    take_news,
+    UpstreamEndId,
+    clear_suspect,
+    find_restriction,
+    list_restricted,
+    merge_report,
+    pop_unreported,
+    record_end,
 )
 from bendwind_core.world import Instance
 
@@ -82,12 +82,12 @@
                 self.to_voter(to, sender, message)
         elif isinstance(message, SuspectsTold):
             for told in message.suspects:
-                hear(self.nodes[to], told, self.now)
+                merge_report(self.nodes[to], told, self.now)
 
     def end(self, node, number):
         table = self.nodes[node]
-        note_end(table, POISON, "s", EndName(node, 1, f"u-{node}", number), self.now)
-        self.tell(node, take_news(table, self.now))
+        record_end(table, POISON, "s", UpstreamEndId(node, 1, f"u-{node}", number), self.now)
+        self.tell(node, pop_unreported(table, self.now))
 
     def tell(self, node, suspects):
         if suspects:
@@ -103,7 +103,7 @@
                 self.step(voter, Tick())
 
     def refuses(self, node):
-        return isinstance(judge(self.nodes[node], POISON, self.now), Quarantined)
+        return isinstance(find_restriction(self.nodes[node], POISON, self.now), Quarantined)
 
 
 class SuspicionsTest(unittest.TestCase):
@@ -160,7 +160,7 @@
         for name in self.world.nodes:
             self.world.attach(name, 2)
         self.assertFalse(self.world.refuses("n4"))
-        self.world.tell("n0", list_serious(self.world.nodes["n0"], self.world.now))
+        self.world.tell("n0", list_restricted(self.world.nodes["n0"], self.world.now))
         self.world.pass_time(CONTACT)
         self.assertTrue(self.world.refuses("n4"))
 
@@ -168,8 +168,8 @@
         self.end_three()
         self.world.pass_time(1.0)
         table = self.world.nodes["n4"]
-        clear(table, POISON, self.world.now)
-        self.world.tell("n4", take_news(table, self.world.now))
+        clear_suspect(table, POISON, self.world.now)
+        self.world.tell("n4", pop_unreported(table, self.world.now))
         self.world.pass_time(1.0)
         self.assertEqual(self.list_refusing(), [])
 
--- a/packages/bendwind-core/src/bendwind_core/messages/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/__init__.py
@@ -2,14 +2,14 @@
 
 from bendwind_core.messages.codec import PeerMessage, decode_message, encode_message
 from bendwind_core.messages.frame import Frame, decode_frame, encode_frame
-from bendwind_core.messages.hello import Goodbye, Hello, IncarnationKnown, IncarnationQuestion
+from bendwind_core.messages.hello import Goodbye, Hello, IncarnationQuery, IncarnationReply
 
 __all__ = [
     "Frame",
     "Goodbye",
     "Hello",
-    "IncarnationKnown",
-    "IncarnationQuestion",
+    "IncarnationQuery",
+    "IncarnationReply",
     "PeerMessage",
     "decode_frame",
     "decode_message",
--- a/packages/bendwind-core/src/bendwind_core/messages/codec.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/codec.py
@@ -35,15 +35,15 @@
     Watch,
     WatchUpdate,
 )
-from bendwind_core.messages.hello import Goodbye, Hello, IncarnationKnown, IncarnationQuestion
+from bendwind_core.messages.hello import Goodbye, Hello, IncarnationQuery, IncarnationReply
 from bendwind_core.quotas.messages import QuotaAsk, QuotaBack, QuotaLoan, QuotaPull, QuotaReply
 from bendwind_core.routing import LoadProbe, LoadReport
 
 PeerMessage = (
     Hello
     | Goodbye
-    | IncarnationQuestion
-    | IncarnationKnown
+    | IncarnationQuery
+    | IncarnationReply
     | HandOver
     | AnswerHead
     | BodyPart
@@ -89,13 +89,16 @@
 
 # To convert to the union would build its description anew for each message, which costs a hundred
 # times the conversion; that of a single record is kept with its class.
-_KINDS = {kind.__struct_config__.tag: kind for kind in typing.get_args(PeerMessage)}
+_MESSAGE_TYPES = {
+    message_type.__struct_config__.tag: message_type
+    for message_type in typing.get_args(PeerMessage)
+}
 
 
-def _find_kind(value: object) -> type[Record] | None:
+def _find_message_type(value: object) -> type[Record] | None:
     if not isinstance(value, list) or not value or not isinstance(value[0], str):
         return None
-    return _KINDS.get(value[0])
+    return _MESSAGE_TYPES.get(value[0])
 
 
 def decode_message(data: bytes) -> Result[PeerMessage, str]:
@@ -105,9 +108,9 @@
     """
     try:
         value = cbor2.loads(data)
-        kind = _find_kind(value)
-        if kind is None:
+        message_type = _find_message_type(value)
+        if message_type is None:
             return Error("undecodable message: not an array that begins with a known tag")
-        return Ok(msgspec.convert(value, kind))
+        return Ok(msgspec.convert(value, message_type))
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError) as error:
         return Error(f"undecodable message: {error}")
--- a/packages/bendwind-core/src/bendwind_core/messages/hello.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/hello.py
@@ -16,13 +16,13 @@
     confirmed_age_ms: Milliseconds | None = None
 
 
-class IncarnationQuestion(Record, frozen=True, array_like=True, tag="incarnation?"):
+class IncarnationQuery(Record, frozen=True, array_like=True, tag="incarnation?"):
     """Ask, instead of a Hello, for the newest known run of a process of this name."""
 
     name: str
 
 
-class IncarnationKnown(Record, frozen=True, array_like=True, tag="incarnation"):
+class IncarnationReply(Record, frozen=True, array_like=True, tag="incarnation"):
     """Answer with the newest known run of a process, 0 if none is known."""
 
     incarnation: int
--- a/packages/bendwind-core/src/bendwind_core/suspicion/limits.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/limits.py
@@ -12,7 +12,7 @@
 DEFAULT_QUARANTINE: Seconds = 5.0
 # Each further end makes the next trial later by this factor: three trials in six minutes.
 QUARANTINE_GROWTH = 8.0
-LONGEST_QUARANTINE: Seconds = 3600.0
+MAX_QUARANTINE: Seconds = 3600.0
 # Suspicion without a further end is over after this: supervisors hold upstreams back for minutes.
 DEFAULT_KEEP: Seconds = 600.0
 
--- a/packages/bendwind-core/src/bendwind_core/suspicion/served.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/served.py
@@ -11,10 +11,10 @@
 # What is asked for more often than once among so many answers is remembered; 100 bytes each.
 MAX_SERVED = 256
 # An answer of longer ago says little of what the request does now.
-SERVED_FOR: Seconds = 60.0
+SERVED_MAX_AGE: Seconds = 60.0
 
 
-class Served(msgspec.Struct):
+class ServedRequests(msgspec.Struct):
     """Hold when each of the newest requests was served, by a number that this process gives it."""
 
     at: collections.OrderedDict[int, Seconds] = msgspec.field(
@@ -22,12 +22,12 @@
     )
 
 
-def number_request(method: str, target: bytes, body: bytes) -> int | None:
+def hash_request(method: str, target: bytes, body: bytes) -> int | None:
     """Return what is equal for equal requests, within this process; None for a long one."""
     return hash((method, target, body)) if len(body) <= MAX_BODY_BYTES else None
 
 
-def note_served(served: Served, number: int | None, now: Seconds) -> None:
+def record_served(served: ServedRequests, number: int | None, now: Seconds) -> None:
     """Remember that a request was answered with success."""
     if number is None:
         return
@@ -37,7 +37,7 @@
         served.at.popitem(last=False)
 
 
-def take_served(served: Served, number: int | None, now: Seconds) -> bool:
+def pop_served(served: ServedRequests, number: int | None, now: Seconds) -> bool:
     """Tell whether a request was served lately, and forget it."""
     at = None if number is None else served.at.pop(number, None)
-    return at is not None and now - at < SERVED_FOR
+    return at is not None and now - at < SERVED_MAX_AGE
--- a/packages/bendwind-core/src/bendwind_core/suspicion/signature.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/signature.py
@@ -13,7 +13,7 @@
 _LENGTH_BYTES = 8
 
 
-def sign_request(
+def compute_signature(
     method: str,
     target: bytes,
     headers: tuple[tuple[bytes, bytes], ...],
@@ -24,7 +24,7 @@
 
     The asker is the customer; where there is none, what the caller says of itself.
 
-    >>> sign_request("GET", b"/a", (), b"") == sign_request("GET", b"/a", ((b"date", b"x"),), b"")
+    >>> compute_signature("GET", b"/a", (), b"") == compute_signature("GET", b"/a", ((b"date", b"x"),), b"")
     True
     """
     hashed = hashlib.blake2b(digest_size=SIGNATURE_BYTES)
--- a/packages/bendwind-core/src/bendwind_core/suspicion/suspect.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/suspect.py
@@ -5,7 +5,7 @@
 from bendwind_core.core import Milliseconds, Record, Seconds
 
 
-class EndName(Record, frozen=True, array_like=True):
+class UpstreamEndId(Record, frozen=True, array_like=True):
     """Name one end of an upstream by the owner node that saw it.
 
     `number` counts the ends that one run of the owner node saw of the upstream.
@@ -17,19 +17,19 @@
     number: int
 
 
-class UpstreamEndTold(Record, frozen=True, array_like=True):
+class UpstreamEndReport(Record, frozen=True, array_like=True):
     """Tell another process of one end.
 
     `is_excused` says that the owner had served the request shortly before.
     Units: `age_ms` is how long ago it was, in milliseconds of any clock.
     """
 
-    name: EndName
+    id: UpstreamEndId
     age_ms: Milliseconds
     is_excused: bool = False
 
 
-class SuspectTold(Record, frozen=True, array_like=True):
+class SuspectReport(Record, frozen=True, array_like=True):
     """Tell another process of the ends under one request since it was last cleared.
 
     `service` is the one whose upstream ended last, and `cleared` counts how often the request was
@@ -39,7 +39,7 @@
     signature: bytes
     service: str
     cleared: int
-    ends: tuple[UpstreamEndTold, ...] = ()
+    ends: tuple[UpstreamEndReport, ...] = ()
 
 
 class UpstreamEnd(msgspec.Struct, frozen=True):
@@ -48,7 +48,7 @@
     Units: `at` in seconds of the process's clock.
     """
 
-    name: EndName
+    id: UpstreamEndId
     at: Seconds
     is_excused: bool = False
 
@@ -63,7 +63,7 @@
     service: str
     cleared: int = 0
     ends: tuple[UpstreamEnd, ...] = ()
-    known_at: Seconds = 0.0
+    recorded_at: Seconds = 0.0
     tried_at: Seconds | None = None
 
     @property
--- a/packages/bendwind-core/src/bendwind_core/suspicion/table.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/table.py
@@ -12,46 +12,46 @@
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.suspicion.limits import (
-    LONGEST_QUARANTINE,
+    MAX_QUARANTINE,
     QUARANTINE_GROWTH,
     SuspicionLimits,
 )
 from bendwind_core.suspicion.suspect import (
-    EndName,
     Suspect,
-    SuspectTold,
+    SuspectReport,
     UpstreamEnd,
-    UpstreamEndTold,
+    UpstreamEndId,
+    UpstreamEndReport,
 )
 
 # Suspects that run at one upstream at a time. Forty harmless requests beside two that end
 # upstreams were all served after 17 runs of one upstream, with one at a time after 46, with 16
 # after 23 (one run a second, all sent again until they are served).
-MOST_TOGETHER = 4
+MAX_CONCURRENT_SUSPECTS = 4
 # About 500 bytes each.
 MAX_SUSPECTS = 512
 # With more ends than this the time to the next trial no longer grows.
 MAX_ENDS = 8
 # Ends of upstreams within this time have one cause where the request had been served before: a loss
 # of power, or a kill of many.
-ONE_CAUSE: Seconds = 1.0
+COMMON_CAUSE_WINDOW: Seconds = 1.0
 # Where the owner that saw the last end does not try the request, others do after this time, and
 # each at another moment of the next one.
-OTHERS_AFTER: Seconds = 30.0
-OTHERS_SPREAD: Seconds = 60.0
+OTHER_NODES_TRIAL_DELAY: Seconds = 30.0
+OTHER_NODES_TRIAL_SPREAD: Seconds = 60.0
 # A trial that brought neither an answer nor an end, since it never started, is made again.
-TRIAL_AGAIN: Seconds = 10.0
+TRIAL_RETRY_DELAY: Seconds = 10.0
 _CRC_VALUES = 2**32
 
 
-class Unsuspected(msgspec.Struct, frozen=True):
+class Unrestricted(msgspec.Struct, frozen=True):
     """Say that a request may run like any other."""
 
 
-class RunApart(msgspec.Struct, frozen=True):
+class Isolated(msgspec.Struct, frozen=True):
     """Say that a request may run where at most so many other suspects do."""
 
-    others: int
+    max_other_suspects: int
 
 
 class Quarantined(msgspec.Struct, frozen=True):
@@ -63,10 +63,10 @@
     wait_ms: Milliseconds
 
 
-Judgement = Unsuspected | RunApart | Quarantined
-_UNSUSPECTED = Unsuspected()
-_RUN_APART = RunApart(MOST_TOGETHER - 1)
-_TRIAL = RunApart(0)
+Restriction = Unrestricted | Isolated | Quarantined
+_UNRESTRICTED = Unrestricted()
+_ISOLATED = Isolated(MAX_CONCURRENT_SUSPECTS - 1)
+_TRIAL = Isolated(0)
 
 
 class SuspectTable(msgspec.Struct):
@@ -75,81 +75,81 @@
     `own` is the name of the process's node.
     """
 
-    own: str = ""
+    node: str = ""
     limits: SuspicionLimits = SuspicionLimits()
     suspects: dict[bytes, Suspect] = msgspec.field(default_factory=dict)
-    news: dict[bytes, None] = msgspec.field(default_factory=dict)
+    unreported: dict[bytes, None] = msgspec.field(default_factory=dict)
 
 
-def note_end(
+def record_end(
     table: SuspectTable,
     signature: bytes,
     service: str,
-    name: EndName,
+    end_id: UpstreamEndId,
     now: Seconds,
     *,
     is_served: bool = False,
 ) -> None:
     """Note that an upstream ended under a request; `is_served` if it was served there lately."""
-    suspect = _find_or_add(table, signature, service, now)
-    if any(end.name == name for end in suspect.ends):
+    suspect = _get_or_add(table, signature, service, now)
+    if any(end.id == end_id for end in suspect.ends):
         return
     excused_at = next((end.at for end in suspect.ends if end.is_excused), now)
-    is_excused = is_served and now - excused_at < ONE_CAUSE
+    is_excused = is_served and now - excused_at < COMMON_CAUSE_WINDOW
     suspect.service = service
-    _put_ends(suspect, (*suspect.ends, UpstreamEnd(name, now, is_excused)))
-    table.news[signature] = None
+    _set_ends(suspect, (*suspect.ends, UpstreamEnd(end_id, now, is_excused)))
+    table.unreported[signature] = None
 
 
-def _find_or_add(table: SuspectTable, signature: bytes, service: str, now: Seconds) -> Suspect:
+def _get_or_add(table: SuspectTable, signature: bytes, service: str, now: Seconds) -> Suspect:
     suspect = table.suspects.get(signature)
     if suspect is None:
         if len(table.suspects) >= MAX_SUSPECTS:
-            _drop_least(table)
-        suspect = table.suspects[signature] = Suspect(signature, service, known_at=now)
+            _evict_least_suspected(table)
+        suspect = table.suspects[signature] = Suspect(signature, service, recorded_at=now)
     return suspect
 
 
-def _drop_least(table: SuspectTable) -> None:
+def _evict_least_suspected(table: SuspectTable) -> None:
     """Forget the suspect that least speaks against, of those the one known longest."""
     least = min(table.suspects.values(), key=lambda suspect: suspect.count)
     del table.suspects[least.signature]
-    table.news.pop(least.signature, None)
+    table.unreported.pop(least.signature, None)
 
 
-def _put_ends(suspect: Suspect, ends: tuple[UpstreamEnd, ...]) -> None:
+def _set_ends(suspect: Suspect, ends: tuple[UpstreamEnd, ...]) -> None:
     suspect.ends = tuple(sorted(ends, key=lambda end: end.at)[-MAX_ENDS:])
 
 
-def clear(table: SuspectTable, signature: bytes, now: Seconds) -> bool:
+def clear_suspect(table: SuspectTable, signature: bytes, now: Seconds) -> bool:
     """Drop all that speaks against a request; False if nothing did."""
     suspect = table.suspects.get(signature)
     if suspect is None or not suspect.ends:
         return False
     suspect.cleared += 1
     suspect.ends = ()
-    suspect.known_at = now
+    suspect.recorded_at = now
     suspect.tried_at = None
-    table.news[signature] = None
+    table.unreported[signature] = None
     return True
 
 
-def judge(table: SuspectTable, signature: bytes, now: Seconds) -> Judgement:
+def find_restriction(table: SuspectTable, signature: bytes, now: Seconds) -> Restriction:
     """Decide whether a request may run at this process's upstreams now."""
     suspect = table.suspects.get(signature)
-    if suspect is None or is_over(table, suspect, now):
-        return _UNSUSPECTED
+    if suspect is None or is_expired(table, suspect, now):
+        return _UNRESTRICTED
     if suspect.count < table.limits.apart_from:
-        return _UNSUSPECTED
+        return _UNRESTRICTED
     if not is_quarantined(table, suspect):
-        return _RUN_APART
+        return _ISOLATED
     tried_at = find_trial_at(table, suspect)
     if now < tried_at:
         return Quarantined((tried_at - now) * MILLISECONDS_PER_SECOND)
     return _TRIAL
 
 
-def note_let_in(table: SuspectTable, signature: bytes, now: Seconds) -> None:
+def record_trial(table: SuspectTable, signature: bytes, now: Seconds) -> None:
     """Note that a suspect runs now: the next trial of it has to wait for what comes of this one."""
     suspect = table.suspects.get(signature)
     if suspect is not None and is_quarantined(table, suspect):
@@ -164,7 +164,7 @@
 def is_withheld(table: SuspectTable, signature: bytes, now: Seconds) -> bool:
     """Tell whether a request that was let in has become one that is not to run."""
     suspect = table.suspects.get(signature)
-    if suspect is None or is_over(table, suspect, now):
+    if suspect is None or is_expired(table, suspect, now):
         return False
     is_tried = suspect.tried_at is not None and suspect.tried_at >= suspect.last.at
     return is_quarantined(table, suspect) and not is_tried
@@ -172,111 +172,113 @@
 
 def find_trial_at(table: SuspectTable, suspect: Suspect) -> Seconds:
     """Return when this process lets a quarantined request run for a trial."""
-    trial_at = suspect.last.at + _find_quarantine(table, suspect)
-    if suspect.last.name.owner != table.own:
-        trial_at += OTHERS_AFTER + OTHERS_SPREAD * _draw_share(table.own, suspect)
+    trial_at = suspect.last.at + _compute_quarantine(table, suspect)
+    if suspect.last.id.owner != table.node:
+        trial_at += OTHER_NODES_TRIAL_DELAY + OTHER_NODES_TRIAL_SPREAD * _hash_to_fraction(
+            table.node, suspect
+        )
     if suspect.tried_at is not None and suspect.tried_at >= suspect.last.at:
-        trial_at = max(trial_at, suspect.tried_at + TRIAL_AGAIN)
+        trial_at = max(trial_at, suspect.tried_at + TRIAL_RETRY_DELAY)
     return trial_at
 
 
-def _draw_share(own: str, suspect: Suspect) -> float:
+def _hash_to_fraction(node: str, suspect: Suspect) -> float:
     """Return a share that differs between nodes and trials and is the same whenever it is asked."""
-    drawn = b"".join((own.encode(), suspect.signature, bytes([suspect.count])))
+    drawn = b"".join((node.encode(), suspect.signature, bytes([suspect.count])))
     return zlib.crc32(drawn) / _CRC_VALUES
 
 
-def _find_quarantine(table: SuspectTable, suspect: Suspect) -> Seconds:
+def _compute_quarantine(table: SuspectTable, suspect: Suspect) -> Seconds:
     limits = table.limits
-    further = suspect.count - limits.quarantine_from
-    return min(LONGEST_QUARANTINE, limits.quarantine * QUARANTINE_GROWTH**further)
+    extra_ends = suspect.count - limits.quarantine_from
+    return min(MAX_QUARANTINE, limits.quarantine * QUARANTINE_GROWTH**extra_ends)
 
 
-def is_over(table: SuspectTable, suspect: Suspect, now: Seconds) -> bool:
+def is_expired(table: SuspectTable, suspect: Suspect, now: Seconds) -> bool:
     """Tell whether too long has passed for what speaks against a request to count."""
-    since = suspect.last.at if suspect.ends else suspect.known_at
+    since = suspect.last.at if suspect.ends else suspect.recorded_at
     keep = table.limits.keep
     if is_quarantined(table, suspect):
-        keep += _find_quarantine(table, suspect)
+        keep += _compute_quarantine(table, suspect)
     return now - since >= keep
 
 
-def forget_over(table: SuspectTable, now: Seconds) -> None:
+def remove_expired(table: SuspectTable, now: Seconds) -> None:
     """Drop the suspects whose time is over."""
-    over = [s.signature for s in table.suspects.values() if is_over(table, s, now)]
+    over = [s.signature for s in table.suspects.values() if is_expired(table, s, now)]
     for signature in over:
         del table.suspects[signature]
-        table.news.pop(signature, None)
+        table.unreported.pop(signature, None)
 
 
-def hear(table: SuspectTable, told: SuspectTold, now: Seconds) -> bool:
+def merge_report(table: SuspectTable, report: SuspectReport, now: Seconds) -> bool:
     """Take over what another process tells; tell whether it was news."""
-    known = table.suspects.get(told.signature)
-    if known is None and not told.ends:
+    known = table.suspects.get(report.signature)
+    if known is None and not report.ends:
         return False
-    suspect = known or _find_or_add(table, told.signature, told.service, now)
-    if told.cleared < suspect.cleared:
+    suspect = known or _get_or_add(table, report.signature, report.service, now)
+    if report.cleared < suspect.cleared:
         return False
-    is_cleared = told.cleared > suspect.cleared
+    is_cleared = report.cleared > suspect.cleared
     if is_cleared:
-        suspect.cleared = told.cleared
+        suspect.cleared = report.cleared
         suspect.ends = ()
-        suspect.known_at = now
-    return _add_ends(suspect, told, now) or is_cleared
+        suspect.recorded_at = now
+    return _merge_ends(suspect, report, now) or is_cleared
 
 
-def hear_and_pass_on(table: SuspectTable, told: SuspectTold, now: Seconds) -> bool:
+def merge_and_queue_report(table: SuspectTable, report: SuspectReport, now: Seconds) -> bool:
     """Take over what another process tells, as something to tell others; tell if it was news."""
-    is_news = hear(table, told, now)
-    if is_news:
-        table.news[told.signature] = None
-    return is_news
+    is_new = merge_report(table, report, now)
+    if is_new:
+        table.unreported[report.signature] = None
+    return is_new
 
 
-def _add_ends(suspect: Suspect, told: SuspectTold, now: Seconds) -> bool:
+def _merge_ends(suspect: Suspect, report: SuspectReport, now: Seconds) -> bool:
     # An end keeps the earliest time heard of it: else it would grow younger with each telling.
-    ends = {end.name: end for end in suspect.ends}
+    ends = {end.id: end for end in suspect.ends}
     before = frozenset(ends)
-    for end in told.ends:
+    for end in report.ends:
         at = now - end.age_ms / MILLISECONDS_PER_SECOND
-        known = ends.get(end.name)
+        known = ends.get(end.id)
         if known is None or at < known.at:
-            ends[end.name] = UpstreamEnd(end.name, at, end.is_excused)
-    _put_ends(suspect, tuple(ends.values()))
-    is_news = frozenset(end.name for end in suspect.ends) != before
-    if is_news:
-        suspect.service = told.service
-    return is_news
+            ends[end.id] = UpstreamEnd(end.id, at, end.is_excused)
+    _set_ends(suspect, tuple(ends.values()))
+    is_new = frozenset(end.id for end in suspect.ends) != before
+    if is_new:
+        suspect.service = report.service
+    return is_new
 
 
-def find_told(table: SuspectTable, signature: bytes, now: Seconds) -> SuspectTold | None:
+def find_report(table: SuspectTable, signature: bytes, now: Seconds) -> SuspectReport | None:
     """Return what an owner node is told that is handed a request, None if nothing is against it."""
     suspect = table.suspects.get(signature)
-    return tell(suspect, now) if suspect is not None and suspect.ends else None
+    return create_report(suspect, now) if suspect is not None and suspect.ends else None
 
 
-def tell(suspect: Suspect, now: Seconds) -> SuspectTold:
+def create_report(suspect: Suspect, now: Seconds) -> SuspectReport:
     """Write down what is known against a request for another process."""
     ends = tuple(
-        UpstreamEndTold(end.name, (now - end.at) * MILLISECONDS_PER_SECOND, end.is_excused)
+        UpstreamEndReport(end.id, (now - end.at) * MILLISECONDS_PER_SECOND, end.is_excused)
         for end in suspect.ends
     )
-    return SuspectTold(suspect.signature, suspect.service, suspect.cleared, ends)
+    return SuspectReport(suspect.signature, suspect.service, suspect.cleared, ends)
 
 
-def list_news(table: SuspectTable, now: Seconds) -> tuple[SuspectTold, ...]:
+def list_unreported(table: SuspectTable, now: Seconds) -> tuple[SuspectReport, ...]:
     """Return what other processes have not been told yet."""
-    return tuple(tell(table.suspects[signature], now) for signature in table.news)
+    return tuple(create_report(table.suspects[signature], now) for signature in table.unreported)
 
 
-def take_news(table: SuspectTable, now: Seconds) -> tuple[SuspectTold, ...]:
+def pop_unreported(table: SuspectTable, now: Seconds) -> tuple[SuspectReport, ...]:
     """Return what other processes have not been told yet, as told from now on."""
-    news = list_news(table, now)
-    table.news.clear()
-    return news
+    unreported = list_unreported(table, now)
+    table.unreported.clear()
+    return unreported
 
 
-def list_serious(table: SuspectTable, now: Seconds) -> tuple[SuspectTold, ...]:
+def list_restricted(table: SuspectTable, now: Seconds) -> tuple[SuspectReport, ...]:
     """Return the suspects that have a consequence, which are told again and again."""
-    serious = [s for s in table.suspects.values() if s.count >= table.limits.apart_from]
-    return tuple(tell(suspect, now) for suspect in serious)
+    restricted = [s for s in table.suspects.values() if s.count >= table.limits.apart_from]
+    return tuple(create_report(suspect, now) for suspect in restricted)
--- a/packages/bendwind-core/src/bendwind_core/suspicion/tests/test_signature.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/tests/test_signature.py
@@ -1,33 +1,35 @@
 import unittest
 
-from bendwind_core.suspicion import sign_request
+from bendwind_core.suspicion import compute_signature
 
 HOST = (b"host", b"records.example")
 
 
 class SignatureTest(unittest.TestCase):
     def test_same_request_by_another_try_is_told(self):
-        first = sign_request("POST", b"/a", (HOST, (b"request-id", b"1")), b"x")
-        again = sign_request("POST", b"/a", ((b"request-id", b"2"), HOST), b"x")
+        first = compute_signature("POST", b"/a", (HOST, (b"request-id", b"1")), b"x")
+        again = compute_signature("POST", b"/a", ((b"request-id", b"2"), HOST), b"x")
         self.assertEqual(first, again)
 
     def test_whatever_makes_it_another_request_tells_it_apart(self):
-        one = sign_request("POST", b"/a", (HOST, (b"cookie", b"c=1")), b"x")
+        one = compute_signature("POST", b"/a", (HOST, (b"cookie", b"c=1")), b"x")
         others = {
-            sign_request("PUT", b"/a", (HOST, (b"cookie", b"c=1")), b"x"),
-            sign_request("POST", b"/a?b", (HOST, (b"cookie", b"c=1")), b"x"),
-            sign_request("POST", b"/a", ((b"host", b"else.example"), (b"cookie", b"c=1")), b"x"),
-            sign_request("POST", b"/a", (HOST, (b"cookie", b"c=2")), b"x"),
-            sign_request("POST", b"/a", (HOST, (b"authorization", b"c=1")), b"x"),
-            sign_request("POST", b"/a", (HOST, (b"cookie", b"c=1")), b"y"),
-            sign_request("POST", b"/ax", (HOST, (b"cookie", b"c=1")), b""),
+            compute_signature("PUT", b"/a", (HOST, (b"cookie", b"c=1")), b"x"),
+            compute_signature("POST", b"/a?b", (HOST, (b"cookie", b"c=1")), b"x"),
+            compute_signature(
+                "POST", b"/a", ((b"host", b"else.example"), (b"cookie", b"c=1")), b"x"
+            ),
+            compute_signature("POST", b"/a", (HOST, (b"cookie", b"c=2")), b"x"),
+            compute_signature("POST", b"/a", (HOST, (b"authorization", b"c=1")), b"x"),
+            compute_signature("POST", b"/a", (HOST, (b"cookie", b"c=1")), b"y"),
+            compute_signature("POST", b"/ax", (HOST, (b"cookie", b"c=1")), b""),
         }
         self.assertEqual(len(others), 7)
         self.assertNotIn(one, others)
 
     def test_customer_stands_for_what_its_callers_say_of_themselves(self):
         def sign(customer, *headers, host=HOST):
-            return sign_request("POST", b"/a", (host, *headers), b"x", customer)
+            return compute_signature("POST", b"/a", (host, *headers), b"x", customer)
 
         one = sign("norte", (b"cookie", b"c=1"))
         self.assertEqual(one, sign("norte", (b"authorization", b"a")))
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -39,7 +39,7 @@
     record_attempt_unknown,
     set_routing,
 )
-from bendwind_core.suspicion import SuspectTold, find_told, hear, sign_request
+from bendwind_core.suspicion import SuspectReport, compute_signature, find_report, merge_report
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_core.world import Instance, Service, Upstream, combine_ranks
 from bendwind_node.calls.body_flow import Outflow, cut_body, split_body
@@ -351,22 +351,22 @@
         elif rest:
             self.nursery.start_soon(self._send_parts, run, effect.attempt, owner.name, rest)
 
-    def _find_suspicion(self, run: CallRun) -> SuspectTold | None:
+    def _find_suspicion(self, run: CallRun) -> SuspectReport | None:
         """Return what this process knows against a request; its owner may not have heard of it."""
         suspects = self.owner.register.suspects
         if not suspects.suspects:
             return None
         if not run.signature:
-            run.signature = sign_request(
+            run.signature = compute_signature(
                 run.method, run.target, run.headers, run.body, run.call.customer
             )
-        return find_told(suspects, run.signature, trio.current_time())
+        return find_report(suspects, run.signature, trio.current_time())
 
-    def hear_suspects(self, told: tuple[SuspectTold, ...]) -> None:
+    def hear_suspects(self, told: tuple[SuspectReport, ...]) -> None:
         """Hear from a voter what is known against requests."""
         now = trio.current_time()
         for one in told:
-            hear(self.owner.register.suspects, one, now)
+            merge_report(self.owner.register.suspects, one, now)
 
     def _asks_first(self, run: CallRun, effect: ev.SendHandOver) -> bool:
         """Tell whether the owner has to say that it takes a request before it gets the body.
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -251,7 +251,7 @@
     def _feed(self, owned: OwnedUpstream, event: ev.OwnerEvent) -> None:
         for effect in owner.step(owned.owner_state, event, trio.current_time()):
             self._carry_out(owned, effect)
-        if self.register.suspects.news:
+        if self.register.suspects.unreported:
             self.teller.tell_news(trio.current_time())
         due = owner.next_due(owned.owner_state, trio.current_time())
         if due is not None and due < self.wakes_at:
--- a/packages/bendwind-node/src/bendwind_node/calls/suspect_teller.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/suspect_teller.py
@@ -7,15 +7,15 @@
 from bendwind_core.core import Seconds
 from bendwind_core.membership.suspicions import REPEAT_EVERY
 from bendwind_core.suspicion import (
+    SuspectReport,
     SuspectTable,
-    SuspectTold,
-    forget_over,
-    list_news,
-    list_serious,
+    list_restricted,
+    list_unreported,
+    remove_expired,
 )
 
 # Returns False if there is no way to the voter now.
-TellSuspects = Callable[[tuple[SuspectTold, ...]], bool]
+TellSuspects = Callable[[tuple[SuspectReport, ...]], bool]
 
 
 class SuspectTeller(msgspec.Struct):
@@ -27,8 +27,8 @@
 
     def tell_news(self, now: Seconds) -> None:
         """Tell what is new; it stays to be told while no voter is reached."""
-        if self.tell(list_news(self.table, now)):
-            self.table.news.clear()
+        if self.tell(list_unreported(self.table, now)):
+            self.table.unreported.clear()
 
     def repeat(self, services: frozenset[str], now: Seconds) -> None:
         """Tell again what has a consequence for these services, once in a while.
@@ -38,9 +38,9 @@
         if now - self.repeated_at < REPEAT_EVERY:
             return
         self.repeated_at = now
-        forget_over(self.table, now)
-        serious = [told for told in list_serious(self.table, now) if told.service in services]
+        remove_expired(self.table, now)
+        serious = [told for told in list_restricted(self.table, now) if told.service in services]
         if serious:
             self.tell(tuple(serious))
-        if self.table.news:
+        if self.table.unreported:
             self.tell_news(now)
--- a/packages/bendwind-node/src/bendwind_node/links/hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/hub.py
@@ -16,8 +16,8 @@
 from bendwind_core.messages import (
     Frame,
     Hello,
-    IncarnationKnown,
-    IncarnationQuestion,
+    IncarnationQuery,
+    IncarnationReply,
     PeerMessage,
     decode_frame,
     encode_frame,
@@ -235,8 +235,8 @@
         match decode_frame(await socket.recv()):
             case Result(tag="ok", ok=Frame(messages=(Hello() as hello,))):
                 return hello
-            case Result(tag="ok", ok=Frame(messages=(IncarnationQuestion(name=name),))):
-                known = IncarnationKnown(self._find_incarnation(name))
+            case Result(tag="ok", ok=Frame(messages=(IncarnationQuery(name=name),))):
+                known = IncarnationReply(self._find_incarnation(name))
                 await socket.send(self._encode([known]))
         return None
 
--- a/packages/bendwind-node/src/bendwind_node/links/incarnation.py
+++ b/packages/bendwind-node/src/bendwind_node/links/incarnation.py
@@ -15,8 +15,8 @@
 from bendwind_core.core import Seconds
 from bendwind_core.messages import (
     Frame,
-    IncarnationKnown,
-    IncarnationQuestion,
+    IncarnationQuery,
+    IncarnationReply,
     decode_frame,
     encode_frame,
 )
@@ -59,9 +59,9 @@
             compression=None,
             proxy=None,
         ) as socket:
-            await socket.send(encode_frame(Frame(0, 0, (IncarnationQuestion(name),))))
+            await socket.send(encode_frame(Frame(0, 0, (IncarnationQuery(name),))))
             match decode_frame(await socket.recv()):
-                case Result(tag="ok", ok=Frame(messages=(IncarnationKnown(incarnation=known),))):
+                case Result(tag="ok", ok=Frame(messages=(IncarnationReply(incarnation=known),))):
                     return known
     except _FAILURES:
         # Not an error: at the first start nobody listens yet, and the clock then has to do.
--- a/packages/bendwind-node/src/bendwind_node/membership/task.py
+++ b/packages/bendwind-node/src/bendwind_node/membership/task.py
@@ -30,7 +30,7 @@
     set_seeds,
     step_view,
 )
-from bendwind_core.suspicion import SuspectTold
+from bendwind_core.suspicion import SuspectReport
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_core.world import Customer, Instance, Routing, Service, Upstream
 
@@ -161,7 +161,7 @@
         self.recorder.record(EventKind.UPSTREAM_ANNOUNCED, upstream=upstream.name, detail=detail)
         self.step(UpstreamAnnounced(upstream))
 
-    def tell_suspects(self, suspects: tuple[SuspectTold, ...]) -> bool:
+    def tell_suspects(self, suspects: tuple[SuspectReport, ...]) -> bool:
         """Tell the voter what is known against requests; False if there is no way to it now."""
         return self.send(self.view.voter, SuspectsTold(suspects))
 
--- a/packages/bendwind-node/src/bendwind_node/operators/suspect_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/suspect_routes.py
@@ -4,7 +4,7 @@
 import trio
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds
-from bendwind_core.suspicion import Suspect, SuspectTable, clear, is_quarantined
+from bendwind_core.suspicion import Suspect, SuspectTable, clear_suspect, is_quarantined
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_node.operators.errors import ErrorKind, plain_error
 from bendwind_node.operators.http import Response, json_response
@@ -56,7 +56,7 @@
             suspect.count,
             is_quarantined(self.table, suspect),
             round((now - suspect.last.at) * MILLISECONDS_PER_SECOND),
-            tuple(end.name.upstream for end in suspect.ends),
+            tuple(end.id.upstream for end in suspect.ends),
         )
 
     def release(self, text: str) -> Response:
@@ -65,7 +65,7 @@
             signature = bytes.fromhex(text)
         except ValueError:
             return plain_error(400, ErrorKind.BAD_REQUEST, "signature: expected hexadecimal digits")
-        if not clear(self.table, signature, trio.current_time()):
+        if not clear_suspect(self.table, signature, trio.current_time()):
             return plain_error(404, ErrorKind.UNKNOWN_SUSPECT, "nothing is known against it here")
         self.recorder.record(EventKind.REQUEST_RELEASED, detail=signature.hex())
         return json_response(200, ReleasedView(signature.hex()))
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_suspects.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_suspects.py
@@ -3,7 +3,7 @@
 
 import trio
 
-from bendwind_core.suspicion import EndName, SuspectTable, list_news, note_end
+from bendwind_core.suspicion import SuspectTable, UpstreamEndId, list_unreported, record_end
 from bendwind_core.timeline import EventKind
 from bendwind_node.operators import OperatorAuthority
 from bendwind_node.operators.http import Request
@@ -18,8 +18,8 @@
     def ask(self, method, *path, ends=0):
         async def main():
             for number in range(ends):
-                name = EndName("n1", 1, f"u{number}", 1)
-                note_end(self.app.suspects, b"\x0a\x0b", "emisor", name, trio.current_time())
+                name = UpstreamEndId("n1", 1, f"u{number}", 1)
+                record_end(self.app.suspects, b"\x0a\x0b", "emisor", name, trio.current_time())
             return await self.app.answer(Request(method, ("v1", "suspects", *path), {}, {}, b""))
 
         response = trio.run(main)
@@ -36,7 +36,7 @@
     def test_release_clears_it_and_is_told_on(self):
         self.assertEqual(self.ask("POST", "0a0b", "release", ends=3), (200, {"released": "0a0b"}))
         self.assertEqual(self.ask("GET")[1], {"suspects": []})
-        (told,) = list_news(self.app.suspects, 0.0)
+        (told,) = list_unreported(self.app.suspects, 0.0)
         self.assertEqual((told.cleared, told.ends), (1, ()))
         self.assertEqual(self.app.recorder.events[-1].kind, EventKind.REQUEST_RELEASED)
 
