--- a/packages/bendwind-core/src/bendwind_core/core/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/core/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the types every other subpackage rests on."""
+"""Define the types that every other subpackage depends on."""
 
 from bendwind_core.core.record import Record
 from bendwind_core.core.toml_error import TomlError, decode_toml
--- a/packages/bendwind-core/src/bendwind_core/core/record.py
+++ b/packages/bendwind-core/src/bendwind_core/core/record.py
@@ -1,4 +1,4 @@
-"""Define the base of all immutable records that are stored or sent."""
+"""Define the base class of all immutable records that are stored or sent."""
 
 import msgspec
 
--- a/packages/bendwind-core/src/bendwind_core/core/tests/profiles.py
+++ b/packages/bendwind-core/src/bendwind_core/core/tests/profiles.py
@@ -1,4 +1,4 @@
-"""Load the hypothesis profile that the environment names."""
+"""Load the Hypothesis profile named by the environment variable HYPOTHESIS_PROFILE."""
 
 import os
 
--- a/packages/bendwind-core/src/bendwind_core/core/units.py
+++ b/packages/bendwind-core/src/bendwind_core/core/units.py
@@ -1,4 +1,4 @@
-"""Name the units of time that signatures use."""
+"""Define type aliases for units of time."""
 
 Seconds = float
 Milliseconds = float
--- a/packages/bendwind-core/src/bendwind_core/customers/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/customers/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the customers in force: found by the keys of their callers, changed without loss."""
+"""Find customers by the keys of their callers, and apply changes of customers."""
 
 from bendwind_core.customers.change import CustomersChange
 from bendwind_core.customers.table import (
--- a/packages/bendwind-core/src/bendwind_core/customers/change.py
+++ b/packages/bendwind-core/src/bendwind_core/customers/change.py
@@ -1,14 +1,14 @@
-"""Define how a voter tells a node of customers."""
+"""Define how a voter sends changes of customers to a node."""
 
 from bendwind_core.core import Record
 from bendwind_core.world import Customer
 
 
 class CustomersChange(Record, frozen=True, array_like=True):
-    """Carry the customers that changed since the version `base`, and the names of those removed.
+    """Hold the customers that changed since the version `base`, and the names of those removed.
 
-    `base` 0 means that all customers are listed. Requests need a key only if `is_key_needed`.
-    `digest` sums up all customers as they are in force afterwards, so that a node notices a loss.
+    If `base` is 0, all customers are listed. Requests need a key only if `is_key_needed`. `digest`
+    covers all customers that are active after the change, so that a node detects a lost change.
     """
 
     base: int = 0
--- a/packages/bendwind-core/src/bendwind_core/customers/table.py
+++ b/packages/bendwind-core/src/bendwind_core/customers/table.py
@@ -1,4 +1,4 @@
-"""Find the customer that a key belongs to."""
+"""Find the customer to which a key belongs."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 class CustomerTable(msgspec.Struct):
-    """Hold customers by their names and by the digests of their keys."""
+    """Index customers by name and by the digests of their keys."""
 
     by_name: dict[str, Customer] = msgspec.field(default_factory=dict)
     by_key: dict[bytes, Customer] = msgspec.field(default_factory=dict)
@@ -22,9 +22,9 @@
 
 
 def change_customers(table: CustomerTable, put: Iterable[Customer], removed: Iterable[str]) -> None:
-    """Put customers in place, new or changed, and take others out."""
+    """Add or replace the customers `put`, and remove the customers named `removed`."""
     put = tuple(put)
-    # A key may go from one of these customers to another: all are taken out first.
+    # A key may move from one of these customers to another, so all of them are removed first.
     for name in (*removed, *(customer.name for customer in put)):
         _remove_customer(table, name)
     for customer in put:
@@ -39,7 +39,7 @@
 
 
 def find_customer(table: CustomerTable, key: bytes) -> Customer | None:
-    """Return the customer whose key this is, None for a key that is not known.
+    """Return the customer to which a key belongs, None for an unknown key.
 
     >>> table = create_customer_table([Customer("acme", (digest_key(b"k1"),))])
     >>> find_customer(table, b"k1").name, find_customer(table, b"k2")
--- a/packages/bendwind-core/src/bendwind_core/messages/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the codec of the messages between bendwindd processes."""
+"""Encode and decode the messages between bendwindd processes."""
 
 from bendwind_core.messages.codec import PeerMessage, decode_message, encode_message
 from bendwind_core.messages.frame import Frame, decode_frame, encode_frame
--- a/packages/bendwind-core/src/bendwind_core/messages/codec.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/codec.py
@@ -87,8 +87,9 @@
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
-# To convert to the union would build its description anew for each message, which costs a hundred
-# times the conversion; that of a single record is kept with its class.
+# Maps tags to message types. Converting to the union would rebuild its type description for each
+# message, which costs a hundred times the conversion; that of a single record is cached with its
+# class.
 _MESSAGE_TYPES = {
     message_type.__struct_config__.tag: message_type
     for message_type in typing.get_args(PeerMessage)
@@ -104,7 +105,7 @@
 def decode_message(data: bytes) -> Result[PeerMessage, str]:
     """Decode a message and check every field.
 
-    Errors: a text that says what was wrong with the data.
+    Errors: a description of what is wrong with the data.
     """
     try:
         value = cbor2.loads(data)
--- a/packages/bendwind-core/src/bendwind_core/messages/frame.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/frame.py
@@ -9,7 +9,7 @@
 
 
 class Frame(Record, frozen=True, array_like=True):
-    """Carry messages in order, stamped with the sender's hybrid logical time."""
+    """Hold messages in order, with the hybrid logical time of the sender."""
 
     physical_ms: int
     logical: int
@@ -24,7 +24,7 @@
 def decode_frame(data: bytes) -> Result[Frame, str]:
     """Decode a frame and check every field.
 
-    Errors: a text that says what was wrong with the data.
+    Errors: a description of what is wrong with the data.
     """
     try:
         return Ok(msgspec.convert(cbor2.loads(data), Frame))
--- a/packages/bendwind-core/src/bendwind_core/messages/hello.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/hello.py
@@ -5,9 +5,10 @@
 
 
 class Hello(Record, frozen=True, array_like=True, tag="hello"):
-    """Open a link; `epoch` grows with every link that the sender opens to the receiver.
+    """Open a link; `epoch` increases with every link that the sender opens to the receiver.
 
-    Units: `confirmed_age_ms` is the age of the sender's proof of freshness, None without one.
+    Units: `confirmed_age_ms` is the age in milliseconds of the sender's proof that its
+    configuration is fresh, None without a proof.
     """
 
     sender: Instance
@@ -17,18 +18,18 @@
 
 
 class IncarnationQuery(Record, frozen=True, array_like=True, tag="incarnation?"):
-    """Ask, instead of a Hello, for the newest known run of a process of this name."""
+    """Query, instead of sending a Hello, the newest known incarnation of the process `name`."""
 
     name: str
 
 
 class IncarnationReply(Record, frozen=True, array_like=True, tag="incarnation"):
-    """Answer with the newest known run of a process, 0 if none is known."""
+    """Reply with the newest known incarnation of a process, 0 if none is known."""
 
     incarnation: int
 
 
 class Goodbye(Record, frozen=True, array_like=True, tag="goodbye"):
-    """Announce that the sender stops and takes no new work."""
+    """Announce that the sender is stopping and accepts no new work."""
 
     sender: str
--- a/packages/bendwind-core/src/bendwind_core/routing/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the choice of an upstream for an attempt."""
+"""Choose the upstream of an attempt and find the route of a request."""
 
 from bendwind_core.routing.choice import choose_upstream
 from bendwind_core.routing.messages import LoadProbe, LoadReport
--- a/packages/bendwind-core/src/bendwind_core/routing/choice.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/choice.py
@@ -7,15 +7,18 @@
 from bendwind_core.routing.table import TrackedUpstream, UpstreamTable, find_decayed_error_rate
 from bendwind_core.world import Policy, Upstream
 
-# Power of d choices: the score is compared over this many random upstreams.
+# Power of d choices: the scores of this many randomly sampled upstreams are compared.
 SAMPLE_SIZE = 4
-# The median of the upstreams' averages is worked out anew after this time.
+# The median of the upstreams' average latencies is recomputed at most this often.
 MEDIAN_REFRESH: Seconds = 0.010
-# In overload a retry at an upstream whose queue was full this short a time ago is only work.
+# A retry avoids an upstream whose queue was full less than this time ago: in overload such a retry
+# only adds work.
 QUEUE_FULL_BACKOFF: Seconds = 0.020
-# A round trip to another data centre and back is worth a wait of this length.
+# An upstream at which a request would wait longer than this counts as busy. A round trip to another
+# data centre costs about as much as a wait of this length.
 BUSY_THRESHOLD: Seconds = 0.010
-# An upstream that fails this share of its requests is no better for being near.
+# An upstream that fails at least this share of its requests is not preferred for being in the same
+# data centre.
 FAILING_ERROR_RATE = 0.3
 
 _NONE: frozenset[str] = frozenset()
@@ -32,13 +35,13 @@
     stays_near: bool = False,
     target_at: Seconds | None = None,
 ) -> Upstream | None:
-    """Return an upstream that takes new requests and is not excluded, or None.
+    """Return an upstream that accepts new requests and is not excluded, or None.
 
-    A call that excludes some is a retry: it leaves out those whose queue has just been full too.
-    With `near`, upstreams of that data centre go first unless they lately failed or are known to be
-    busy while others are not. A request that `stays` goes further only where that data centre has
-    no upstream that serves. A cold upstream that bears no further request until `target_at` is left
-    out.
+    A call with excluded upstreams is a retry: it also skips upstreams whose queue was full moments
+    ago. With `near`, upstreams of that data centre are preferred, except those that failed recently
+    and those known to be busy while others are not. With `stays_near`, the request leaves that data
+    centre only if no upstream there serves requests. A cold upstream without capacity for a further
+    request until `target_at` is skipped.
     """
     candidates = _find_candidates(table, excluded)
     if target_at is not None:
@@ -92,9 +95,10 @@
 def _prefer_free(
     nearby: list[TrackedUpstream], candidates: list[TrackedUpstream], now: Seconds
 ) -> list[TrackedUpstream]:
-    """Return the near ones unless all of them are known to be busy and others are not.
+    """Return the nearby upstreams that are free, else the free ones elsewhere.
 
-    Near first is a price: a way there and back is little beside a wait.
+    If all upstreams are known to be busy, return all nearby ones. Preferring nearby upstreams only
+    saves a round trip, which is small compared with a wait.
     """
     free = [tracked for tracked in nearby if tracked.free_at <= now + BUSY_THRESHOLD]
     free = free or [tracked for tracked in candidates if tracked.free_at <= now + BUSY_THRESHOLD]
--- a/packages/bendwind-core/src/bendwind_core/routing/notices.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/notices.py
@@ -1,7 +1,7 @@
-"""Remember what upstreams said of themselves in their answers, longer than they are listed.
+"""Store the notices that upstreams sent with their answers, also while they are not listed.
 
-An upstream is listed anew when the node beside it starts again, which knows nothing of what its
-upstream said; a run of the upstream is held to its word all the same.
+When the owner node of an upstream restarts, it lists the upstream again without its notices. The
+notices of a run of the upstream, such as its rate limit, still apply to that run.
 """
 
 import math
@@ -10,14 +10,15 @@
 
 from bendwind_core.world import LoadSample, Upstream
 
-# Of more upstreams of one service, those heard longest ago are forgotten.
+# Notices kept for one service; beyond this the notice that was updated longest ago is evicted.
 MAX_NOTICES = 256
 
 
 class Notice(msgspec.Struct):
-    """Hold the word of one run of an upstream; `born_ms` tells the run, 0 where it is not told.
+    """Hold the notices of one run of an upstream.
 
-    Units: `limit_per_s` in requests a second, None without a limit.
+    `born_ms` is the start time of the upstream, which identifies the run; 0 if it is unknown.
+    Units: `limit_per_s` in requests per second, None without a limit.
     """
 
     born_ms: int
@@ -29,7 +30,10 @@
 
 
 def record_notice(notices: Notices, upstream: Upstream, load: LoadSample) -> None:
-    """Take over what an owner reports of its upstream's word; it may know less than was heard."""
+    """Merge the notices that an owner reports of its upstream.
+
+    The report may contain less than is stored here: a missing notice does not revoke a stored one.
+    """
     if load.limit_per_s is None and not load.is_leaving:
         return
     notice = find_notice(notices, upstream) or Notice(upstream.born_ms)
@@ -43,22 +47,22 @@
 
 
 def find_notice(notices: Notices, upstream: Upstream) -> Notice | None:
-    """Return what is remembered of the present run of an upstream, or None."""
+    """Return the stored notice of the current run of an upstream, or None."""
     notice = notices.get(upstream.name)
     if notice is None:
         return None
-    # A node that has just started may list an upstream before it has heard of its birth.
+    # A node that has just started may list an upstream before it knows when the upstream started.
     is_other_run = 0 < upstream.born_ms != notice.born_ms
     return None if is_other_run else notice
 
 
 def find_rate_limit(notices: Notices, upstream: Upstream) -> float | None:
-    """Return the limit that an upstream named last, or None."""
+    """Return the rate limit that the current run of an upstream announced last, or None."""
     notice = find_notice(notices, upstream)
     return None if notice is None else notice.limit_per_s
 
 
 def has_announced_leaving(notices: Notices, upstream: Upstream) -> bool:
-    """Tell whether the present run of an upstream has said that it leaves."""
+    """Return whether the current run of an upstream has announced that it is leaving."""
     notice = find_notice(notices, upstream)
     return notice is not None and notice.is_leaving
--- a/packages/bendwind-core/src/bendwind_core/routing/route_table.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/route_table.py
@@ -1,4 +1,4 @@
-"""Find the route of a request and the part of its split that takes it."""
+"""Find the route of a request and choose the part of the route's traffic split."""
 
 import random
 
@@ -6,15 +6,16 @@
 
 from bendwind_core.world import EMPTY_ROUTING, Route, Routing
 
-# Multiples of it spread evenly over [0, 1): any run of requests is split close to the weights.
-# Source: Weyl's equidistribution with the golden ratio, whose multiples are the most even.
+# Multiples of this number modulo 1 spread evenly over [0, 1), so any sequence of requests is split
+# close to the weights.
+# Source: Weyl's equidistribution theorem; the golden ratio has the most even multiples.
 _GOLDEN_STEP = 0.6180339887498949
 
 
 class RouteTable(msgspec.Struct):
-    """Hold the routes in force by host and path prefix, and where each split stands.
+    """Hold the active routes by host and path prefix, and the position of each traffic split.
 
-    `shares` is kept by route name, so that a change of other routes moves no split back.
+    `split_positions` is keyed by route name, so a change to other routes does not reset a split.
     """
 
     routing: Routing = EMPTY_ROUTING
@@ -23,7 +24,7 @@
 
 
 def set_routing(table: RouteTable, routing: Routing) -> None:
-    """Take over the routes of a revision."""
+    """Replace the routes by those of a revision."""
     by_host: dict[str, dict[str, Route]] = {}
     for route in routing.routes:
         by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
@@ -36,7 +37,7 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
-    """Return the route of the longest prefix that begins the path, or None.
+    """Return the route with the longest prefix of the path, or None.
 
     `host` is in lower case and without its port.
     """
@@ -53,10 +54,11 @@
 
 
 def choose_part(table: RouteTable, route: Route, rng: random.Random) -> str:
-    """Return the service that the next request of a route goes to."""
+    """Return the service that receives the next request of a route."""
     if len(route.parts) == 1:
         return route.parts[0].service
-    # Each node begins elsewhere, so that the first requests of all nodes do not agree.
+    # Each node starts at a random position, so the first requests of all nodes do not all go to the
+    # same service.
     share = (table.split_positions.get(route.name, rng.random()) + _GOLDEN_STEP) % 1.0
     table.split_positions[route.name] = share
     total = sum(part.weight for part in route.parts)
--- a/packages/bendwind-core/src/bendwind_core/routing/score.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/score.py
@@ -1,24 +1,28 @@
-"""Score an upstream by the time the next request is expected to take there."""
+"""Score an upstream by the expected duration of the next request."""
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.routing.table import TrackedUpstream, find_decayed_error_rate
 
-# After this time half of a report's weight is gone.
+# Time after which the weight of a report is halved.
 REPORT_HALF_LIFE: Seconds = 0.3
-# What others send is counted by half: reports are stale and every entry node sees the same ones.
+# Load from other entry nodes counts by half: reports are stale, and every entry node receives the
+# same ones.
 REPORT_WEIGHT = 0.5
-# After this time without an answer half of an average's distance from the usual is gone, so that
-# an upstream which was slow is tried again.
+# Time without an answer after which half of the distance between an upstream's average latency and
+# the median is removed, so that an upstream which was slow is tried again.
 LATENCY_HALF_LIFE: Seconds = 0.2
+# Weight of the error rate in the score.
 ERROR_PENALTY = 30.0
+# An upstream that is new to this node gets less than its share of requests for this time.
 RAMP_UP_TIME: Seconds = 10.0
+# The share that a new upstream starts with.
 RAMP_UP_MIN_FACTOR = 0.1
 
 
 def score(tracked: TrackedUpstream, median_latency_ms: Milliseconds, now: Seconds) -> float:
     """Return the expected time in the upstream, relative to others; lower is better.
 
-    `usual_ms` is the latency that the service's upstreams usually have.
+    `median_latency_ms` is the median of the average latencies of the service's upstreams.
     """
     value = (1.0 + _estimate_load(tracked, now)) / (tracked.upstream.slots or 1)
     if median_latency_ms > 0.0:
@@ -37,7 +41,7 @@
         silence = now - tracked.answered_at
         latency_ms += excess_ms * 0.5 ** (silence / LATENCY_HALF_LIFE)
     if tracked.outstanding:
-        # No report is as fresh as the age of an attempt that has not come back.
+        # The age of the oldest outstanding attempt is newer information than any report.
         oldest_at = next(iter(tracked.outstanding.values()))
         latency_ms = max(latency_ms, (now - oldest_at) * MILLISECONDS_PER_SECOND)
     return latency_ms / median_latency_ms
--- a/packages/bendwind-core/src/bendwind_core/routing/table.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/table.py
@@ -1,7 +1,7 @@
-"""Hold what an entry node knows of the upstreams of one service.
+"""Track the upstreams of one service at an entry node.
 
-Its own outstanding attempts are exact and fresh; reported loads are stale on arrival and only
-colour them.
+The node's own outstanding attempts are exact and current. Reported loads are already stale on
+arrival and only supplement them.
 """
 
 from collections.abc import Iterable
@@ -13,21 +13,24 @@
 from bendwind_core.routing.notices import Notices, has_announced_leaving, record_notice
 from bendwind_core.world import LoadSample, Upstream, UpstreamState
 
+# Weight of the newest value in the moving average of the latency and of the error rate.
 LATENCY_WEIGHT = 0.3
 ERROR_WEIGHT = 0.1
-# An upstream that failed is tried again after some such times without an attempt.
+# Time without a result after which the error rate is halved. An upstream that failed is tried again
+# after several of these periods without an attempt.
 ERROR_HALF_LIFE: Seconds = 2.0
+# Error rates below this count as zero.
 NEGLIGIBLE_ERROR_RATE = 0.001
 _FAILED_STATUS = 500
 
 
 class TrackedUpstream(msgspec.Struct):
-    """Hold what is known of one upstream.
+    """Hold the state of one upstream as this entry node knows it.
 
-    `outstanding` holds when each attempt was sent, oldest first. `reported_others` is the
-    reported load without this node's own share of it. `room_at` is when an upstream that is cold or
-    has named a limit bears a further request, and `free_at` when one would start at the usual pace,
-    by its last report.
+    `outstanding` maps each attempt to the time it was sent, oldest first. `reported_other_load` is
+    the reported load without this node's own share of it. By the last report, `capacity_at` is when
+    an upstream that is cold or has announced a rate limit can accept a further request, and
+    `free_at` is when a further request would start at the usual pace.
     """
 
     upstream: Upstream
@@ -47,7 +50,10 @@
 
 
 class UpstreamTable(msgspec.Struct):
-    """Hold the upstreams of one service in a fixed order, and what these and former ones said."""
+    """Hold the upstreams of one service in a fixed order.
+
+    `notices` are those of current and former upstreams.
+    """
 
     service: str
     upstreams: dict[str, TrackedUpstream] = msgspec.field(default_factory=dict)
@@ -63,7 +69,7 @@
 
 
 def set_upstreams(table: UpstreamTable, upstreams: Iterable[Upstream], now: Seconds) -> None:
-    """Take over the full set of announced upstreams; keep what is known of those that stay."""
+    """Replace the set of announced upstreams; keep the state of those that remain."""
     tracked_upstreams = {}
     is_first = not table.upstreams
     for upstream in upstreams:
@@ -79,7 +85,7 @@
     tracked = table.upstreams.get(upstream.name)
     is_same_run = tracked is not None and _is_same_run(tracked.upstream, upstream)
     if tracked is None or not is_same_run:
-        # What was there before this node looked is taken as warm.
+        # Upstreams that were listed before this node started to track the service count as warm.
         first_seen_at = float("-inf") if is_first else now
         tracked = TrackedUpstream(upstream, first_seen_at)
     tracked.upstream = upstream
@@ -88,8 +94,8 @@
 
 
 def _is_draining(table: UpstreamTable, upstream: Upstream) -> bool:
-    is_announced = upstream.state is UpstreamState.READY
-    return not is_announced or has_announced_leaving(table.notices, upstream)
+    is_ready = upstream.state is UpstreamState.READY
+    return not is_ready or has_announced_leaving(table.notices, upstream)
 
 
 def _is_same_run(before: Upstream, after: Upstream) -> bool:
@@ -98,7 +104,7 @@
 
 
 def record_attempt_sent(table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds) -> None:
-    """Note that an attempt was handed over."""
+    """Record that an attempt was handed over."""
     tracked = table.upstreams.get(name)
     if tracked is not None:
         tracked.outstanding[attempt] = now
@@ -112,7 +118,7 @@
     status: int,
     load: LoadSample | None,
 ) -> None:
-    """Note the head of an attempt's answer."""
+    """Record the head of an attempt's answer."""
     tracked = table.upstreams.get(name)
     if tracked is None:
         return
@@ -133,7 +139,7 @@
     reason: NotRunReason,
     load: LoadSample | None = None,
 ) -> None:
-    """Note that an attempt bounced."""
+    """Record that an attempt was sent back without being run."""
     tracked = table.upstreams.get(name)
     if tracked is None:
         return
@@ -150,7 +156,7 @@
 def record_attempt_unknown(
     table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds
 ) -> None:
-    """Note that an attempt's answer was lost."""
+    """Record that an attempt's answer was lost."""
     tracked = table.upstreams.get(name)
     if tracked is None:
         return
@@ -161,7 +167,7 @@
 def record_attempt_cancelled(
     table: UpstreamTable, name: str, attempt: AttemptId, now: Seconds
 ) -> None:
-    """Note that an attempt was given up; it would have taken longer than it did so far."""
+    """Record that an attempt was abandoned; its age so far is a lower bound of its latency."""
     tracked = table.upstreams.get(name)
     if tracked is None:
         return
@@ -174,7 +180,7 @@
 
 
 def record_load(table: UpstreamTable, name: str, load: LoadSample, now: Seconds) -> None:
-    """Note a load sample that came by itself."""
+    """Record a load sample that did not come with an answer."""
     tracked = table.upstreams.get(name)
     if tracked is not None:
         _apply_load(table, tracked, load, now)
@@ -194,7 +200,10 @@
 
 
 def find_earliest_capacity_at(table: UpstreamTable) -> Seconds | None:
-    """Return when the first upstream that takes requests bears one, None where none takes any."""
+    """Return the earliest time at which an upstream has capacity for a request.
+
+    Draining upstreams are ignored; None if no other upstream is left.
+    """
     return min(
         (tracked.capacity_at for tracked in table.upstreams.values() if not tracked.is_draining),
         default=None,
@@ -202,7 +211,7 @@
 
 
 def find_decayed_error_rate(tracked: TrackedUpstream, now: Seconds) -> float:
-    """Return the error rate, faded by the time since the last result."""
+    """Return the error rate, decayed by the time since the last result."""
     if tracked.error_rate < NEGLIGIBLE_ERROR_RATE:
         return 0.0
     return tracked.error_rate * 0.5 ** ((now - tracked.last_result_at) / ERROR_HALF_LIFE)
--- a/packages/bendwind-core/src/bendwind_core/suspicion/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/__init__.py
@@ -1,4 +1,4 @@
-"""Offer what connects a request with what became of it before."""
+"""Recognise repeated requests, and restrict those that may crash the upstreams that run them."""
 
 from bendwind_core.suspicion.limits import SuspicionLimits
 from bendwind_core.suspicion.served import ServedRequests, hash_request, pop_served, record_served
--- a/packages/bendwind-core/src/bendwind_core/suspicion/signature.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/signature.py
@@ -1,14 +1,14 @@
-"""Tell that a request came again, though every try of it has an id of its own."""
+"""Compute a signature that recognises a repeated request although each try has its own id."""
 
 import hashlib
 
-# Whom a request is for and who asks; what else callers send (dates, traces, ids of tries) differs
-# from one try to the next.
+# Headers that identify the recipient and the caller of a request. Other headers (dates, traces, ids
+# of tries) differ from one try to the next.
 _HOST = b"host"
 IDENTITY_HEADERS = frozenset({_HOST, b"authorization", b"cookie"})
-# No header is called that, so that no caller can pass for a customer.
+# No header can have this name, so no caller can impersonate a customer.
 _CUSTOMER = b"(customer)"
-# Two of a million requests agree by chance once in 10^17 times.
+# The probability that any two of a million requests have the same signature is 10^-17.
 SIGNATURE_BYTES = 12
 _LENGTH_BYTES = 8
 
@@ -20,11 +20,12 @@
     body: bytes,
     customer: str = "",
 ) -> bytes:
-    """Return what is equal for requests of one asker for the same thing, in every process.
+    """Return a digest that is equal in every process for equal requests of one sender.
 
-    The asker is the customer; where there is none, what the caller says of itself.
+    The sender is the customer; without one, it is identified by the caller's identity headers.
 
-    >>> compute_signature("GET", b"/a", (), b"") == compute_signature("GET", b"/a", ((b"date", b"x"),), b"")
+    >>> first = compute_signature("GET", b"/a", (), b"")
+    >>> first == compute_signature("GET", b"/a", ((b"date", b"x"),), b"")
     True
     """
     hashed = hashlib.blake2b(digest_size=SIGNATURE_BYTES)
@@ -33,7 +34,7 @@
         named = (_CUSTOMER, customer.encode())
         identity = [named, *(header for header in identity if header[0] == _HOST)]
     for part in (method.encode(), target, body, *(text for header in identity for text in header)):
-        # With its length before each part, no two requests are written alike.
+        # Each part is prefixed with its length, so different requests never have the same encoding.
         hashed.update(len(part).to_bytes(_LENGTH_BYTES))
         hashed.update(part)
     return hashed.digest()
--- a/packages/bendwind-core/src/bendwind_core/suspicion/suspect.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/suspect.py
@@ -1,4 +1,7 @@
-"""Describe a request that may end the upstreams which run it, and the ends that speak for it."""
+"""Describe a request that may crash the upstreams that run it, and the ends that suggest so.
+
+An end of an upstream is one observed termination of its process.
+"""
 
 import msgspec
 
@@ -6,9 +9,9 @@
 
 
 class UpstreamEndId(Record, frozen=True, array_like=True):
-    """Name one end of an upstream by the owner node that saw it.
+    """Identify one end of an upstream by the owner node that observed it.
 
-    `number` counts the ends that one run of the owner node saw of the upstream.
+    `number` counts the ends of the upstream that one run of the owner node observed.
     """
 
     owner: str
@@ -18,10 +21,11 @@
 
 
 class UpstreamEndReport(Record, frozen=True, array_like=True):
-    """Tell another process of one end.
+    """Report one end to another process.
 
-    `is_excused` says that the owner had served the request shortly before.
-    Units: `age_ms` is how long ago it was, in milliseconds of any clock.
+    `is_excused` means that the end does not count against the request, because the owner's upstream
+    had served it shortly before.
+    Units: `age_ms` is the time since the end in milliseconds, which is the same for any clock.
     """
 
     id: UpstreamEndId
@@ -30,10 +34,11 @@
 
 
 class SuspectReport(Record, frozen=True, array_like=True):
-    """Tell another process of the ends under one request since it was last cleared.
+    """Report to another process the ends under one request since it was last cleared.
 
-    `service` is the one whose upstream ended last, and `cleared` counts how often the request was
-    cleared: the highest count is the newest, and what was told under a lower one is over.
+    `service` is the service whose upstream ended last. `cleared` counts how often the request was
+    cleared: the report with the highest count is the newest, and reports with a lower count are
+    obsolete.
     """
 
     signature: bytes
@@ -43,7 +48,7 @@
 
 
 class UpstreamEnd(msgspec.Struct, frozen=True):
-    """Hold one end of an upstream under a request.
+    """Hold one end of an upstream while it ran a request.
 
     Units: `at` in seconds of the process's clock.
     """
@@ -54,9 +59,10 @@
 
 
 class Suspect(msgspec.Struct):
-    """Hold what is known against one request; `ends` are in the order in which they happened.
+    """Hold one suspected request and its ends, in the order in which they happened.
 
-    `tried_at` is when this process last let it run for a trial.
+    `recorded_at` is when the suspect was added or last cleared. `tried_at` is when this process
+    last let the request run as a trial.
     """
 
     signature: bytes
@@ -68,10 +74,10 @@
 
     @property
     def count(self) -> int:
-        """Count the ends that speak against the request."""
+        """Count the ends that are not excused."""
         return sum(not end.is_excused for end in self.ends)
 
     @property
     def last(self) -> UpstreamEnd:
-        """Return the last end, of which there must be one."""
+        """Return the last end; there must be at least one."""
         return self.ends[-1]
--- a/packages/bendwind-core/src/bendwind_core/suspicion/table.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/table.py
@@ -1,9 +1,10 @@
-"""Keep the requests that may end the upstreams which run them, and judge them.
+"""Track the requests that may crash the upstreams that run them, and decide whether they may run.
 
-All that speaks against a request is that upstreams ended while they ran it; many others ran beside
-it. So one end has no consequence. After two, it runs beside few other such requests: the next end
-tells it from those that run elsewhere. After three it is refused, but for a trial by itself, after
-a time that grows with each further end. An answer with success clears it.
+The only evidence against a request is that upstreams ended while they ran it, and many other
+requests ran beside it. So one end has no consequence. After two ends, the request runs beside few
+other suspects, so that the next end distinguishes it from the suspects that run elsewhere. After
+three ends it is refused, except for a trial in which it runs without other suspects, after a time
+that grows with each further end. A successful answer clears the request.
 """
 
 import zlib
@@ -24,40 +25,41 @@
     UpstreamEndReport,
 )
 
-# Suspects that run at one upstream at a time. Forty harmless requests beside two that end
-# upstreams were all served after 17 runs of one upstream, with one at a time after 46, with 16
-# after 23 (one run a second, all sent again until they are served).
+# Suspects that run at one upstream at a time. With this limit, forty harmless requests beside two
+# that crash upstreams were all served after 17 runs of one upstream; with one at a time it took 46
+# runs, with 16 at a time 23 (one run a second, every request retried until it was served).
 MAX_CONCURRENT_SUSPECTS = 4
-# About 500 bytes each.
+# A suspect takes about 500 bytes.
 MAX_SUSPECTS = 512
-# With more ends than this the time to the next trial no longer grows.
+# Ends stored for one suspect. With more, the time to the next trial would not grow further.
 MAX_ENDS = 8
-# Ends of upstreams within this time have one cause where the request had been served before: a loss
-# of power, or a kill of many.
+# If the request had been served before, ends of upstreams within this time are excused: they have a
+# common cause, such as a power loss or the killing of many processes.
 COMMON_CAUSE_WINDOW: Seconds = 1.0
-# Where the owner that saw the last end does not try the request, others do after this time, and
-# each at another moment of the next one.
+# If the owner that observed the last end does not try the request, the other nodes try it after the
+# first of these times, each at a different moment within the second one.
 OTHER_NODES_TRIAL_DELAY: Seconds = 30.0
 OTHER_NODES_TRIAL_SPREAD: Seconds = 60.0
-# A trial that brought neither an answer nor an end, since it never started, is made again.
+# A trial that led to neither an answer nor an end, because it never started, is repeated after this
+# time.
 TRIAL_RETRY_DELAY: Seconds = 10.0
 _CRC_VALUES = 2**32
 
 
 class Unrestricted(msgspec.Struct, frozen=True):
-    """Say that a request may run like any other."""
+    """Let a request run like any other."""
 
 
 class Isolated(msgspec.Struct, frozen=True):
-    """Say that a request may run where at most so many other suspects do."""
+    """Let a request run only where at most `max_other_suspects` other suspects run."""
 
     max_other_suspects: int
 
 
 class Quarantined(msgspec.Struct, frozen=True):
-    """Say that a request is not to run.
+    """Do not let a request run.
 
-    Units: `wait_ms` is the time until it is tried again, in milliseconds.
+    Units: `wait_ms` is the time until its next trial, in milliseconds.
     """
 
     wait_ms: Milliseconds
@@ -70,9 +72,10 @@
 
 
 class SuspectTable(msgspec.Struct):
-    """Hold the suspects that one process knows; `news` are those it has not told of yet.
+    """Hold the suspects that one process knows, by signature.
 
-    `own` is the name of the process's node.
+    `node` is the name of the process's node. `unreported` holds the signatures of the suspects
+    whose changes have not been reported to other processes yet.
     """
 
     node: str = ""
@@ -90,7 +93,10 @@
     *,
     is_served: bool = False,
 ) -> None:
-    """Note that an upstream ended under a request; `is_served` if it was served there lately."""
+    """Record that an upstream ended while it ran a request.
+
+    `is_served` means that the upstream had served the request recently.
+    """
     suspect = _get_or_add(table, signature, service, now)
     if any(end.id == end_id for end in suspect.ends):
         return
@@ -111,7 +117,7 @@
 
 
 def _evict_least_suspected(table: SuspectTable) -> None:
-    """Forget the suspect that least speaks against, of those the one known longest."""
+    """Evict the suspect with the fewest ends; of several, the one known longest."""
     least = min(table.suspects.values(), key=lambda suspect: suspect.count)
     del table.suspects[least.signature]
     table.unreported.pop(least.signature, None)
@@ -122,7 +128,7 @@
 
 
 def clear_suspect(table: SuspectTable, signature: bytes, now: Seconds) -> bool:
-    """Drop all that speaks against a request; False if nothing did."""
+    """Remove all ends recorded under a request; return False if there were none."""
     suspect = table.suspects.get(signature)
     if suspect is None or not suspect.ends:
         return False
@@ -135,7 +141,7 @@
 
 
 def find_restriction(table: SuspectTable, signature: bytes, now: Seconds) -> Restriction:
-    """Decide whether a request may run at this process's upstreams now."""
+    """Return how a request may run at this process's upstreams now."""
     suspect = table.suspects.get(signature)
     if suspect is None or is_expired(table, suspect, now):
         return _UNRESTRICTED
@@ -143,26 +149,32 @@
         return _UNRESTRICTED
     if not is_quarantined(table, suspect):
         return _ISOLATED
-    tried_at = find_trial_at(table, suspect)
-    if now < tried_at:
-        return Quarantined((tried_at - now) * MILLISECONDS_PER_SECOND)
+    trial_at = find_trial_at(table, suspect)
+    if now < trial_at:
+        return Quarantined((trial_at - now) * MILLISECONDS_PER_SECOND)
     return _TRIAL
 
 
 def record_trial(table: SuspectTable, signature: bytes, now: Seconds) -> None:
-    """Note that a suspect runs now: the next trial of it has to wait for what comes of this one."""
+    """Record that a suspect runs now.
+
+    If it is quarantined, this is a trial, and the next trial has to wait for its result.
+    """
     suspect = table.suspects.get(signature)
     if suspect is not None and is_quarantined(table, suspect):
         suspect.tried_at = now
 
 
 def is_quarantined(table: SuspectTable, suspect: Suspect) -> bool:
-    """Tell whether so many upstreams ended under a request that it runs for trials only."""
+    """Return whether so many upstreams ended under a request that it only runs as a trial."""
     return suspect.count >= table.limits.quarantine_from
 
 
 def is_withheld(table: SuspectTable, signature: bytes, now: Seconds) -> bool:
-    """Tell whether a request that was let in has become one that is not to run."""
+    """Return whether a request that was admitted must no longer run.
+
+    That is so if it has been quarantined since, unless it was admitted as a trial.
+    """
     suspect = table.suspects.get(signature)
     if suspect is None or is_expired(table, suspect, now):
         return False
@@ -171,7 +183,7 @@
 
 
 def find_trial_at(table: SuspectTable, suspect: Suspect) -> Seconds:
-    """Return when this process lets a quarantined request run for a trial."""
+    """Return when this process lets a quarantined request run as a trial."""
     trial_at = suspect.last.at + _compute_quarantine(table, suspect)
     if suspect.last.id.owner != table.node:
         trial_at += OTHER_NODES_TRIAL_DELAY + OTHER_NODES_TRIAL_SPREAD * _hash_to_fraction(
@@ -183,9 +195,9 @@
 
 
 def _hash_to_fraction(node: str, suspect: Suspect) -> float:
-    """Return a share that differs between nodes and trials and is the same whenever it is asked."""
-    drawn = b"".join((node.encode(), suspect.signature, bytes([suspect.count])))
-    return zlib.crc32(drawn) / _CRC_VALUES
+    """Return a fraction that differs between nodes and trials and is the same on each call."""
+    data = b"".join((node.encode(), suspect.signature, bytes([suspect.count])))
+    return zlib.crc32(data) / _CRC_VALUES
 
 
 def _compute_quarantine(table: SuspectTable, suspect: Suspect) -> Seconds:
@@ -195,7 +207,7 @@
 
 
 def is_expired(table: SuspectTable, suspect: Suspect, now: Seconds) -> bool:
-    """Tell whether too long has passed for what speaks against a request to count."""
+    """Return whether the suspicion of a request has expired."""
     since = suspect.last.at if suspect.ends else suspect.recorded_at
     keep = table.limits.keep
     if is_quarantined(table, suspect):
@@ -204,15 +216,15 @@
 
 
 def remove_expired(table: SuspectTable, now: Seconds) -> None:
-    """Drop the suspects whose time is over."""
-    over = [s.signature for s in table.suspects.values() if is_expired(table, s, now)]
-    for signature in over:
+    """Remove the suspects that have expired."""
+    expired = [s.signature for s in table.suspects.values() if is_expired(table, s, now)]
+    for signature in expired:
         del table.suspects[signature]
         table.unreported.pop(signature, None)
 
 
 def merge_report(table: SuspectTable, report: SuspectReport, now: Seconds) -> bool:
-    """Take over what another process tells; tell whether it was news."""
+    """Merge a report of another process; return whether it contained anything new."""
     known = table.suspects.get(report.signature)
     if known is None and not report.ends:
         return False
@@ -228,7 +240,10 @@
 
 
 def merge_and_queue_report(table: SuspectTable, report: SuspectReport, now: Seconds) -> bool:
-    """Take over what another process tells, as something to tell others; tell if it was news."""
+    """Merge a report of another process and mark the suspect as unreported if anything was new.
+
+    Return whether anything was new.
+    """
     is_new = merge_report(table, report, now)
     if is_new:
         table.unreported[report.signature] = None
@@ -236,7 +251,7 @@
 
 
 def _merge_ends(suspect: Suspect, report: SuspectReport, now: Seconds) -> bool:
-    # An end keeps the earliest time heard of it: else it would grow younger with each telling.
+    # An end keeps the earliest time reported for it; otherwise each report would make it newer.
     ends = {end.id: end for end in suspect.ends}
     before = frozenset(ends)
     for end in report.ends:
@@ -252,13 +267,13 @@
 
 
 def find_report(table: SuspectTable, signature: bytes, now: Seconds) -> SuspectReport | None:
-    """Return what an owner node is told that is handed a request, None if nothing is against it."""
+    """Return the report that goes with a request to its owner node, None if it has no ends."""
     suspect = table.suspects.get(signature)
     return create_report(suspect, now) if suspect is not None and suspect.ends else None
 
 
 def create_report(suspect: Suspect, now: Seconds) -> SuspectReport:
-    """Write down what is known against a request for another process."""
+    """Create the report of a suspect for another process."""
     ends = tuple(
         UpstreamEndReport(end.id, (now - end.at) * MILLISECONDS_PER_SECOND, end.is_excused)
         for end in suspect.ends
@@ -267,18 +282,18 @@
 
 
 def list_unreported(table: SuspectTable, now: Seconds) -> tuple[SuspectReport, ...]:
-    """Return what other processes have not been told yet."""
+    """Return reports of the suspects that have not been reported to other processes yet."""
     return tuple(create_report(table.suspects[signature], now) for signature in table.unreported)
 
 
 def pop_unreported(table: SuspectTable, now: Seconds) -> tuple[SuspectReport, ...]:
-    """Return what other processes have not been told yet, as told from now on."""
-    unreported = list_unreported(table, now)
+    """Return reports of the unreported suspects and mark them as reported."""
+    reports = list_unreported(table, now)
     table.unreported.clear()
-    return unreported
+    return reports
 
 
 def list_restricted(table: SuspectTable, now: Seconds) -> tuple[SuspectReport, ...]:
-    """Return the suspects that have a consequence, which are told again and again."""
+    """Return reports of the suspects that are restricted; these reports are sent repeatedly."""
     restricted = [s for s in table.suspects.values() if s.count >= table.limits.apart_from]
     return tuple(create_report(suspect, now) for suspect in restricted)
--- a/packages/bendwind-core/src/bendwind_core/world/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/world/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the objects of the world: data centres, instances, upstreams, services, rules."""
+"""Define the domain model: data centres, instances, upstreams, services, routes and customers."""
 
 from bendwind_core.world.configuration import EMPTY_CONFIGURATION, Configuration
 from bendwind_core.world.customer import Customer, combine_ranks, digest_key
--- a/packages/bendwind-core/src/bendwind_core/world/configuration.py
+++ b/packages/bendwind-core/src/bendwind_core/world/configuration.py
@@ -1,4 +1,4 @@
-"""Hold the accepted configuration as one immutable value."""
+"""Define the accepted configuration as one immutable value."""
 
 from bendwind_core.core import Record
 from bendwind_core.world.customer import Customer
@@ -7,10 +7,10 @@
 
 
 class Configuration(Record, frozen=True, array_like=True):
-    """Hold every service and route as of one version, which is a position in the control log.
+    """Hold all services and routes of one version, which is a position in the control log.
 
-    `evacuated` names the data centres whose upstreams get nothing new. `customers` are in the order
-    of their names; None means that requests need no key.
+    `evacuated` names the data centres whose upstreams receive no new requests. `customers` are
+    sorted by name; None means that requests need no key.
     """
 
     version: int
--- a/packages/bendwind-core/src/bendwind_core/world/customer.py
+++ b/packages/bendwind-core/src/bendwind_core/world/customer.py
@@ -1,19 +1,20 @@
-"""Describe customers: whose requests are taken, how urgent they are and how many are due."""
+"""Describe customers: their keys, the rank of their requests and their rate limit."""
 
 import hashlib
 
 from bendwind_core.core import Record
 
-# Of a billion keys, two agree by chance once in 10^20 times.
+# The probability that any two of a billion keys have the same digest is 10^-20.
 KEY_DIGEST_BYTES = 16
 
 
 class Customer(Record, frozen=True, array_like=True):
-    """Name a customer and the digests of the keys that its callers send.
+    """Describe a customer; `keys` are the digests of the keys that its callers send.
 
-    `rank` goes before that of a route, 0 being the most urgent; None leaves the route's.
-    Units: `rate_per_s` is in requests a second, 0 without a limit; `burst` is how many requests may
-    come on top of that at once.
+    `rank` takes precedence over the rank of a route, and 0 is the most urgent; with None, the
+    route's rank applies.
+    Units: `rate_per_s` is in requests per second, 0 without a limit; `burst` is the number of
+    requests that may arrive at once on top of that.
     """
 
     name: str
@@ -24,18 +25,18 @@
 
     @property
     def is_limited(self) -> bool:
-        """Tell whether the customer has a quota."""
+        """Return whether the customer has a quota."""
         return self.rate_per_s > 0.0
 
 
-# Ranks of customers and routes have at most two digits.
+# Weight of a route's rank beside a customer's rank; both ranks have at most two digits.
 RANK_STEP = 0.01
 
 
 def combine_ranks(rank: int, route_rank: int) -> float:
-    """Return how urgent a request is: by its rank, and among those alike by its route's.
+    """Return the rank of a request by its customer's rank, and among equal ones by its route's.
 
-    Where all customers have one rank, their routes would else be told apart no more.
+    Without the route's rank, routes would have no order where all customers have the same rank.
 
     >>> combine_ranks(1, 0) < combine_ranks(1, 2) < combine_ranks(2, 0)
     True
@@ -44,5 +45,5 @@
 
 
 def digest_key(text: bytes) -> bytes:
-    """Return what stands for a key wherever its text is not needed."""
+    """Return the digest that represents a key wherever its text is not needed."""
     return hashlib.blake2b(text, digest_size=KEY_DIGEST_BYTES).digest()
--- a/packages/bendwind-core/src/bendwind_core/world/places.py
+++ b/packages/bendwind-core/src/bendwind_core/world/places.py
@@ -4,17 +4,17 @@
 
 
 class DataCentre(Record, frozen=True, array_like=True):
-    """Name a data centre and the region that holds it."""
+    """Describe a data centre by its name and its region."""
 
     name: str
     region: str = ""
 
 
 class Instance(Record, frozen=True, array_like=True):
-    """Name one run of a bendwindd process and the address its peers reach it at.
+    """Identify one run of a bendwindd process and the address at which its peers reach it.
 
-    `incarnation` grows with every start of the process, so that two runs under one name differ.
-    `operators` is the address, host and port, that operators reach it at.
+    `incarnation` increases with every start of the process, so two runs with the same name differ.
+    `operators` is the address (host and port) at which operators reach it.
     """
 
     name: str
--- a/packages/bendwind-core/src/bendwind_core/world/route.py
+++ b/packages/bendwind-core/src/bendwind_core/world/route.py
@@ -1,21 +1,21 @@
-"""Describe virtual hosts: which requests go to which services, and under which rule."""
+"""Describe virtual hosts: which requests are routed to which services, and under which rule."""
 
 from bendwind_core.core import Milliseconds, Record
 from bendwind_core.world.service import Repeat, Rule, Service, StaleAction, WarmUpRule
 
 
 class SplitPart(Record, frozen=True, array_like=True):
-    """Name a service that takes a share of a route's requests; shares follow the weights."""
+    """Name a service that receives a share of a route's requests, proportional to its weight."""
 
     service: str
     weight: int = 1
 
 
 class Route(Record, frozen=True, array_like=True):
-    """Send the requests of a host whose path begins with a prefix to one or more services.
+    """Route the requests of a host whose path begins with a prefix to one or more services.
 
-    The prefix begins and ends with a slash, so that it covers whole segments. Requests of a route
-    that `is_open` need no key.
+    The prefix begins and ends with a slash, so it matches whole path segments. If `is_open`,
+    requests of the route need no key.
     """
 
     name: str
@@ -39,7 +39,7 @@
     priority: int,
     is_open: bool = False,
 ) -> Route:
-    """Create a route; its rule, which goes with each request, bears its name."""
+    """Create a route; its rule, which is passed along with each request, has the route's name."""
     rule = Rule(
         "*",
         repeat=repeat,
@@ -60,7 +60,7 @@
     near_first: bool,
     warm_up: WarmUpRule | None = None,
 ) -> Service:
-    """Create a service that routes alone lead to, whatever its upstreams are called."""
+    """Create a service that only routes lead to; any upstream name matches it."""
     return Service(
         name,
         ("*",),
@@ -73,9 +73,9 @@
 
 
 class CallerLimits(Record, frozen=True, array_like=True):
-    """Bound what a caller may send and how long it may take or rest.
+    """Limit the size of a caller's requests, the time to send them and the idle time.
 
-    Units: bytes and milliseconds; None leaves the bound to the settings of each process.
+    Units: bytes and milliseconds; with None, the settings of each process apply.
     """
 
     header_bytes: int | None = None
@@ -85,7 +85,7 @@
 
 
 class Routing(Record, frozen=True, array_like=True):
-    """Hold all routes as of one revision, which the operator numbers; 0 means that none was set."""
+    """Hold all routes of one revision; the operator assigns its number, 0 means none was set."""
 
     revision: int = 0
     routes: tuple[Route, ...] = ()
--- a/packages/bendwind-core/src/bendwind_core/world/service.py
+++ b/packages/bendwind-core/src/bendwind_core/world/service.py
@@ -7,21 +7,21 @@
 
 
 class Repeat(enum.StrEnum):
-    """Say whether a request may be attempted again without proof that it was not run."""
+    """Define whether a request may be attempted again without proof that it was not run."""
 
     IDEMPOTENT = "idempotent"
     NEVER = "never"
 
 
 class StaleAction(enum.StrEnum):
-    """Say what a node does with a call when its configuration is not proven fresh."""
+    """Define what a node does with a call if its configuration is not proven to be fresh."""
 
     REFUSE = "refuse"
     SERVE = "serve"
 
 
 class Policy(enum.StrEnum):
-    """Name the algorithm that picks an upstream."""
+    """Name the algorithm that chooses an upstream."""
 
     SCORE = "score"
     RANDOM = "random"
@@ -30,12 +30,12 @@
 
 
 class Rule(Record, frozen=True, array_like=True):
-    """State how requests that match a method and a path pattern are treated.
+    """Describe how requests that match a method and a path pattern are treated.
 
-    `methods` empty matches every method; `path` is a shell-style pattern over the path.
-    `attempts` bounds the upstreams that one call may reach, and `priority` ranks it, 0 the most
-    urgent; an answer within `target_latency_ms` is in time. `name` tells apart the rules whose
-    requests take different times. Requests of one that `is_open` need no customer's key.
+    `path` is a shell-style pattern for the path; empty `methods` match every method. `attempts`
+    limits the number of upstreams that one call may reach, and `priority` ranks the call, 0 being
+    the most urgent. An answer within `target_latency_ms` is in time. `name` distinguishes rules
+    whose requests have different durations. If `is_open`, the requests need no customer's key.
     """
 
     path: str
@@ -51,7 +51,7 @@
 
 
 class Limits(Record, frozen=True, array_like=True):
-    """Bound what a service may take of its upstreams and of the nodes that serve it."""
+    """Limit the resources of upstreams and nodes that a service may use."""
 
     queue: int = 16
     body_bytes: int = 8 * 1024 * 1024
@@ -60,9 +60,9 @@
 
 
 class WarmUpRule(Record, frozen=True, array_like=True):
-    """State how long an upstream is cold after its start, and what it bears until then.
+    """Describe how long an upstream is cold after its start, and the rate it can serve until then.
 
-    Units: `per_second` is in requests a second.
+    Units: `per_second` is in requests per second.
     """
 
     seconds: Seconds
@@ -70,13 +70,13 @@
 
 
 class Service(Record, frozen=True, array_like=True):
-    """State a service: the hosts that name it, the upstreams that may serve it, its rules.
+    """Describe a service: the hosts that refer to it, the upstreams that may serve it, its rules.
 
-    `upstreams` holds shell-style patterns over upstream names. `needed_upstreams` is how many the
-    operators count on; a plan warns when fewer are announced. A service that is `routed_only` is
-    reached by routes alone, which bring their own rules. `health_path` empty means that its
-    upstreams offer none. `near_first` has each node call upstreams of its own data centre unless
-    they would answer late. `warm_up` is None where upstreams need none.
+    `upstreams` holds shell-style patterns for upstream names. `needed_upstreams` is the number of
+    upstreams that operators rely on; a plan warns if fewer are announced. A `routed_only` service
+    is reached only by routes, which have their own rules. An empty `health_path` means that its
+    upstreams have no health path. With `near_first`, each node calls upstreams of its own data
+    centre unless they would answer late. `warm_up` is None if upstreams need no warm-up.
     """
 
     name: str
@@ -95,14 +95,14 @@
     warm_up: WarmUpRule | None = None
 
 
-# RFC 9110, section 9.2.2: the methods whose repetition has the effect of a single request.
+# RFC 9110, section 9.2.2: repeated requests with these methods have the effect of a single one.
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
-_ANY_IDEMPOTENT = Rule(path="*")
-_ANY_OTHER = Rule(path="*", repeat=Repeat.NEVER)
+_DEFAULT_IDEMPOTENT_RULE = Rule(path="*")
+_DEFAULT_OTHER_RULE = Rule(path="*", repeat=Repeat.NEVER)
 
 
 def find_rule(service: Service, method: str, path: str) -> Rule:
-    """Return the first rule that matches, else the default of the method.
+    """Return the first rule that matches, or else the default rule of the method.
 
     >>> find_rule(Service("emisor", ("*",)), "POST", "/issue").repeat
     <Repeat.NEVER: 'never'>
@@ -111,9 +111,9 @@
         is_method = not rule.methods or method in rule.methods
         if is_method and fnmatch.fnmatchcase(path, rule.path):
             return rule
-    return _ANY_IDEMPOTENT if method in _IDEMPOTENT_METHODS else _ANY_OTHER
+    return _DEFAULT_IDEMPOTENT_RULE if method in _IDEMPOTENT_METHODS else _DEFAULT_OTHER_RULE
 
 
 def may_serve(service: Service, upstream: str) -> bool:
-    """Tell whether the service's patterns admit an upstream of this name."""
+    """Return whether the name of an upstream matches one of the service's patterns."""
     return any(fnmatch.fnmatchcase(upstream, pattern) for pattern in service.upstreams)
--- a/packages/bendwind-core/src/bendwind_core/world/upstream.py
+++ b/packages/bendwind-core/src/bendwind_core/world/upstream.py
@@ -7,7 +7,7 @@
 
 
 class UpstreamState(enum.StrEnum):
-    """Say whether an upstream takes new requests."""
+    """Define whether an upstream accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -19,7 +19,7 @@
 
     `sequence` orders the announcements of one owner incarnation: the highest is the newest.
     Units: `born_ms` is when the upstream started, in milliseconds since 1970 on its own clock, 0
-    where it does not tell; it tells apart two runs under one name.
+    if the upstream does not report it; it distinguishes two runs with the same name.
     """
 
     name: str
@@ -33,13 +33,14 @@
 
 
 class LoadSample(Record, frozen=True, array_like=True):
-    """Report an upstream's load as its owner node counted it.
-
-    `is_leaving` says that the upstream is to get nothing more, by its own word.
-    Units: `latency_ms` is the moving average service time in milliseconds; `room_wait_ms` is how
-    long a further request would wait for its turn at an upstream that is cold or has named a limit,
-    0 at others, and `wait_ms` how long until it would start at the usual pace. `limit_per_s` is the
-    limit that it named, in requests a second, infinite once that has ended, None before.
+    """Report an upstream's load as counted by its owner node.
+
+    `is_leaving` means that the upstream has announced that it accepts no further requests.
+    Units: `latency_ms` is the moving average of the service time in milliseconds. `room_wait_ms` is
+    how long a further request would wait until an upstream that is cold or has announced a rate
+    limit could accept it, 0 for other upstreams. `wait_ms` is the time until the request would
+    start at the usual pace. `limit_per_s` is the announced rate limit in requests per second,
+    infinite after the limit has ended and None before one was announced.
     """
 
     in_flight: int
