--- a/packages/bendwind-core/src/bendwind_core/customers/tests/test_table.py
+++ b/packages/bendwind-core/src/bendwind_core/customers/tests/test_table.py
@@ -18,16 +18,16 @@
             [make_customer("norte", b"k1", b"k2"), make_customer("sul", b"k3")]
         )
 
-    def test_each_key_names_its_customer_and_others_nobody(self):
+    def test_each_key_identifies_its_customer_and_other_keys_none(self):
         self.assertEqual([self.find(key) for key in (b"k1", b"k2", b"k3")], ["norte"] * 2 + ["sul"])
         self.assertEqual([self.find(key) for key in (b"k4", b"", b"norte")], [None] * 3)
 
-    def test_withdrawn_keys_are_unknown_at_once(self):
+    def test_withdrawn_keys_are_unknown_immediately(self):
         change_customers(self.table, [make_customer("norte", b"k2")], ["sul"])
         self.assertEqual([self.find(key) for key in (b"k1", b"k2", b"k3")], [None, "norte", None])
         self.assertEqual((list(self.table.by_name), len(self.table.by_key)), (["norte"], 1))
 
-    def test_key_that_changes_hands_keeps_its_new_holder_in_whatever_order(self):
+    def test_key_that_moves_belongs_to_its_new_customer_in_any_order_of_changes(self):
         changed = [make_customer("norte", b"k3"), make_customer("sul", b"k1")]
         for order in (changed, changed[::-1]):
             self.setUp()
@@ -36,7 +36,7 @@
                 [self.find(key) for key in (b"k1", b"k2", b"k3")], ["sul", None, "norte"]
             )
 
-    def test_key_of_a_removed_customer_may_go_to_another_in_the_same_change(self):
+    def test_key_of_a_removed_customer_may_move_to_another_in_the_same_change(self):
         change_customers(self.table, [make_customer("norte", b"k3")], ["sul"])
         self.assertEqual(self.find(b"k3"), "norte")
 
--- a/packages/bendwind-core/src/bendwind_core/routing/tests/test_notices.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/tests/test_notices.py
@@ -14,9 +14,9 @@
 class NoticesTest(unittest.TestCase):
     def setUp(self):
         self.table = create_upstream_table("s")
-        self.list(make_upstream())
+        self.announce(make_upstream())
 
-    def list(self, *upstreams):
+    def announce(self, *upstreams):
         set_upstreams(self.table, upstreams, 100.0)
 
     def report(self, name="u", **more):
@@ -25,48 +25,48 @@
     def find(self, upstream):
         return find_rate_limit(self.table.notices, upstream)
 
-    def test_limit_outlasts_the_node_beside_its_upstream(self):
+    def test_limit_survives_a_restart_of_the_owner_node(self):
         self.report(limit_per_s=5.0)
-        self.list()
-        self.list(make_upstream(incarnation=2))
+        self.announce()
+        self.announce(make_upstream(incarnation=2))
         self.assertEqual(self.find(make_upstream(incarnation=2)), 5.0)
 
-    def test_owner_that_knows_nothing_ends_no_limit_and_one_that_knows_does(self):
+    def test_report_without_limit_keeps_the_limit_and_infinite_limit_ends_it(self):
         self.report(limit_per_s=5.0)
         self.report()
         self.assertEqual(self.find(make_upstream()), 5.0)
         self.report(limit_per_s=math.inf)
         self.assertIsNone(self.find(make_upstream()))
 
-    def test_another_run_is_not_held_to_the_word_of_the_one_before(self):
-        self.list(make_upstream(born_ms=7))
+    def test_notices_of_the_previous_run_do_not_apply_to_a_new_run(self):
+        self.announce(make_upstream(born_ms=7))
         self.report(limit_per_s=5.0, is_leaving=True)
-        self.list(make_upstream(born_ms=8))
+        self.announce(make_upstream(born_ms=8))
         self.assertIsNone(self.find(make_upstream(born_ms=8)))
         self.assertFalse(self.table.upstreams["u"].is_draining)
 
-    def test_run_whose_birth_is_told_is_another_than_one_whose_birth_never_was(self):
+    def test_run_with_known_start_time_differs_from_run_without_one(self):
         self.report(limit_per_s=5.0, is_leaving=True)
         self.assertEqual(self.find(make_upstream()), 5.0)
         self.assertIsNone(self.find(make_upstream(born_ms=8)))
 
-    def test_listing_that_does_not_tell_the_birth_is_of_the_run_that_was_known(self):
-        self.list(make_upstream(born_ms=7))
+    def test_listing_without_start_time_refers_to_the_known_run(self):
+        self.announce(make_upstream(born_ms=7))
         self.report(limit_per_s=5.0)
-        self.list(make_upstream(incarnation=2))
+        self.announce(make_upstream(incarnation=2))
         self.assertEqual(self.find(make_upstream(incarnation=2)), 5.0)
 
-    def test_upstream_that_said_it_leaves_is_not_used_whoever_lists_it_as_ready(self):
+    def test_leaving_upstream_is_not_used_even_if_an_owner_lists_it_as_ready(self):
         self.report(is_leaving=True)
-        self.list()
-        self.list(make_upstream(incarnation=2))
+        self.announce()
+        self.announce(make_upstream(incarnation=2))
         self.assertTrue(self.table.upstreams["u"].is_draining)
         self.report()
         self.assertTrue(self.table.upstreams["u"].is_draining)
 
-    def test_what_is_remembered_is_bounded(self):
+    def test_number_of_stored_notices_is_bounded(self):
         for number in range(2 * MAX_NOTICES):
-            self.list(make_upstream(f"u{number}"))
+            self.announce(make_upstream(f"u{number}"))
             self.report(f"u{number}", limit_per_s=5.0)
         self.assertEqual(len(self.table.notices), MAX_NOTICES)
 
--- a/packages/bendwind-core/src/bendwind_core/routing/tests/test_route_table.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/tests/test_route_table.py
@@ -31,11 +31,11 @@
         for path, name in cases.items():
             self.assertEqual(find_route(table, "a.example", path).name, name, path)
 
-    def test_root_takes_what_no_other_prefix_begins(self):
+    def test_root_matches_paths_without_another_prefix(self):
         table = make_table(make_route("root", "/"), make_route("a", "/a/"))
         self.assertEqual(find_route(table, "a.example", "/b").name, "root")
 
-    def test_nothing_is_found_for_other_hosts_and_paths(self):
+    def test_no_route_is_found_for_other_hosts_and_paths(self):
         table = make_table(make_route("a", "/a/"))
         for host, path in (("b.example", "/a/"), ("a.example", "/a"), ("a.example", "*")):
             self.assertIsNone(find_route(table, host, path))
@@ -46,7 +46,7 @@
 
 
 class ChoosePartTest(unittest.TestCase):
-    def test_any_hundred_requests_are_split_close_to_the_weights(self):
+    def test_each_hundred_requests_are_split_close_to_the_weights(self):
         parts = (SplitPart("x", 90), SplitPart("y", 10), SplitPart("z", 0))
         route = make_route("a", "/a/", parts)
         for seed in range(20):
@@ -56,7 +56,7 @@
             self.assertAlmostEqual(counts["y"], 10, delta=2)
             self.assertEqual(counts["z"], 0)
 
-    def test_a_change_of_other_routes_moves_no_split_back(self):
+    def test_change_of_other_routes_does_not_reset_a_split(self):
         route = make_route("a", "/a/", (SplitPart("x"), SplitPart("y")))
         table = make_table(route)
         choose_part(table, route, random.Random(1))
--- a/packages/bendwind-core/src/bendwind_core/routing/tests/test_subset.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/tests/test_subset.py
@@ -20,7 +20,7 @@
 
 class TestChooseSubset(unittest.TestCase):
     @given(st.dictionaries(st.integers(0, 60), STATES, max_size=40), st.sampled_from("abc"))
-    def test_holds_as_many_usable_upstreams_as_it_may(self, states, node):
+    def test_contains_usable_upstreams_up_to_the_subset_size(self, states, node):
         upstreams = [make_upstream(number, state) for number, state in states.items()]
         chosen = choose_subset(node, "dc0", upstreams)
         self.assertEqual(len(set(chosen)), len(chosen))
@@ -31,7 +31,7 @@
         self.assertLessEqual(len(chosen), SUBSET_SIZE)
 
     @given(NUMBERS, st.integers(0, 60))
-    def test_one_upstream_less_changes_one_place_at_most(self, numbers, gone):
+    def test_removing_one_upstream_changes_at_most_one_member(self, numbers, gone):
         before = set(choose_subset("a", "dc0", [make_upstream(n) for n in numbers]))
         after = set(choose_subset("a", "dc0", [make_upstream(n) for n in numbers - {gone}]))
         self.assertLessEqual(len(after - before), 1)
@@ -43,7 +43,7 @@
         counts = [used.count(upstream.name) for upstream in upstreams]
         self.assertGreater(min(counts), 0.5 * len(used) / 23)
 
-    def test_prefers_the_own_data_centre_for_half(self):
+    def test_at_least_half_is_from_the_own_data_centre(self):
         chosen = choose_subset("a", "dc1", [make_upstream(number) for number in range(40)])
         near = [upstream for upstream in chosen if upstream.owner.data_centre == "dc1"]
         self.assertGreaterEqual(len(near), SUBSET_SIZE // 2)
--- a/packages/bendwind-core/src/bendwind_core/suspicion/tests/test_signature.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/tests/test_signature.py
@@ -6,12 +6,12 @@
 
 
 class SignatureTest(unittest.TestCase):
-    def test_same_request_by_another_try_is_told(self):
+    def test_retry_of_a_request_has_the_same_signature(self):
         first = compute_signature("POST", b"/a", (HOST, (b"request-id", b"1")), b"x")
         again = compute_signature("POST", b"/a", ((b"request-id", b"2"), HOST), b"x")
         self.assertEqual(first, again)
 
-    def test_whatever_makes_it_another_request_tells_it_apart(self):
+    def test_different_requests_have_different_signatures(self):
         one = compute_signature("POST", b"/a", (HOST, (b"cookie", b"c=1")), b"x")
         others = {
             compute_signature("PUT", b"/a", (HOST, (b"cookie", b"c=1")), b"x"),
@@ -27,7 +27,7 @@
         self.assertEqual(len(others), 7)
         self.assertNotIn(one, others)
 
-    def test_customer_stands_for_what_its_callers_say_of_themselves(self):
+    def test_customer_replaces_the_identity_headers_of_its_callers(self):
         def sign(customer, *headers, host=HOST):
             return compute_signature("POST", b"/a", (host, *headers), b"x", customer)
 
--- a/packages/bendwind-core/src/bendwind_core/suspicion/tests/test_table.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/tests/test_table.py
@@ -38,72 +38,74 @@
 
 
 class TableTest(unittest.TestCase):
-    """Follow the table of the node n1, and of others that it tells."""
+    """Test the table of the node n1, and of other nodes to which it reports."""
 
     def setUp(self):
         self.table = SuspectTable("n1", LIMITS)
         self.now = 0.0
 
-    def end(self, number, signature=POISON, owner="n1", table=None, *, is_served=False):
+    def record_end(self, number, signature=POISON, owner="n1", table=None, *, is_served=False):
         end_id = UpstreamEndId(owner, 1, f"u-{owner}", number)
         table = table or self.table
         record_end(table, signature, "s", end_id, self.now, is_served=is_served)
 
-    def judge(self, signature=POISON, table=None):
+    def find_restriction(self, signature=POISON, table=None):
         return find_restriction(table or self.table, signature, self.now)
 
-    def test_request_runs_beside_few_suspects_after_two_ends_and_not_after_three(self):
-        judgements = []
+    def test_request_is_isolated_after_two_ends_and_quarantined_after_three(self):
+        restrictions = []
         for number in range(3):
-            self.end(number)
-            judgements.append(self.judge())
-        self.assertEqual(judgements, [Unrestricted(), ISOLATED, Quarantined(5000.0)])
+            self.record_end(number)
+            restrictions.append(self.find_restriction())
+        self.assertEqual(restrictions, [Unrestricted(), ISOLATED, Quarantined(5000.0)])
 
-    def test_one_end_counts_once_however_many_of_the_same_request_it_ended_under(self):
+    def test_one_end_counts_once_even_if_several_attempts_of_the_request_ran(self):
         for _ in range(5):
-            self.end(1)
-        self.assertEqual(self.judge(), Unrestricted())
+            self.record_end(1)
+        self.assertEqual(self.find_restriction(), Unrestricted())
 
     def test_another_request_is_not_suspected(self):
         for number in range(5):
-            self.end(number)
-        self.assertEqual(self.judge(b"harmless"), Unrestricted())
+            self.record_end(number)
+        self.assertEqual(self.find_restriction(b"harmless"), Unrestricted())
 
-    def test_answer_clears_and_what_was_told_before_is_over(self):
+    def test_answer_clears_the_request_and_makes_earlier_reports_obsolete(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         before = find_report(self.table, POISON, self.now)
         self.assertTrue(clear_suspect(self.table, POISON, self.now))
-        self.assertEqual(self.judge(), Unrestricted())
+        self.assertEqual(self.find_restriction(), Unrestricted())
         self.assertFalse(merge_report(self.table, before, self.now))
-        self.assertEqual(self.judge(), Unrestricted())
+        self.assertEqual(self.find_restriction(), Unrestricted())
         self.assertFalse(clear_suspect(self.table, POISON, self.now))
 
-    def test_trials_come_ever_later_and_one_at_a_time(self):
+    def test_time_between_trials_grows_and_trials_run_one_at_a_time(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         waits = []
         for number in range(3, 6):
-            waits.append(self.judge().wait_ms / MILLISECONDS_PER_SECOND)
+            waits.append(self.find_restriction().wait_ms / MILLISECONDS_PER_SECOND)
             self.now += waits[-1]
-            self.assertEqual(self.judge(), TRIAL)
+            self.assertEqual(self.find_restriction(), TRIAL)
             record_trial(self.table, POISON, self.now)
-            self.assertEqual(self.judge(), Quarantined(TRIAL_RETRY_DELAY * MILLISECONDS_PER_SECOND))
-            self.end(number)
+            self.assertEqual(
+                self.find_restriction(), Quarantined(TRIAL_RETRY_DELAY * MILLISECONDS_PER_SECOND)
+            )
+            self.record_end(number)
         self.assertEqual(waits, [5.0, 40.0, 320.0])
 
-    def test_trial_that_never_started_is_made_again(self):
+    def test_trial_that_never_started_is_repeated(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         self.now = 5.0
-        self.assertEqual(self.judge(), TRIAL)
+        self.assertEqual(self.find_restriction(), TRIAL)
         record_trial(self.table, POISON, self.now)
         self.now += TRIAL_RETRY_DELAY
-        self.assertEqual(self.judge(), TRIAL)
+        self.assertEqual(self.find_restriction(), TRIAL)
 
-    def test_others_try_only_where_the_last_owner_does_not_and_not_all_at_once(self):
+    def test_other_nodes_try_later_than_the_last_owner_and_at_different_times(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         report = find_report(self.table, POISON, self.now)
         trials = []
         for index in range(20):
@@ -117,30 +119,30 @@
         self.assertTrue(all(first <= trial <= last for trial in trials))
         self.assertGreater(len({round(trial) for trial in trials}), 10)
 
-    def test_suspicion_ends(self):
+    def test_suspicion_expires(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         self.now = LIMITS.keep + 6.0
-        self.assertEqual(self.judge(), Unrestricted())
+        self.assertEqual(self.find_restriction(), Unrestricted())
         self.assertIsNone(self.table.suspects[POISON].tried_at)
 
-    def test_two_nodes_that_saw_some_ends_each_know_all_of_them_once_they_have_told(self):
+    def test_two_nodes_know_all_ends_after_exchanging_reports(self):
         other = SuspectTable("n2", LIMITS)
-        self.end(1)
+        self.record_end(1)
         self.now = 1.0
-        self.end(1, owner="n2", table=other)
-        self.end(2, owner="n2", table=other)
+        self.record_end(1, owner="n2", table=other)
+        self.record_end(2, owner="n2", table=other)
         for report in pop_unreported(other, self.now):
             self.assertTrue(merge_and_queue_report(self.table, report, self.now))
         for report in pop_unreported(self.table, self.now):
             merge_report(other, report, self.now)
         for table in (self.table, other):
-            self.assertIsInstance(self.judge(table=table), Quarantined)
+            self.assertIsInstance(self.find_restriction(table=table), Quarantined)
 
-    def test_end_does_not_grow_younger_by_being_told_to_and_fro(self):
+    def test_age_of_an_end_is_not_reduced_by_repeated_exchange_of_reports(self):
         other = SuspectTable("n2", LIMITS)
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         report = find_report(self.table, POISON, self.now)
         for _ in range(10):
             self.now += 1.0
@@ -150,9 +152,9 @@
             report = find_report(self.table, POISON, self.now)
         self.assertEqual(self.table.suspects[POISON].last.at, 0.0)
 
-    def test_what_was_heard_before_is_no_news(self):
+    def test_report_that_was_merged_before_is_not_new(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         other = SuspectTable("n2", LIMITS)
         report = find_report(self.table, POISON, self.now)
         self.assertTrue(merge_and_queue_report(other, report, self.now))
@@ -160,36 +162,36 @@
         self.assertFalse(merge_and_queue_report(other, report, self.now + 1.0))
         self.assertEqual(list_unreported(other, self.now), ())
 
-    def test_ends_at_one_moment_speak_once_against_what_was_served_shortly_before(self):
-        """Replay a loss of power: one popular request ran at each of four upstreams."""
+    def test_simultaneous_ends_are_excused_for_a_request_served_shortly_before(self):
+        """Simulate a power loss: one popular request ran at each of four upstreams."""
         for owner in ("n1", "n2", "n3", "n4"):
-            self.end(1, owner=owner, is_served=True)
+            self.record_end(1, owner=owner, is_served=True)
             self.now += 0.1
-        self.assertEqual(self.judge(), Unrestricted())
+        self.assertEqual(self.find_restriction(), Unrestricted())
 
-    def test_request_that_was_served_and_ends_upstreams_from_then_on_is_found_out(self):
+    def test_request_that_was_served_and_then_ends_upstreams_is_quarantined(self):
         for owner in ("n1", "n2", "n3", "n4"):
-            self.end(1, owner=owner, is_served=True)
+            self.record_end(1, owner=owner, is_served=True)
             self.now += COMMON_CAUSE_WINDOW + 0.5
-        self.assertIsInstance(self.judge(), Quarantined)
+        self.assertIsInstance(self.find_restriction(), Quarantined)
 
-    def test_request_that_waits_is_withheld_once_three_upstreams_ended_under_it(self):
+    def test_waiting_request_is_withheld_after_three_upstreams_ended_under_it(self):
         for number in range(2):
-            self.end(number)
+            self.record_end(number)
         self.assertFalse(is_withheld(self.table, POISON, self.now))
-        self.end(2)
+        self.record_end(2)
         self.assertTrue(is_withheld(self.table, POISON, self.now))
         self.now = 5.0
         record_trial(self.table, POISON, self.now)
         self.assertFalse(is_withheld(self.table, POISON, self.now))
 
-    def test_memory_is_bounded_and_what_has_consequences_stays(self):
+    def test_memory_is_bounded_and_restricted_suspects_are_kept(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         for index in range(3 * MAX_SUSPECTS):
-            self.end(9, str(index).encode())
+            self.record_end(9, str(index).encode())
         for number in range(3, 3 * MAX_ENDS):
-            self.end(number)
+            self.record_end(number)
         self.assertLessEqual(len(self.table.suspects), MAX_SUSPECTS)
         self.assertLessEqual(len(self.table.unreported), MAX_SUSPECTS)
         self.assertEqual(len(self.table.suspects[POISON].ends), MAX_ENDS)
@@ -197,15 +199,15 @@
             [report.signature for report in list_restricted(self.table, 0.0)], [POISON]
         )
 
-    def test_request_that_was_cleared_is_suspected_anew_from_the_first_end_on(self):
+    def test_ends_of_a_cleared_request_are_counted_from_zero(self):
         for number in range(3):
-            self.end(number)
+            self.record_end(number)
         clear_suspect(self.table, POISON, self.now)
-        self.end(7)
-        self.assertEqual(self.judge(), Unrestricted())
-        self.end(8)
-        self.end(9)
-        self.assertIsInstance(self.judge(), Quarantined)
+        self.record_end(7)
+        self.assertEqual(self.find_restriction(), Unrestricted())
+        self.record_end(8)
+        self.record_end(9)
+        self.assertIsInstance(self.find_restriction(), Quarantined)
 
 
 if __name__ == "__main__":
