--- a/packages/bendwind-core/src/bendwind_core/routing/choice.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/choice.py
@@ -9,7 +9,7 @@
 
 # Power of d choices: the scores of this many randomly sampled upstreams are compared.
 SAMPLE_SIZE = 4
-# The median of the upstreams' average latencies is recomputed at most this often.
+# The median of the upstreams' average latencies is recomputed when it is older than this.
 MEDIAN_REFRESH: Seconds = 0.010
 # A retry avoids an upstream whose queue was full less than this time ago: in overload such a retry
 # only adds work.
