--- a/packages/bendwind-bench/src/bendwind_bench/emulator/callers.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/callers.py
@@ -163,7 +163,7 @@
         def hear(outcome: Outcome) -> None:
             if isinstance(outcome, Refused):
                 self.world.tally.inner_refused += 1
-                node.owner.feed(ov.CallRefused())
+                node.owner.feed(ov.UpstreamCallRefused())
             done(isinstance(outcome, Answered) and outcome.status < _FAILED_STATUS)
 
         self.world.tally.calls += 1
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
@@ -99,7 +99,7 @@
 
     def find_run_rank(self) -> float | None:
         """Return the most urgent rank of what runs, None where nothing does."""
-        return min((run.own_rank for run in self.owner_state.running.values()), default=None)
+        return min((run.effective_rank for run in self.owner_state.running.values()), default=None)
 
     def announce(self, state: UpstreamState = UpstreamState.READY) -> None:
         """Have the owner hear the upstream's announcement and its answer on the health path."""
@@ -115,11 +115,11 @@
     def _hear_health(self, asked_at: Seconds) -> None:
         if self.upstream.is_down:
             return
-        self.feed(ov.WarmUpTold(self.upstream.warm_up_left_ms, asked_at))
+        self.feed(ov.WarmUpReported(self.upstream.warm_up_left_ms, asked_at))
         if self.is_reporting:
             self.feed(ov.LoadReported(self.upstream.find_factor()))
         else:
-            self.feed(ov.LoadNotReported(may_ask=False))
+            self.feed(ov.LoadNotReported(has_load_endpoint=False))
 
     def feed(self, event: ov.OwnerEvent) -> None:
         """Apply an event and carry out what the owner decides."""
@@ -143,7 +143,7 @@
                 self.agenda.after(NEAR, lambda: self._connect(hand_over, expires_at))
             case ov.CancelDispatch(attempt=attempt):
                 self._drop(attempt, CutReason.CANCELLED)
-            case ov.AskLoad():
+            case ov.QueryLoad():
                 self.ask()
             case ov.CheckUpstream():
                 self.agenda.after(NEAR, lambda: self._check())
@@ -173,8 +173,8 @@
     def take_back(self) -> None:
         """Use the upstream again after a new start or an evacuation; it may be cold."""
         self.is_unreachable = False
-        self.feed(ov.UpstreamReached())
-        self.feed(ov.ColdAssumed())
+        self.feed(ov.UpstreamReachable())
+        self.feed(ov.UpstreamAssumedCold())
         self.announce()
         self.beside.tell_all()
 
@@ -227,11 +227,11 @@
         limit = self.owner_state.rate_limit
         per_second = self.upstream.limit.per_second
         if per_second is not None:
-            self.feed(ov.LimitNamed(per_second, sent_at))
+            self.feed(ov.RateLimitReported(per_second, sent_at))
         elif limit.per_second is not None or not limit.is_heard:
-            self.feed(ov.LimitNotNamed(sent_at))
+            self.feed(ov.RateLimitNotReported(sent_at))
         if self.upstream.is_leaving and not self.owner_state.is_leaving:
-            self.feed(ov.LeavingSaid())
+            self.feed(ov.LeavingReported())
             self.beside.tell_all()
 
     def _drop(self, attempt: AttemptId, reason: CutReason) -> None:
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/waiting.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/waiting.py
@@ -3,7 +3,7 @@
 import collections
 
 from bendwind_bench.emulator.interfaces import Instance, Site
-from bendwind_core.attempts.owner_state import is_open
+from bendwind_core.attempts.owner_state import is_accepting
 from bendwind_core.core import Seconds
 
 # Waits are measured to this; a fourth of the shortest that counts, and cheap beside the calls.
@@ -58,7 +58,7 @@
         return False
     owner_state = node.owner.owner_state
     has_slot = len(owner_state.running) < owner_state.run_limit and not owner_state.waiting
-    return has_slot and is_open(owner_state) and node.upstream.find_factor() <= 1.0
+    return has_slot and is_accepting(owner_state) and node.upstream.find_factor() <= 1.0
 
 
 __all__ = ["LOOK_EVERY", "SHORT", "WaitWatch", "is_free"]
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
@@ -224,7 +224,7 @@
                 continue
             if evacuated:
                 node.owner.announce(UpstreamState.DRAINING)
-                node.owner.feed(ov.WaitingWithdrawn())
+                node.owner.feed(ov.QueueWithdrawn())
             else:
                 node.upstream.turn_cold()
                 node.owner.take_back()
--- a/packages/bendwind-core/src/bendwind_core/attempts/admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/admission.py
@@ -11,7 +11,7 @@
 
 from bendwind_core.attempts import pace as paces
 from bendwind_core.attempts.messages import HandOver, NotRunReason
-from bendwind_core.attempts.owner_events import AskLoad, OwnerEffect
+from bendwind_core.attempts.owner_events import OwnerEffect, QueryLoad
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt
 from bendwind_core.attempts.precedence import (
     find_slot_kept_until,
@@ -48,7 +48,7 @@
     if not has_room(owner_state, now, find_slots(owner_state, queued, now)):
         return False
     return not owner_state.queue.size and not urgency_queue.has_as_urgent(
-        owner_state.timed, queued.rank
+        owner_state.timed_queue, queued.queue_rank
     )
 
 
@@ -63,15 +63,15 @@
 
 def _may_ask(owner_state: OwnerState) -> bool:
     """Tell whether the upstream may be asked for its load: a question counts for its limit too."""
-    return owner_state.may_ask and owner_state.rate_limit.per_second is None
+    return owner_state.has_load_endpoint and owner_state.rate_limit.per_second is None
 
 
 def _ask(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
     """Ask the upstream for its load, unless it was asked a moment ago."""
-    if owner_state.asked_at is not None and now < owner_state.asked_at + ASK_EVERY:
+    if owner_state.load_queried_at is not None and now < owner_state.load_queried_at + ASK_EVERY:
         return
-    owner_state.asked_at = now
-    effects.append(AskLoad())
+    owner_state.load_queried_at = now
+    effects.append(QueryLoad())
 
 
 def find_start_wait_ms(
@@ -93,7 +93,9 @@
     """
     hand_over = queued.hand_over
     is_free = has_room(owner_state, now, find_slots(owner_state, queued, now))
-    is_free = is_free and not urgency_queue.has_as_urgent(owner_state.timed, queued.rank)
+    is_free = is_free and not urgency_queue.has_as_urgent(
+        owner_state.timed_queue, queued.queue_rank
+    )
     if is_free and (hand_over.insist or _is_late_anyway(owner_state, hand_over, now)):
         return None
     expected_ms = find_expected_ms(owner_state, hand_over.route, now)
@@ -197,9 +199,12 @@
 
 
 def _is_unanswered(owner_state: OwnerState, now: Seconds) -> bool:
-    if owner_state.asked_at is None or owner_state.asked_at <= owner_state.pace.reported_at:
+    if (
+        owner_state.load_queried_at is None
+        or owner_state.load_queried_at <= owner_state.pace.reported_at
+    ):
         return False
-    return now >= owner_state.asked_at + ASK_TIMEOUT
+    return now >= owner_state.load_queried_at + ASK_TIMEOUT
 
 
 def take_startable(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
@@ -207,7 +212,7 @@
     for queued in list_in_turn(owner_state, now):
         has_place = has_room(owner_state, now, find_slots(owner_state, queued, now))
         if has_place and may_start(owner_state, queued, now):
-            urgency_queue.remove(owner_state.timed, queued)
+            urgency_queue.remove(owner_state.timed_queue, queued)
             return queued
     return None
 
@@ -224,7 +229,7 @@
     """List what waits though it has a slot."""
     return [
         entry.item
-        for entry in owner_state.timed.entries
+        for entry in owner_state.timed_queue.entries
         if has_room(owner_state, now, find_slots(owner_state, entry.item, now))
     ]
 
@@ -242,10 +247,10 @@
         return None
     if paces.is_slow(owner_state.pace, now):
         return min(paces.find_phase_end(owner_state.pace), *(queued.due_at for queued in held))
-    if owner_state.asked_at is None:
+    if owner_state.load_queried_at is None:
         return now
-    is_waiting = now < owner_state.asked_at + ASK_TIMEOUT
-    return owner_state.asked_at + (ASK_TIMEOUT if is_waiting else ASK_EVERY)
+    is_waiting = now < owner_state.load_queried_at + ASK_TIMEOUT
+    return owner_state.load_queried_at + (ASK_TIMEOUT if is_waiting else ASK_EVERY)
 
 
 def _find_next_lending(owner_state: OwnerState, now: Seconds) -> Seconds | None:
@@ -253,7 +258,7 @@
     if not has_room(owner_state, now):
         return None
     kept_until = [
-        find_slot_kept_until(owner_state, entry.item) for entry in owner_state.timed.entries
+        find_slot_kept_until(owner_state, entry.item) for entry in owner_state.timed_queue.entries
     ]
     return min((until for until in kept_until if until > now), default=None)
 
@@ -276,12 +281,14 @@
 
     It is better given back at once, while there is time to try elsewhere.
     """
-    if not urgency_queue.has_less_urgent(owner_state.timed, newcomer.rank):
+    if not urgency_queue.has_less_urgent(owner_state.timed_queue, newcomer.queue_rank):
         return []
     hopeless: list[QueuedAttempt] = []
     ahead: list[QueuedAttempt] = []
     for queued in list_in_turn(owner_state, now):
-        if queued.rank > newcomer.rank and _is_hopeless(owner_state, queued, ahead, now):
+        if queued.queue_rank > newcomer.queue_rank and _is_hopeless(
+            owner_state, queued, ahead, now
+        ):
             hopeless.append(queued)
         else:
             ahead.append(queued)
@@ -294,14 +301,14 @@
     wait_ms = _find_wait_behind_ms(
         owner_state, ahead, max(1, find_slots(owner_state, queued, now)), now
     )
-    return now + wait_ms / MILLISECONDS_PER_SECOND > queued.leaves_at
+    return now + wait_ms / MILLISECONDS_PER_SECOND > queued.refuse_at
 
 
 def _find_wait_behind_ms(
     owner_state: OwnerState, ahead: list[QueuedAttempt], slots: int, now: Seconds
 ) -> Milliseconds:
     ahead_ms = sum(_find_lasting_ms(owner_state, queued.hand_over.route) for queued in ahead)
-    ahead_ms += owner_state.queue.size * owner_state.times.average_ms
+    ahead_ms += owner_state.queue.size * owner_state.service_times.average_ms
     rests = [
         find_run_rest_ms(owner_state, running, now) for running in owner_state.running.values()
     ]
--- a/packages/bendwind-core/src/bendwind_core/attempts/attempt_log.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/attempt_log.py
@@ -13,7 +13,7 @@
 from bendwind_core.attempts.messages import AttemptId
 
 
-class Fate(enum.Enum):
+class ExecutionState(enum.Enum):
     """Say what became of an attempt at its owner node."""
 
     QUEUED = "queued"
@@ -25,7 +25,7 @@
 class EntryPeer(msgspec.Struct):
     """Hold what is known of one entry node.
 
-    `fence_floor` covers what was dropped while the entry node itself had been dropped.
+    `fence_floor` covers what was dropped while the entry node itself had been evicted.
     """
 
     incarnation: int
@@ -39,16 +39,18 @@
 
     capacity: int
     peer_capacity: int
-    fates: dict[AttemptId, Fate] = msgspec.field(default_factory=dict)
+    states: dict[AttemptId, ExecutionState] = msgspec.field(default_factory=dict)
     ended: collections.deque[AttemptId] = msgspec.field(default_factory=collections.deque)
     peers: collections.OrderedDict[str, EntryPeer] = msgspec.field(
         default_factory=collections.OrderedDict
     )
-    has_dropped_peers: bool = False
-    lost_floor: int = 0
+    has_evicted_peers: bool = False
+    evicted_floor: int = 0
 
 
-def meet_peer(log: AttemptLog, entry: str, incarnation: int, floor: int) -> EntryPeer | None:
+def find_or_create_peer(
+    log: AttemptLog, entry: str, incarnation: int, floor: int
+) -> EntryPeer | None:
     """Return the entry node's record, made or renewed; None for a run before its latest.
 
     `floor` is the floor of a new record where one may have been dropped before.
@@ -58,37 +60,37 @@
         return peer
     if peer is not None and peer.incarnation > incarnation:
         return None
-    known_new = peer is not None or not log.has_dropped_peers
-    peer = EntryPeer(incarnation, floor=0 if known_new else floor, fence_floor=log.lost_floor)
+    is_known_new = peer is not None or not log.has_evicted_peers
+    peer = EntryPeer(incarnation, floor=0 if is_known_new else floor, fence_floor=log.evicted_floor)
     log.peers[entry] = peer
     log.peers.move_to_end(entry)
     if len(log.peers) > log.peer_capacity:
-        _, dropped = log.peers.popitem(last=False)
-        log.lost_floor = max(log.lost_floor, dropped.floor, dropped.fence_floor)
-        log.has_dropped_peers = True
+        _, evicted = log.peers.popitem(last=False)
+        log.evicted_floor = max(log.evicted_floor, evicted.floor, evicted.fence_floor)
+        log.has_evicted_peers = True
     return peer
 
 
-def record_live(log: AttemptLog, attempt: AttemptId, fate: Fate) -> None:
+def record_live(log: AttemptLog, attempt: AttemptId, state: ExecutionState) -> None:
     """Note that an attempt is queued or running."""
-    log.fates[attempt] = fate
+    log.states[attempt] = state
 
 
-def record_ended(log: AttemptLog, attempt: AttemptId, fate: Fate) -> None:
+def record_ended(log: AttemptLog, attempt: AttemptId, state: ExecutionState) -> None:
     """Note the last fate of an attempt, and drop the oldest ended one if there are too many."""
-    before = log.fates.get(attempt)
-    log.fates[attempt] = fate
-    if before not in (Fate.ENDED, Fate.NEVER_STARTED):
+    before = log.states.get(attempt)
+    log.states[attempt] = state
+    if before not in (ExecutionState.ENDED, ExecutionState.NEVER_STARTED):
         log.ended.append(attempt)
     if len(log.ended) > log.capacity:
-        _drop_oldest(log)
+        _evict_oldest(log)
 
 
-def _drop_oldest(log: AttemptLog) -> None:
+def _evict_oldest(log: AttemptLog) -> None:
     oldest = log.ended.popleft()
-    del log.fates[oldest]
+    del log.states[oldest]
     peer = log.peers.get(oldest.entry)
     if peer is not None and peer.incarnation == oldest.incarnation:
         peer.floor = max(peer.floor, oldest.sequence)
     elif peer is None or peer.incarnation < oldest.incarnation:
-        log.lost_floor = max(log.lost_floor, oldest.sequence)
+        log.evicted_floor = max(log.evicted_floor, oldest.sequence)
--- a/packages/bendwind-core/src/bendwind_core/attempts/fencing.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/fencing.py
@@ -1,6 +1,11 @@
 """Settle attempts whose link broke: fence those not started, give up those nobody awaits."""
 
-from bendwind_core.attempts.attempt_log import EntryPeer, Fate, meet_peer, record_ended
+from bendwind_core.attempts.attempt_log import (
+    EntryPeer,
+    ExecutionState,
+    find_or_create_peer,
+    record_ended,
+)
 from bendwind_core.attempts.messages import AttemptId, Fence, FenceVerdict
 from bendwind_core.attempts.owner_events import (
     CancelDispatch,
@@ -22,44 +27,48 @@
         effects.append(CancelDispatch(attempt))
 
 
-def answer_fence(
+def handle_fence(
     owner_state: OwnerState, fence: Fence, epoch: int, effects: list[OwnerEffect]
 ) -> None:
     """Make sure that an attempt which has not started never does, and say what became of it."""
-    verdict = _judge_fence(owner_state, fence)
+    verdict = _find_fence_verdict(owner_state, fence)
     effects.append(ReplyFenced(fence.attempt, epoch, verdict))
 
 
-def _judge_fence(owner_state: OwnerState, fence: Fence) -> FenceVerdict:
+def _find_fence_verdict(owner_state: OwnerState, fence: Fence) -> FenceVerdict:
     attempt = fence.attempt
     if fence.owner_incarnation != owner_state.incarnation:
         return FenceVerdict.FORGOTTEN
-    peer = meet_peer(owner_state.log, attempt.entry, attempt.incarnation, attempt.sequence)
+    peer = find_or_create_peer(
+        owner_state.log, attempt.entry, attempt.incarnation, attempt.sequence
+    )
     if peer is None:
         return FenceVerdict.FORGOTTEN
-    match owner_state.log.fates.get(attempt):
-        case Fate.RUNNING | Fate.ENDED:
+    match owner_state.log.states.get(attempt):
+        case ExecutionState.RUNNING | ExecutionState.ENDED:
             return FenceVerdict.STARTED
-        case Fate.NEVER_STARTED:
+        case ExecutionState.NEVER_STARTED:
             return FenceVerdict.NEVER_STARTED
-        case Fate.QUEUED:
+        case ExecutionState.QUEUED:
             fence_waiting(owner_state, owner_state.waiting[attempt])
             return FenceVerdict.NEVER_STARTED
         case _:
             if attempt.sequence <= max(peer.floor, peer.fence_floor):
                 return FenceVerdict.FORGOTTEN
-            record_ended(owner_state.log, attempt, Fate.NEVER_STARTED)
+            record_ended(owner_state.log, attempt, ExecutionState.NEVER_STARTED)
             return FenceVerdict.NEVER_STARTED
 
 
-def open_link(owner_state: OwnerState, event: LinkOpened, effects: list[OwnerEffect]) -> None:
+def handle_link_opened(
+    owner_state: OwnerState, event: LinkOpened, effects: list[OwnerEffect]
+) -> None:
     """Give up what came in on earlier links of an entry node or from its earlier runs."""
-    peer = meet_peer(owner_state.log, event.entry, event.incarnation, floor=0)
+    peer = find_or_create_peer(owner_state.log, event.entry, event.incarnation, floor=0)
     if peer is not None:
-        take_epoch(owner_state, peer, event.entry, event.incarnation, event.epoch, effects)
+        advance_link_epoch(owner_state, peer, event.entry, event.incarnation, event.epoch, effects)
 
 
-def take_epoch(
+def advance_link_epoch(
     owner_state: OwnerState,
     peer: EntryPeer,
     entry: str,
@@ -70,28 +79,28 @@
     """Give up what came in on earlier links, at the first sign of a later one."""
     if epoch > peer.epoch:
         peer.epoch = epoch
-        _abandon(owner_state, entry, incarnation, epoch, effects)
+        _drop_attempts_before(owner_state, entry, incarnation, epoch, effects)
 
 
-def lose_link(owner_state: OwnerState, event: LinkLost, effects: list[OwnerEffect]) -> None:
+def handle_link_lost(owner_state: OwnerState, event: LinkLost, effects: list[OwnerEffect]) -> None:
     """Give up what came in on a link that broke."""
-    _abandon(owner_state, event.entry, event.incarnation, event.epoch + 1, effects)
+    _drop_attempts_before(owner_state, event.entry, event.incarnation, event.epoch + 1, effects)
 
 
-def _abandon(
+def _drop_attempts_before(
     owner_state: OwnerState, entry: str, incarnation: int, epoch: int, effects: list[OwnerEffect]
 ) -> None:
     # Nobody awaits what came in on the entry node's earlier links or from its earlier runs.
     for attempt, queued in list(owner_state.waiting.items()):
-        if _is_before(attempt, queued.epoch, entry, incarnation, epoch):
+        if _is_before_epoch(attempt, queued.epoch, entry, incarnation, epoch):
             fence_waiting(owner_state, queued)
     for attempt, running in owner_state.running.items():
-        is_before = _is_before(attempt, running.epoch, entry, incarnation, epoch)
+        is_before = _is_before_epoch(attempt, running.epoch, entry, incarnation, epoch)
         if is_before and running.hand_over.repeat is Repeat.IDEMPOTENT:
             cancel_running(owner_state, attempt, effects)
 
 
-def _is_before(
+def _is_before_epoch(
     attempt: AttemptId, attempt_epoch: int, entry: str, incarnation: int, epoch: int
 ) -> bool:
     if attempt.entry != entry:
--- a/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/hand_overs.py
@@ -11,17 +11,23 @@
     list_hopeless,
     may_start,
 )
-from bendwind_core.attempts.attempt_log import EntryPeer, Fate, meet_peer, record_ended, record_live
-from bendwind_core.attempts.fencing import take_epoch
+from bendwind_core.attempts.attempt_log import (
+    EntryPeer,
+    ExecutionState,
+    find_or_create_peer,
+    record_ended,
+    record_live,
+)
+from bendwind_core.attempts.fencing import advance_link_epoch
 from bendwind_core.attempts.limits import name_reason, take_carried, tell_return_ms
 from bendwind_core.attempts.messages import AttemptId, CutReason, HandOver, NotRunReason
 from bendwind_core.attempts.owner_events import HandOverArrived, OwnerEffect, ReplyUnknown
-from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt, is_open
+from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt, is_accepting
 from bendwind_core.attempts.precedence import find_slots, push, set_precedence
 from bendwind_core.attempts.refusals import drop_waiting, refuse, take_off_queue
-from bendwind_core.attempts.runs import start
+from bendwind_core.attempts.running_attempts import start_attempt
 from bendwind_core.attempts.slots import find_room_wait_ms, has_room, is_stalled, load_sample
-from bendwind_core.attempts.suspects import find_suspicion
+from bendwind_core.attempts.suspects import find_suspect_refusal
 from bendwind_core.attempts.usual_times import guess_route_time
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.limits import fair_queue
@@ -35,10 +41,10 @@
     if hand_over.owner_incarnation != owner_state.incarnation:
         return NotRunReason.WRONG_OWNER
     guess_route_time(owner_state, hand_over)
-    return _find_refusal(owner_state, _create_queued(owner_state, hand_over, 0, now), now)
+    return _find_refusal(owner_state, _create_queued_attempt(owner_state, hand_over, 0, now), now)
 
 
-def _create_queued(
+def _create_queued_attempt(
     owner_state: OwnerState, hand_over: HandOver, epoch: int, now: Seconds
 ) -> QueuedAttempt:
     expires_at = now + hand_over.remaining_ms / MILLISECONDS_PER_SECOND
@@ -46,11 +52,11 @@
     set_precedence(owner_state, queued, now)
     if hand_over.target_ms is not None:
         queued.due_at = find_due(owner_state, hand_over, now)
-        queued.leaves_at = find_leaving(owner_state, queued, now)
+        queued.refuse_at = find_leaving(owner_state, queued, now)
     return queued
 
 
-def take_hand_over(
+def handle_hand_over(
     owner_state: OwnerState, event: HandOverArrived, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     """Decide on an attempt that was handed over."""
@@ -59,42 +65,44 @@
     if hand_over.owner_incarnation != owner_state.incarnation:
         refuse(owner_state, attempt, event.epoch, NotRunReason.WRONG_OWNER, now, effects, hand_over)
         return
-    peer = meet_peer(owner_state.log, attempt.entry, attempt.incarnation, attempt.sequence - 1)
+    peer = find_or_create_peer(
+        owner_state.log, attempt.entry, attempt.incarnation, attempt.sequence - 1
+    )
     if peer is None or event.epoch < peer.epoch:
         return
-    take_epoch(owner_state, peer, attempt.entry, attempt.incarnation, event.epoch, effects)
-    if _is_seen(owner_state, peer, attempt, event.epoch, now, effects):
+    advance_link_epoch(owner_state, peer, attempt.entry, attempt.incarnation, event.epoch, effects)
+    if _refuse_if_repeated(owner_state, peer, attempt, event.epoch, now, effects):
         return
     take_carried(owner_state, hand_over, now, effects)
     guess_route_time(owner_state, hand_over)
     note_origin(owner_state.origins, hand_over.route, hand_over.origin)
-    queued = _create_queued(owner_state, hand_over, event.epoch, now)
+    queued = _create_queued_attempt(owner_state, hand_over, event.epoch, now)
     if not queued.is_inner:
-        note_arrival(owner_state.arrivals, hand_over.rank, now)
+        note_arrival(owner_state.arrival_counts, hand_over.rank, now)
     refusal = _find_refusal(owner_state, queued, now)
     # A try that is sent back is offered elsewhere; one that is taken counts like any other.
     if not queued.is_inner and (hand_over.may_wait or refusal is None):
         note_offered(owner_state.rank_counts, hand_over.rank, now)
-    if refusal is None and turns_away(owner_state.dependency, hand_over.route, now):
+    if refusal is None and turns_away(owner_state.dependency_overload, hand_over.route, now):
         refusal = NotRunReason.DEPENDENCY_FULL
     if refusal is not None:
-        record_ended(owner_state.log, attempt, Fate.NEVER_STARTED)
-        wait_ms = _find_told_wait(owner_state, queued, refusal, now)
+        record_ended(owner_state.log, attempt, ExecutionState.NEVER_STARTED)
+        wait_ms = _find_reported_wait_ms(owner_state, queued, refusal, now)
         refuse(owner_state, attempt, event.epoch, refusal, now, effects, hand_over, wait_ms)
         if refusal is NotRunReason.BUSY:
             ask_for_next(owner_state, now, effects)
         return
     if owner_state.suspects.suspects or hand_over.suspicion is not None:
-        withheld = find_suspicion(owner_state, queued, now)
+        withheld = find_suspect_refusal(owner_state, queued, now)
         if withheld is not None:
-            record_ended(owner_state.log, attempt, Fate.NEVER_STARTED)
+            record_ended(owner_state.log, attempt, ExecutionState.NEVER_STARTED)
             reason, wait_ms = withheld.reason, withheld.wait_ms
             refuse(owner_state, attempt, event.epoch, reason, now, effects, hand_over, wait_ms)
             return
     _enqueue(owner_state, queued, now, effects)
 
 
-def _find_told_wait(
+def _find_reported_wait_ms(
     owner_state: OwnerState, queued: QueuedAttempt, refusal: NotRunReason, now: Seconds
 ) -> Milliseconds | None:
     """Return how long the entry node is told that a refused attempt would have waited, or None."""
@@ -105,7 +113,7 @@
     return None
 
 
-def _is_seen(
+def _refuse_if_repeated(
     owner_state: OwnerState,
     peer: EntryPeer,
     attempt: AttemptId,
@@ -113,11 +121,11 @@
     now: Seconds,
     effects: list[OwnerEffect],
 ) -> bool:
-    fate = owner_state.log.fates.get(attempt)
-    if fate is Fate.NEVER_STARTED:
+    state = owner_state.log.states.get(attempt)
+    if state is ExecutionState.NEVER_STARTED:
         refuse(owner_state, attempt, epoch, NotRunReason.FENCED, now, effects)
         return True
-    if fate is not None:
+    if state is not None:
         return True
     if attempt.sequence <= peer.floor:
         # It may be a repeat of an attempt that was started and dropped from the log.
@@ -130,17 +138,17 @@
 def _find_refusal(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
 ) -> NotRunReason | None:
-    reason = _find_reason(owner_state, queued, now)
+    reason = _find_basic_refusal(owner_state, queued, now)
     return None if reason is None else name_reason(owner_state, reason, now)
 
 
-def _find_reason(
+def _find_basic_refusal(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
 ) -> NotRunReason | None:
     hand_over = queued.hand_over
     if owner_state.state is UpstreamState.GONE or owner_state.is_unreachable:
         return NotRunReason.NO_UPSTREAM
-    if not is_open(owner_state):
+    if not is_accepting(owner_state):
         return NotRunReason.DRAINING
     if hand_over.remaining_ms <= 0:
         return NotRunReason.DEADLINE
@@ -162,9 +170,9 @@
     attempt = queued.hand_over.attempt
     has_place = has_room(owner_state, now, find_slots(owner_state, queued, now))
     if not owner_state.waiting and has_place and _may_start(owner_state, queued, now):
-        start(owner_state, queued, now, effects)
+        start_attempt(owner_state, queued, now, effects)
         return
-    record_live(owner_state.log, attempt, Fate.QUEUED)
+    record_live(owner_state.log, attempt, ExecutionState.QUEUED)
     owner_state.waiting[attempt] = queued
     if queued.hand_over.target_ms is None:
         displaced = fair_queue.push(owner_state.queue, attempt.entry, queued)
--- a/packages/bendwind-core/src/bendwind_core/attempts/limits.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/limits.py
@@ -8,7 +8,7 @@
     tell_return_at,
 )
 from bendwind_core.attempts.messages import HandOver, NotRunReason
-from bendwind_core.attempts.owner_events import LimitChanged, OwnerEffect
+from bendwind_core.attempts.owner_events import OwnerEffect, RateLimitChanged
 from bendwind_core.attempts.owner_state import OwnerState
 from bendwind_core.attempts.precedence import list_in_turn
 from bendwind_core.attempts.refusals import drop_waiting, find_end, take_off_queue
@@ -26,7 +26,7 @@
     """Report a change of the limit, if there was one, and give back what waits too long by it."""
     if change is None:
         return
-    effects.append(LimitChanged(change, owner_state.rate_limit.per_second))
+    effects.append(RateLimitChanged(change, owner_state.rate_limit.per_second))
     if is_limited(owner_state.rate_limit):
         _give_back_late(owner_state, now, effects)
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -21,15 +21,24 @@
     next_look,
     take_startable,
 )
-from bendwind_core.attempts.arrivals import find_early_refusal, take_hand_over
-from bendwind_core.attempts.attempt_log import Fate
-from bendwind_core.attempts.fencing import answer_fence, cancel_running, lose_link, open_link
+from bendwind_core.attempts.attempt_log import ExecutionState
+from bendwind_core.attempts.dispatch_results import (
+    handle_answer_head,
+    handle_dispatch_not_run,
+    handle_dispatch_unknown,
+    is_failure,
+)
+from bendwind_core.attempts.fencing import (
+    cancel_running,
+    handle_fence,
+    handle_link_lost,
+    handle_link_opened,
+)
+from bendwind_core.attempts.hand_overs import find_early_refusal, handle_hand_over
 from bendwind_core.attempts.limits import name_reason, take_change
 from bendwind_core.attempts.messages import NotRunReason
 from bendwind_core.attempts.owner_events import (
-    CallRefused,
     CancelArrived,
-    ColdAssumed,
     DispatchDone,
     DispatchHead,
     DispatchNotRun,
@@ -39,31 +48,33 @@
     Drained,
     FenceArrived,
     HandOverArrived,
-    LeavingSaid,
-    LimitNamed,
-    LimitNotNamed,
+    LeavingReported,
     LinkLost,
     LinkOpened,
     LoadNotReported,
     LoadReported,
     OwnerEffect,
     OwnerEvent,
+    QueueWithdrawn,
+    RateLimitNotReported,
+    RateLimitReported,
     Tick,
     UpstreamAnnounced,
-    UpstreamAsked,
+    UpstreamAssumedCold,
+    UpstreamCallRefused,
     UpstreamChecked,
     UpstreamLost,
-    UpstreamReached,
+    UpstreamQueried,
+    UpstreamReachable,
     UpstreamRestarted,
-    WaitingWithdrawn,
-    WarmUpRuled,
-    WarmUpTold,
+    WarmUpConfigured,
+    WarmUpReported,
 )
 from bendwind_core.attempts.owner_state import (
     OwnerState,
     QueuedAttempt,
     create_owner_state,
-    is_open,
+    is_accepting,
 )
 from bendwind_core.attempts.pace import is_slow, note_report
 from bendwind_core.attempts.precedence import find_slots
@@ -74,19 +85,23 @@
     next_expiry,
     take_off_queue,
 )
-from bendwind_core.attempts.run_ends import is_failure, take_head, take_not_run, take_unknown
-from bendwind_core.attempts.runs import end_running, mark_sent, note_sent_again, start
+from bendwind_core.attempts.running_attempts import (
+    end_attempt,
+    mark_sent,
+    record_resend,
+    start_attempt,
+)
 from bendwind_core.attempts.service_time import note_result
 from bendwind_core.attempts.slots import has_room, load_sample, next_room
-from bendwind_core.attempts.suspects import is_withheld_here, note_success
-from bendwind_core.attempts.upstream_end import note_alive
-from bendwind_core.attempts.upstream_state import (
-    hear_leaving,
-    lose,
-    restart,
-    stop,
-    take_announcement,
-    take_check,
+from bendwind_core.attempts.suspects import is_now_quarantined, record_success
+from bendwind_core.attempts.upstream_end import record_sign_of_life
+from bendwind_core.attempts.upstream_lifecycle import (
+    handle_announcement,
+    handle_drain,
+    handle_leaving,
+    handle_upstream_check,
+    handle_upstream_lost,
+    handle_upstream_restart,
 )
 from bendwind_core.core import Seconds
 from bendwind_core.limits import fair_queue
@@ -103,8 +118,8 @@
 
 def next_due(owner_state: OwnerState, now: Seconds) -> Seconds | None:
     """Return when the next Tick is due, or None."""
-    looks = next_expiry(owner_state), next_look(owner_state, now), next_room(owner_state, now)
-    return min((due for due in looks if due is not None), default=None)
+    due_times = next_expiry(owner_state), next_look(owner_state, now), next_room(owner_state, now)
+    return min((due for due in due_times if due is not None), default=None)
 
 
 def step(owner_state: OwnerState, event: OwnerEvent, now: Seconds) -> list[OwnerEffect]:
@@ -112,77 +127,77 @@
     effects: list[OwnerEffect] = []
     match event:
         case HandOverArrived():
-            take_hand_over(owner_state, event, now, effects)
+            handle_hand_over(owner_state, event, now, effects)
         case DispatchSent():
-            note_sent_again(owner_state, event.attempt, now)
+            record_resend(owner_state, event.attempt, now)
             mark_sent(owner_state, event.attempt, now)
         case DispatchHead():
             mark_sent(owner_state, event.attempt, now)
-            take_head(owner_state, event, now)
-            note_result(owner_state.times, is_error=is_failure(event.status))
+            handle_answer_head(owner_state, event, now)
+            note_result(owner_state.service_times, is_error=is_failure(event.status))
         case DispatchDone():
-            owner_state.progress_at = now
-            running = end_running(owner_state, event.attempt, Fate.ENDED)
+            owner_state.last_progress_at = now
+            running = end_attempt(owner_state, event.attempt, ExecutionState.ENDED)
             if running is not None and not is_failure(running.status):
-                note_success(owner_state, running, now)
-        case CallRefused():
-            note_call_refused(owner_state.dependency, now)
+                record_success(owner_state, running, now)
+        case UpstreamCallRefused():
+            note_call_refused(owner_state.dependency_overload, now)
         case LoadReported(slow_factor=slow_factor):
             note_report(owner_state.pace, slow_factor, now)
-            note_alive(owner_state.ends, now)
-        case LoadNotReported(may_ask=may_ask):
-            owner_state.may_ask = may_ask
-        case LimitNamed(per_second=per_second, sent_at=sent_at):
+            record_sign_of_life(owner_state.end_detector, now)
+        case LoadNotReported(has_load_endpoint=has_load_endpoint):
+            owner_state.has_load_endpoint = has_load_endpoint
+        case RateLimitReported(per_second=per_second, sent_at=sent_at):
             change = note_named(owner_state.rate_limit, per_second, sent_at, now)
             take_change(owner_state, change, now, effects)
-        case LimitNotNamed(sent_at=sent_at):
+        case RateLimitNotReported(sent_at=sent_at):
             change = note_not_named(owner_state.rate_limit, sent_at, now)
             take_change(owner_state, change, now, effects)
-        case LeavingSaid():
-            hear_leaving(owner_state, now, effects)
-        case UpstreamAsked():
+        case LeavingReported():
+            handle_leaving(owner_state, now, effects)
+        case UpstreamQueried():
             note_taken(owner_state.rate_limit, now)
-        case WarmUpRuled(rule=rule):
+        case WarmUpConfigured(rule=rule):
             owner_state.warm_up.rule = rule
-        case ColdAssumed():
+        case UpstreamAssumedCold():
             assume_cold(owner_state.warm_up, now)
-        case WarmUpTold(left_ms=left_ms, asked_at=None):
-            note_told(owner_state.warm_up, left_ms, now)
-        case WarmUpTold(left_ms=left_ms, asked_at=asked_at):
-            note_asked(owner_state.warm_up, left_ms, asked_at, now)
+        case WarmUpReported(remaining_ms=remaining_ms, queried_at=None):
+            note_told(owner_state.warm_up, remaining_ms, now)
+        case WarmUpReported(remaining_ms=remaining_ms, queried_at=queried_at):
+            note_asked(owner_state.warm_up, remaining_ms, queried_at, now)
         case UpstreamChecked(is_refused=is_refused):
-            take_check(owner_state, now, effects, is_refused=is_refused)
-        case UpstreamReached():
+            handle_upstream_check(owner_state, now, effects, is_refused=is_refused)
+        case UpstreamReachable():
             owner_state.is_unreachable = False
         case UpstreamRestarted():
-            restart(owner_state, now, effects)
-        case WaitingWithdrawn():
+            handle_upstream_restart(owner_state, now, effects)
+        case QueueWithdrawn():
             bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
         case DispatchNotRun():
-            take_not_run(owner_state, event, now, effects)
+            handle_dispatch_not_run(owner_state, event, now, effects)
         case DispatchUnknown():
-            take_unknown(owner_state, event, now, effects)
+            handle_dispatch_unknown(owner_state, event, now, effects)
         case CancelArrived():
-            _on_cancel(owner_state, event, now, effects)
+            _handle_cancel(owner_state, event, now, effects)
         case FenceArrived():
-            answer_fence(owner_state, event.fence, event.epoch, effects)
+            handle_fence(owner_state, event.fence, event.epoch, effects)
         case LinkOpened():
-            open_link(owner_state, event, effects)
+            handle_link_opened(owner_state, event, effects)
         case LinkLost():
-            lose_link(owner_state, event, effects)
+            handle_link_lost(owner_state, event, effects)
         case Drain():
-            stop(owner_state, now)
+            handle_drain(owner_state, now)
         case UpstreamAnnounced():
-            take_announcement(owner_state, event, now, effects)
+            handle_announcement(owner_state, event, now, effects)
         case UpstreamLost(is_replaced=is_replaced):
-            lose(owner_state, now, effects, is_replaced=is_replaced)
+            handle_upstream_lost(owner_state, now, effects, is_replaced=is_replaced)
         case Tick():
             pass
     _expire_queue(owner_state, now, effects)
-    _give_back(owner_state, _has_to_wait, NotRunReason.BUSY, now, effects)
-    _give_back(owner_state, is_stalled_again, NotRunReason.STALLED, now, effects)
+    _refuse_waiting(owner_state, _cannot_start_at_once, NotRunReason.BUSY, now, effects)
+    _refuse_waiting(owner_state, is_stalled_again, NotRunReason.STALLED, now, effects)
     _dispatch_waiting(owner_state, now, effects)
-    _give_back(owner_state, _is_at_its_end, NotRunReason.QUEUE_FULL, now, effects)
+    _refuse_waiting(owner_state, _is_past_refusal_time, NotRunReason.QUEUE_FULL, now, effects)
     # What was given back may have been what kept a call from a slot that requests do not use.
     _dispatch_waiting(owner_state, now, effects)
     ask_if_held(owner_state, now, effects)
@@ -190,7 +205,7 @@
     return effects
 
 
-def _on_cancel(
+def _handle_cancel(
     owner_state: OwnerState, event: CancelArrived, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     attempt = event.attempt
@@ -205,7 +220,7 @@
 def _expire_queue(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
     if not owner_state.waiting:
         return
-    if owner_state.bounce_queue_at is not None and now >= owner_state.bounce_queue_at:
+    if owner_state.refuse_queue_at is not None and now >= owner_state.refuse_queue_at:
         bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
         return
     for queued in list(owner_state.waiting.values()):
@@ -214,7 +229,7 @@
             drop_waiting(owner_state, queued, NotRunReason.DEADLINE, now, effects)
 
 
-def _has_to_wait(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
+def _cannot_start_at_once(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
     """Tell whether an attempt that may not wait would have to, by what has been reported since."""
     if queued.hand_over.may_wait:
         return False
@@ -223,37 +238,37 @@
     )
 
 
-def _is_at_its_end(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
+def _is_past_refusal_time(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
     return now >= find_end(queued)
 
 
-def _give_back(
+def _refuse_waiting(
     owner_state: OwnerState,
-    is_given_back: Callable[[OwnerState, QueuedAttempt, Seconds], bool],
+    should_refuse: Callable[[OwnerState, QueuedAttempt, Seconds], bool],
     reason: NotRunReason,
     now: Seconds,
     effects: list[OwnerEffect],
 ) -> None:
     """Refuse what would be late here, while it can still be tried elsewhere."""
     for queued in list(owner_state.waiting.values()):
-        if is_given_back(owner_state, queued, now):
+        if should_refuse(owner_state, queued, now):
             take_off_queue(owner_state, queued)
             named = name_reason(owner_state, reason, now)
             drop_waiting(owner_state, queued, named, now, effects)
 
 
 def _dispatch_waiting(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    while (queued := _take_next(owner_state, now)) is not None:
-        if is_withheld_here(owner_state, queued, now):
+    while (queued := _pop_next(owner_state, now)) is not None:
+        if is_now_quarantined(owner_state, queued, now):
             # While it waited, upstreams ended under it elsewhere.
             drop_waiting(owner_state, queued, NotRunReason.QUARANTINED, now, effects)
             continue
         del owner_state.waiting[queued.hand_over.attempt]
-        start(owner_state, queued, now, effects)
+        start_attempt(owner_state, queued, now, effects)
 
 
-def _take_next(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
-    queued = take_startable(owner_state, now) if len(owner_state.timed) else None
+def _pop_next(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
+    queued = take_startable(owner_state, now) if len(owner_state.timed_queue) else None
     if queued is None and has_room(owner_state, now):
         return fair_queue.pop(owner_state.queue)
     return queued
@@ -261,6 +276,6 @@
 
 def _report_drained(owner_state: OwnerState, effects: list[OwnerEffect]) -> None:
     is_empty = not owner_state.running and not owner_state.waiting
-    if not is_open(owner_state) and is_empty and not owner_state.is_drained:
+    if not is_accepting(owner_state) and is_empty and not owner_state.is_drained:
         owner_state.is_drained = True
         effects.append(Drained())
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_events.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_events.py
@@ -16,7 +16,7 @@
     HandOver,
     NotRunReason,
 )
-from bendwind_core.attempts.upstream_end import Unanswered
+from bendwind_core.attempts.upstream_end import UnansweredAttempt
 from bendwind_core.core import Milliseconds, Seconds
 from bendwind_core.world import LoadSample, UpstreamState, WarmUpRule
 
@@ -28,7 +28,7 @@
     epoch: int
 
 
-class CallRefused(msgspec.Struct):
+class UpstreamCallRefused(msgspec.Struct):
     """Report that a call which the upstream made was refused."""
 
 
@@ -61,10 +61,10 @@
     `may_ask` is false where it has no page for that.
     """
 
-    may_ask: bool = True
+    has_load_endpoint: bool = True
 
 
-class LimitNamed(msgspec.Struct):
+class RateLimitReported(msgspec.Struct):
     """Report the rate limit that the upstream named in an answer, to a request sent at `sent_at`.
 
     Units: `per_second` in requests a second.
@@ -74,17 +74,17 @@
     sent_at: Seconds
 
 
-class LimitNotNamed(msgspec.Struct):
+class RateLimitNotReported(msgspec.Struct):
     """Report that an answer of the upstream, to a request sent at `sent_at`, named no limit."""
 
     sent_at: Seconds
 
 
-class LeavingSaid(msgspec.Struct):
+class LeavingReported(msgspec.Struct):
     """Report that the upstream said in an answer that it leaves; that is final for its run."""
 
 
-class UpstreamAsked(msgspec.Struct):
+class UpstreamQueried(msgspec.Struct):
     """Report that the upstream was sent a question, which counts for its limit as a request."""
 
 
@@ -154,31 +154,31 @@
     state: UpstreamState
 
 
-class WarmUpRuled(msgspec.Struct):
+class WarmUpConfigured(msgspec.Struct):
     """Report what the configuration says of the warm-up of the upstream's service."""
 
     rule: WarmUpRule | None
 
 
-class ColdAssumed(msgspec.Struct):
+class UpstreamAssumedCold(msgspec.Struct):
     """Report that the upstream may have turned cold without saying so."""
 
 
-class WarmUpTold(msgspec.Struct):
+class WarmUpReported(msgspec.Struct):
     """Report how much longer the upstream said that it is cold.
 
     `asked_at` is when it was asked, None for an announcement of its own, which may be late.
     """
 
-    left_ms: Milliseconds
-    asked_at: Seconds | None = None
+    remaining_ms: Milliseconds
+    queried_at: Seconds | None = None
 
 
 class UpstreamRestarted(msgspec.Struct):
     """Report that the upstream started again under its name: what ran there has an unknown end."""
 
 
-class WaitingWithdrawn(msgspec.Struct):
+class QueueWithdrawn(msgspec.Struct):
     """Give back what waits: operators want nothing more sent to the upstream."""
 
 
@@ -188,7 +188,7 @@
     is_refused: bool
 
 
-class UpstreamReached(msgspec.Struct):
+class UpstreamReachable(msgspec.Struct):
     """Report that an upstream which refused connections takes them again."""
 
 
@@ -207,16 +207,16 @@
 
 OwnerEvent = (
     HandOverArrived
-    | CallRefused
+    | UpstreamCallRefused
     | DispatchSent
     | DispatchHead
     | DispatchDone
     | LoadReported
     | LoadNotReported
-    | LimitNamed
-    | LimitNotNamed
-    | LeavingSaid
-    | UpstreamAsked
+    | RateLimitReported
+    | RateLimitNotReported
+    | LeavingReported
+    | UpstreamQueried
     | DispatchNotRun
     | DispatchUnknown
     | CancelArrived
@@ -227,12 +227,12 @@
     | UpstreamAnnounced
     | UpstreamLost
     | UpstreamChecked
-    | UpstreamReached
+    | UpstreamReachable
     | UpstreamRestarted
-    | WaitingWithdrawn
-    | WarmUpRuled
-    | ColdAssumed
-    | WarmUpTold
+    | QueueWithdrawn
+    | WarmUpConfigured
+    | UpstreamAssumedCold
+    | WarmUpReported
     | Tick
 )
 
@@ -244,7 +244,7 @@
     expires_at: Seconds
 
 
-class AskLoad(msgspec.Struct):
+class QueryLoad(msgspec.Struct):
     """Ask the upstream for its load; LoadReported or LoadNotReported follows."""
 
 
@@ -270,7 +270,7 @@
     load: LoadSample
     hand_over: HandOver | None = None
     wait_ms: Milliseconds | None = None
-    waited: Seconds | None = None
+    queue_time: Seconds | None = None
 
 
 class ReplyUnknown(msgspec.Struct):
@@ -297,10 +297,10 @@
 class UpstreamEnded(msgspec.Struct):
     """Report that the upstream ended by itself, and what it had not answered by then."""
 
-    under: tuple[Unanswered, ...]
+    unanswered: tuple[UnansweredAttempt, ...]
 
 
-class LimitChanged(msgspec.Struct):
+class RateLimitChanged(msgspec.Struct):
     """Report what became of the upstream's rate limit; None is none.
 
     Units: `per_second` in requests a second.
@@ -315,7 +315,7 @@
 
 
 OwnerEffect = (
-    AskLoad
+    QueryLoad
     | CheckUpstream
     | Dispatch
     | CancelDispatch
@@ -324,6 +324,6 @@
     | ReplyFenced
     | UpstreamUnreachable
     | UpstreamEnded
-    | LimitChanged
+    | RateLimitChanged
     | Drained
 )
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
@@ -16,20 +16,20 @@
 from bendwind_core.attempts.messages import AttemptId, HandOver
 from bendwind_core.attempts.pace import Pace
 from bendwind_core.attempts.service_time import ServiceTime
-from bendwind_core.attempts.upstream_end import EndWatch
+from bendwind_core.attempts.upstream_end import EndDetector
 from bendwind_core.core import Milliseconds, Seconds
 from bendwind_core.limits import FairQueue, Turns, UrgencyQueue
 from bendwind_core.suspicion import Served, SuspectTable
 from bendwind_core.world import UpstreamState
 
-REMEMBERED_ATTEMPTS = 4096
+MAX_REMEMBERED_ATTEMPTS = 4096
 
 # Attempts with an objective are admitted by how long they would wait, which bounds their number
 # where they take some time; a limit below that drops long ones for short ones that came later.
-TIMED_QUEUE = 128
+MAX_TIMED_QUEUE = 128
 
 # One for each node of the largest deployment planned for; about 150 bytes each.
-REMEMBERED_PEERS = 16384
+MAX_REMEMBERED_PEERS = 16384
 
 
 class QueuedAttempt(msgspec.Struct):
@@ -47,11 +47,11 @@
     expires_at: Seconds
     queued_at: Seconds = 0.0
     due_at: Seconds = 0.0
-    leaves_at: Seconds = 0.0
+    refuse_at: Seconds = 0.0
     signature: bytes = b""
     is_suspect: bool = False
-    rank: float = 0.0
-    own_rank: int = 0
+    queue_rank: float = 0.0
+    effective_rank: int = 0
     is_inner: bool = False
 
 
@@ -68,14 +68,14 @@
     started_at: Seconds
     hand_over: HandOver
     slow_factor: float = 1.0
-    is_paced: bool = False
+    is_pace_known: bool = False
     is_cancelled: bool = False
     is_sent: bool = False
-    is_under_end: bool = False
+    is_upstream_ended: bool = False
     signature: bytes = b""
     is_suspect: bool = False
     status: int = 0
-    own_rank: int = 0
+    effective_rank: int = 0
 
     @property
     def route(self) -> str:
@@ -103,35 +103,35 @@
     incarnation: int
     queue: FairQueue[QueuedAttempt]
     log: AttemptLog
-    timed: UrgencyQueue[QueuedAttempt]
+    timed_queue: UrgencyQueue[QueuedAttempt]
     slot_share: float = 1.0
     slots: int = 0
     connections: int = 0
     state: UpstreamState = UpstreamState.GONE
     is_stopping: bool = False
     is_drained: bool = True
-    bounce_queue_at: Seconds | None = None
-    progress_at: Seconds = 0.0
+    refuse_queue_at: Seconds | None = None
+    last_progress_at: Seconds = 0.0
     running: dict[AttemptId, RunningAttempt] = msgspec.field(default_factory=dict)
     waiting: dict[AttemptId, QueuedAttempt] = msgspec.field(default_factory=dict)
-    times: ServiceTime = msgspec.field(default_factory=ServiceTime)
+    service_times: ServiceTime = msgspec.field(default_factory=ServiceTime)
     route_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
     guessed_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
     origins: Origins = msgspec.field(default_factory=Origins)
-    dependency: Dependency = msgspec.field(default_factory=Dependency)
+    dependency_overload: Dependency = msgspec.field(default_factory=Dependency)
     pace: Pace = msgspec.field(default_factory=Pace)
     warm_up: WarmUp = msgspec.field(default_factory=WarmUp)
     rate_limit: RateLimit = msgspec.field(default_factory=RateLimit)
-    ends: EndWatch = msgspec.field(default_factory=EndWatch)
+    end_detector: EndDetector = msgspec.field(default_factory=EndDetector)
     suspects: SuspectTable = msgspec.field(default_factory=SuspectTable)
-    served: Served = msgspec.field(default_factory=Served)
-    turns: Turns = msgspec.field(default_factory=Turns)
+    served_requests: Served = msgspec.field(default_factory=Served)
+    customer_work: Turns = msgspec.field(default_factory=Turns)
     rank_counts: RankCounts = msgspec.field(default_factory=RankCounts)
-    arrivals: Arrivals = msgspec.field(default_factory=Arrivals)
+    arrival_counts: Arrivals = msgspec.field(default_factory=Arrivals)
     is_unreachable: bool = False
     is_leaving: bool = False
-    asked_at: Seconds | None = None
-    may_ask: bool = True
+    load_queried_at: Seconds | None = None
+    has_load_endpoint: bool = True
 
     @property
     def run_limit(self) -> int:
@@ -143,11 +143,11 @@
 def create_owner_state(
     upstream: str,
     incarnation: int,
-    queue: int,
+    queue_capacity: int,
     *,
-    timed_queue: int = TIMED_QUEUE,
-    remembered_attempts: int = REMEMBERED_ATTEMPTS,
-    remembered_peers: int = REMEMBERED_PEERS,
+    timed_queue_capacity: int = MAX_TIMED_QUEUE,
+    max_remembered_attempts: int = MAX_REMEMBERED_ATTEMPTS,
+    max_remembered_peers: int = MAX_REMEMBERED_PEERS,
     slot_share: float = 1.0,
     warm_up: WarmUp | None = None,
     suspects: SuspectTable | None = None,
@@ -159,9 +159,11 @@
     those of them with a latency objective. `alone_from` is when no other process sends to the
     upstream any more.
     """
-    log = AttemptLog(remembered_attempts, remembered_peers)
-    timed = UrgencyQueue(timed_queue)
-    owner_state = OwnerState(upstream, incarnation, FairQueue(queue), log, timed, slot_share)
+    log = AttemptLog(max_remembered_attempts, max_remembered_peers)
+    timed_queue = UrgencyQueue(timed_queue_capacity)
+    owner_state = OwnerState(
+        upstream, incarnation, FairQueue(queue_capacity), log, timed_queue, slot_share
+    )
     if warm_up is not None:
         owner_state.warm_up = warm_up
     owner_state.rate_limit.alone_from = alone_from
@@ -170,7 +172,7 @@
     return owner_state
 
 
-def is_open(owner_state: OwnerState) -> bool:
+def is_accepting(owner_state: OwnerState) -> bool:
     """Tell whether new attempts are taken."""
     is_ready = owner_state.state is UpstreamState.READY and not owner_state.is_stopping
     return is_ready and not owner_state.is_unreachable and not owner_state.is_leaving
--- a/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
@@ -26,20 +26,23 @@
     """Note how urgent an attempt is, and where it waits."""
     hand_over = queued.hand_over
     queued.is_inner = is_inner_call(owner_state.origins, hand_over.route)
-    queued.own_rank = hand_over.rank
+    queued.effective_rank = hand_over.rank
     if queued.is_inner and hand_over.run_rank is not None:
-        queued.own_rank = hand_over.run_rank
-    queued.rank = _find_place(owner_state, queued, now)
+        queued.effective_rank = hand_over.run_rank
+    queued.queue_rank = _find_place(owner_state, queued, now)
 
 
 def _find_place(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> float:
     if queued.is_inner:
-        return queued.own_rank - INNER_STEP
-    if queued.own_rank == 0 or find_starved_rank(owner_state.rank_counts, now) != queued.own_rank:
-        return queued.own_rank
+        return queued.effective_rank - INNER_STEP
+    if (
+        queued.effective_rank == 0
+        or find_starved_rank(owner_state.rank_counts, now) != queued.effective_rank
+    ):
+        return queued.effective_rank
     # One at a time, so that the starved rank does not keep out the more urgent ones in its turn.
-    waits = any(entry.rank == _STARVED_RANK for entry in owner_state.timed.entries)
-    return queued.own_rank if waits else _STARVED_RANK
+    waits = any(entry.rank == _STARVED_RANK for entry in owner_state.timed_queue.entries)
+    return queued.effective_rank if waits else _STARVED_RANK
 
 
 def find_slots(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> int:
@@ -49,17 +52,17 @@
         return owner_state.run_limit - 1 if is_kept else owner_state.run_limit
     held = (*owner_state.running.values(), *owner_state.waiting.values())
     # Above its knee an upstream is slow for all: only what is more urgent is spared that.
-    if any(other.own_rank < queued.own_rank for other in held):
+    if any(other.effective_rank < queued.effective_rank for other in held):
         return owner_state.run_limit
     return min(owner_state.slots, owner_state.connections)
 
 
 def find_slot_kept_until(owner_state: OwnerState, queued: QueuedAttempt) -> Seconds:
     """Return until when the last slot is kept from an attempt for more urgent ones."""
-    if queued.is_inner or queued.rank <= 0 or owner_state.run_limit < 2:
+    if queued.is_inner or queued.queue_rank <= 0 or owner_state.run_limit < 2:
         return -math.inf
     run_ms = find_usual_ms(owner_state, queued.hand_over.route)
-    return find_kept_until(owner_state.arrivals, queued.hand_over.rank, run_ms)
+    return find_kept_until(owner_state.arrival_counts, queued.hand_over.rank, run_ms)
 
 
 def list_ahead(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> list[QueuedAttempt]:
@@ -69,12 +72,14 @@
     newcomer = urgency_queue.Waiting(
         queued,
         queued.due_at,
-        owner_state.timed.next_number,
-        queued.rank,
+        owner_state.timed_queue.next_number,
+        queued.queue_rank,
         hand_over.customer,
         work_ms,
     )
-    return urgency_queue.list_ahead(owner_state.timed, newcomer, now, owner_state.turns)
+    return urgency_queue.list_ahead(
+        owner_state.timed_queue, newcomer, now, owner_state.customer_work
+    )
 
 
 def push(owner_state: OwnerState, queued: QueuedAttempt) -> QueuedAttempt | None:
@@ -82,10 +87,15 @@
     hand_over = queued.hand_over
     work_ms = find_usual_ms(owner_state, hand_over.route)
     return urgency_queue.push(
-        owner_state.timed, queued.due_at, queued, queued.rank, hand_over.customer, work_ms
+        owner_state.timed_queue,
+        queued.due_at,
+        queued,
+        queued.queue_rank,
+        hand_over.customer,
+        work_ms,
     )
 
 
 def list_in_turn(owner_state: OwnerState, now: Seconds) -> list[QueuedAttempt]:
     """List what waits with an objective in the order in which it should start."""
-    return urgency_queue.list_in_turn(owner_state.timed, now, owner_state.turns)
+    return urgency_queue.list_in_turn(owner_state.timed_queue, now, owner_state.customer_work)
--- a/packages/bendwind-core/src/bendwind_core/attempts/refusals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/refusals.py
@@ -1,6 +1,6 @@
 """Refuse attempts that never start, and find when those that wait do."""
 
-from bendwind_core.attempts.attempt_log import Fate, record_ended
+from bendwind_core.attempts.attempt_log import ExecutionState, record_ended
 from bendwind_core.attempts.messages import AttemptId, HandOver, NotRunReason
 from bendwind_core.attempts.owner_events import OwnerEffect, ReplyNotRun
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt
@@ -13,7 +13,7 @@
     """Return when a waiting attempt that has not started is refused."""
     if queued.hand_over.target_ms is None:
         return queued.expires_at
-    return min(queued.expires_at, queued.leaves_at)
+    return min(queued.expires_at, queued.refuse_at)
 
 
 def next_expiry(owner_state: OwnerState) -> Seconds | None:
@@ -21,8 +21,8 @@
     if not owner_state.waiting:
         return None
     due = min(find_end(queued) for queued in owner_state.waiting.values())
-    if owner_state.bounce_queue_at is not None:
-        due = min(due, owner_state.bounce_queue_at)
+    if owner_state.refuse_queue_at is not None:
+        due = min(due, owner_state.refuse_queue_at)
     return due
 
 
@@ -78,19 +78,19 @@
     if queued.hand_over.target_ms is None:
         fair_queue.remove(owner_state.queue, queued.hand_over.attempt.entry, queued)
     else:
-        urgency_queue.remove(owner_state.timed, queued)
+        urgency_queue.remove(owner_state.timed_queue, queued)
 
 
 def take_any(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
     """Take the next attempt out of its queue, whether it may start or not, or None."""
-    timed = urgency_queue.pop(owner_state.timed, now)
+    timed = urgency_queue.pop(owner_state.timed_queue, now)
     return fair_queue.pop(owner_state.queue) if timed is None else timed
 
 
 def _forget_waiting(owner_state: OwnerState, queued: QueuedAttempt) -> None:
     attempt = queued.hand_over.attempt
     del owner_state.waiting[attempt]
-    record_ended(owner_state.log, attempt, Fate.NEVER_STARTED)
+    record_ended(owner_state.log, attempt, ExecutionState.NEVER_STARTED)
 
 
 def bounce_queue(
--- a/packages/bendwind-core/src/bendwind_core/attempts/runs.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/running_attempts.py
@@ -1,7 +1,7 @@
 """Start attempts at an upstream and end them."""
 
 from bendwind_core.admission import note_sent, note_started, note_taken
-from bendwind_core.attempts.attempt_log import Fate, record_ended, record_live
+from bendwind_core.attempts.attempt_log import ExecutionState, record_ended, record_live
 from bendwind_core.attempts.messages import AttemptId
 from bendwind_core.attempts.owner_events import Dispatch, OwnerEffect
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt, RunningAttempt
@@ -19,29 +19,31 @@
         note_sent(owner_state.warm_up, now)
 
 
-def note_sent_again(owner_state: OwnerState, attempt: AttemptId, now: Seconds) -> None:
+def record_resend(owner_state: OwnerState, attempt: AttemptId, now: Seconds) -> None:
     """Count a request that goes out a second time, over another connection, for the limit too."""
     running = owner_state.running.get(attempt)
     if running is not None and running.is_sent:
         note_taken(owner_state.rate_limit, now)
 
 
-def end_running(owner_state: OwnerState, attempt: AttemptId, fate: Fate) -> RunningAttempt | None:
+def end_attempt(
+    owner_state: OwnerState, attempt: AttemptId, state: ExecutionState
+) -> RunningAttempt | None:
     """Take a running attempt off the owner's state; return None if it was not there."""
     running = owner_state.running.pop(attempt, None)
     if running is not None:
-        record_ended(owner_state.log, attempt, fate)
+        record_ended(owner_state.log, attempt, state)
     return running
 
 
-def start(
+def start_attempt(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     """Give an attempt a slot and dispatch it."""
     hand_over = queued.hand_over
-    record_live(owner_state.log, hand_over.attempt, Fate.RUNNING)
+    record_live(owner_state.log, hand_over.attempt, ExecutionState.RUNNING)
     if not owner_state.running:
-        owner_state.progress_at = now
+        owner_state.last_progress_at = now
     running = RunningAttempt(
         queued.epoch,
         now,
@@ -50,13 +52,16 @@
         owner_state.pace.reported_at is not None and is_known(owner_state.pace, now),
         signature=queued.signature,
         is_suspect=queued.is_suspect,
-        own_rank=queued.own_rank,
+        effective_rank=queued.effective_rank,
     )
     owner_state.running[hand_over.attempt] = running
     note_taken(owner_state.rate_limit, now)
     if not queued.is_inner:
         note_started(owner_state.rank_counts, hand_over.rank, now)
     note_work(
-        owner_state.turns, hand_over.customer, find_usual_ms(owner_state, hand_over.route), now
+        owner_state.customer_work,
+        hand_over.customer,
+        find_usual_ms(owner_state, hand_over.route),
+        now,
     )
     effects.append(Dispatch(hand_over, queued.expires_at))
--- a/packages/bendwind-core/src/bendwind_core/attempts/slots.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/slots.py
@@ -1,7 +1,7 @@
 """Decide whether an upstream bears one more attempt, and tell its load."""
 
 from bendwind_core.admission import find_room_at, find_told_limit, find_turn_at, is_cold, is_limited
-from bendwind_core.attempts.owner_state import OwnerState, is_open
+from bendwind_core.attempts.owner_state import OwnerState, is_accepting
 from bendwind_core.attempts.pace import find_rest_ms, is_slow
 from bendwind_core.attempts.usual_times import find_run_rest_ms
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
@@ -20,9 +20,9 @@
         in_flight=len(owner_state.running),
         queued=len(owner_state.waiting),
         slots=owner_state.slots,
-        latency_ms=owner_state.times.average_ms,
-        error_rate=owner_state.times.error_rate,
-        draining=not is_open(owner_state),
+        latency_ms=owner_state.service_times.average_ms,
+        error_rate=owner_state.service_times.error_rate,
+        draining=not is_accepting(owner_state),
         room_wait_ms=find_room_wait_ms(owner_state, len(owner_state.waiting), now),
         wait_ms=find_free_wait_ms(owner_state, now),
         limit_per_s=find_told_limit(owner_state.rate_limit),
@@ -39,7 +39,7 @@
     rests = [
         find_run_rest_ms(owner_state, running, now) for running in owner_state.running.values()
     ]
-    ahead_ms = len(owner_state.waiting) * owner_state.times.average_ms / slots
+    ahead_ms = len(owner_state.waiting) * owner_state.service_times.average_ms / slots
     slot_wait_ms = min(rests, default=0.0) + ahead_ms
     return max(
         phase_ms, slot_wait_ms, find_room_wait_ms(owner_state, len(owner_state.waiting), now)
@@ -98,5 +98,7 @@
     # At the usual pace, this many of the running attempts would have ended since the last one did.
     if len(owner_state.running) < STALL_RUNNING:
         return False
-    expected = len(owner_state.running) * (now - owner_state.progress_at) * MILLISECONDS_PER_SECOND
-    return expected > STALL_EXPECTED * owner_state.times.average_ms > 0.0
+    expected = (
+        len(owner_state.running) * (now - owner_state.last_progress_at) * MILLISECONDS_PER_SECOND
+    )
+    return expected > STALL_EXPECTED * owner_state.service_times.average_ms > 0.0
--- a/packages/bendwind-core/src/bendwind_core/attempts/suspects.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/suspects.py
@@ -5,7 +5,11 @@
 from bendwind_core.attempts.messages import NotRunReason
 from bendwind_core.attempts.owner_events import OwnerEffect, UpstreamEnded
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt, RunningAttempt
-from bendwind_core.attempts.upstream_end import number_hand_over, sign_hand_over, take_unanswered
+from bendwind_core.attempts.upstream_end import (
+    compute_hand_over_signature,
+    hash_hand_over,
+    pop_unanswered,
+)
 from bendwind_core.core import Milliseconds, Seconds
 from bendwind_core.suspicion import (
     EndName,
@@ -25,7 +29,7 @@
 from bendwind_core.world import UpstreamState
 
 
-class Withheld(msgspec.Struct, frozen=True):
+class SuspectRefusal(msgspec.Struct, frozen=True):
     """Say why a request that upstreams ended under is not let in.
 
     Units: `wait_ms` is when it would be, in milliseconds, None where that is not known.
@@ -35,9 +39,9 @@
     wait_ms: Milliseconds | None = None
 
 
-def note_upstream_end(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
+def record_upstream_end(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
     """Note that the upstream has ended, and hold that against what it had not answered."""
-    under = take_unanswered(owner_state.ends, now)
+    under = pop_unanswered(owner_state.end_detector, now)
     # One that leaves as it said may break off what it runs.
     if not under or owner_state.state is not UpstreamState.READY:
         return
@@ -45,36 +49,40 @@
         owner_state.suspects.own,
         owner_state.incarnation,
         owner_state.upstream,
-        owner_state.ends.ends,
+        owner_state.end_detector.end_count,
     )
     for ended in under:
-        is_served = take_served(owner_state.served, ended.number, now)
+        is_served = take_served(owner_state.served_requests, ended.request_hash, now)
         note_end(
             owner_state.suspects, ended.signature, ended.service, name, now, is_served=is_served
         )
     effects.append(UpstreamEnded(under))
 
 
-def note_success(owner_state: OwnerState, running: RunningAttempt, now: Seconds) -> None:
+def record_success(owner_state: OwnerState, running: RunningAttempt, now: Seconds) -> None:
     """Note that a request was answered with success, which clears it of suspicion."""
     hand_over = running.hand_over
-    note_served(owner_state.served, number_hand_over(hand_over), now)
+    note_served(owner_state.served_requests, hash_hand_over(hand_over), now)
     if owner_state.suspects.suspects:
-        clear(owner_state.suspects, running.signature or sign_hand_over(hand_over), now)
+        clear(
+            owner_state.suspects, running.signature or compute_hand_over_signature(hand_over), now
+        )
 
 
-def find_suspicion(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> Withheld | None:
+def find_suspect_refusal(
+    owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
+) -> SuspectRefusal | None:
     """Return why a request is not let in, by what this process and its entry node know, or None."""
     hand_over = queued.hand_over
-    queued.signature = sign_hand_over(hand_over)
+    queued.signature = compute_hand_over_signature(hand_over)
     if hand_over.suspicion is not None:
         hear_and_pass_on(owner_state.suspects, hand_over.suspicion, now)
     match judge(owner_state.suspects, queued.signature, now):
         case Quarantined(wait_ms=wait_ms):
-            return Withheld(NotRunReason.QUARANTINED, wait_ms)
+            return SuspectRefusal(NotRunReason.QUARANTINED, wait_ms)
         case RunApart(others=others):
             if _count_other_suspects(owner_state, queued.signature) > others:
-                return Withheld(NotRunReason.KEPT_APART)
+                return SuspectRefusal(NotRunReason.KEPT_APART)
             queued.is_suspect = True
             note_let_in(owner_state.suspects, queued.signature, now)
     return None
@@ -89,9 +97,9 @@
     return MOST_TOGETHER if has_trial else len(others)
 
 
-def is_withheld_here(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
+def is_now_quarantined(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
     """Tell whether a request that waits is not to run any more."""
     if not owner_state.suspects.suspects:
         return False
-    signature = queued.signature or sign_hand_over(queued.hand_over)
+    signature = queued.signature or compute_hand_over_signature(queued.hand_over)
     return is_withheld(owner_state.suspects, signature, now)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/call_path_world.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/call_path_world.py
@@ -63,7 +63,11 @@
         self.runs = {}
         self.is_drained = False
         self.owner_state = owner.create_owner_state(
-            f"u{self.index}", self.incarnation, QUEUE, remembered_attempts=6, remembered_peers=1
+            f"u{self.index}",
+            self.incarnation,
+            QUEUE,
+            max_remembered_attempts=6,
+            max_remembered_peers=1,
         )
 
     @property
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
@@ -96,7 +96,7 @@
         polite = {"target_ms": 150.0, "insist": False}
         self.assertIs(self.reason(self.hand_over(**polite)), NotRunReason.STALLED)
         self.now += TYPICAL_PHASE
-        self.assertEqual(self.hand_over(**polite), [ov.AskLoad()])
+        self.assertEqual(self.hand_over(**polite), [ov.QueryLoad()])
         started = self.step(ov.LoadReported(1.0))
         self.assertIsInstance(started[0], ov.Dispatch)
 
@@ -106,7 +106,7 @@
         self.assertEqual(self.hand_over(target_ms=350.0), [])
         self.assertIsInstance(self.hand_over("quick", target_ms=350.0)[0], ov.Dispatch)
         self.now = owner.next_due(self.owner_state, self.now)
-        self.assertEqual(self.step(ov.Tick()), [ov.AskLoad()])
+        self.assertEqual(self.step(ov.Tick()), [ov.QueryLoad()])
         started = self.step(ov.LoadReported(1.0))
         self.assertEqual(started[0].hand_over.route, "slow")
 
@@ -138,7 +138,7 @@
         self.now += 0.1
         self.hand_over(target_ms=320.0)
         self.now = owner.next_due(self.owner_state, self.now)
-        self.assertEqual(self.step(ov.Tick()), [ov.AskLoad()])
+        self.assertEqual(self.step(ov.Tick()), [ov.QueryLoad()])
         self.now += 0.005
         self.assertEqual(self.step(ov.LoadReported(4.0)), [])
         self.now = owner.next_due(self.owner_state, self.now)
@@ -158,8 +158,8 @@
     def test_request_starts_blindly_where_the_upstream_does_not_tell_its_load(self):
         self.step(ov.LoadReported(1.0))
         self.now += 1.0
-        self.assertEqual(self.hand_over(), [ov.AskLoad()])
-        started = self.step(ov.LoadNotReported(may_ask=False))
+        self.assertEqual(self.hand_over(), [ov.QueryLoad()])
+        started = self.step(ov.LoadNotReported(has_load_endpoint=False))
         self.assertIsInstance(started[0], ov.Dispatch)
         self.now += 1.0
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
@@ -170,7 +170,7 @@
         self.hand_over()
         self.step(ov.LoadReported(1.0))
         self.now += 1.0
-        self.assertEqual(self.hand_over(), [ov.AskLoad()])
+        self.assertEqual(self.hand_over(), [ov.QueryLoad()])
 
     def test_request_starts_when_a_question_stays_unanswered(self):
         self.step(ov.LoadReported(1.0))
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_busy_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_busy_owner.py
@@ -54,7 +54,7 @@
     def test_a_slow_phase_told_while_it_is_held_sends_it_back_at_once(self):
         self.report(1.0, 0.5)
         [asked] = self.hand_over(1.0)
-        self.assertIsInstance(asked, ev.AskLoad)
+        self.assertIsInstance(asked, ev.QueryLoad)
         self.assertEqual(self.list_reasons(self.report(5.0, 1.001)), [NotRunReason.BUSY])
         self.assertFalse(self.owner_state.waiting)
 
@@ -74,7 +74,7 @@
         self.report(5.0, 1.0)
         self.assertEqual(self.list_reasons(self.hand_over(1.01)), [NotRunReason.BUSY])
         effects = self.hand_over(1.05)
-        self.assertIn(ev.AskLoad(), effects)
+        self.assertIn(ev.QueryLoad(), effects)
         self.report(1.0, 1.051)
         self.assertIsInstance(self.hand_over(1.052)[0], ev.Dispatch)
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
@@ -55,7 +55,7 @@
         self.assertGreaterEqual(len(sent_at), LIMIT - 1)
 
     def test_cold_upstream_is_sent_what_it_bears_and_the_rest_later(self):
-        self.step(ov.WarmUpTold(3000.0))
+        self.step(ov.WarmUpReported(3000.0))
         self.assert_spared(self.press(1.0))
         self.assertTrue(self.owner_state.waiting)
         due = owner.next_due(self.owner_state, self.now)
@@ -69,12 +69,12 @@
         self.assert_spared(self.press(2.0))
 
     def test_late_announcement_of_a_warm_upstream_frees_no_room(self):
-        self.step(ov.WarmUpTold(3000.0, asked_at=self.now))
-        self.step(ov.WarmUpTold(0.0))
+        self.step(ov.WarmUpReported(3000.0, queried_at=self.now))
+        self.step(ov.WarmUpReported(0.0))
         self.assert_spared(self.press(2.0))
 
     def test_request_that_waits_for_a_connection_holds_up_the_next(self):
-        self.step(ov.WarmUpTold(3000.0))
+        self.step(ov.WarmUpReported(3000.0))
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
         self.now += 0.9
         self.assertEqual(self.hand_over(), [])
@@ -84,7 +84,7 @@
         self.assertIsInstance(self.step(ov.Tick())[0], ov.Dispatch)
 
     def test_request_that_no_cold_room_serves_in_time_is_refused_at_once(self):
-        self.step(ov.WarmUpTold(3000.0))
+        self.step(ov.WarmUpReported(3000.0))
         for _ in range(LIMIT):
             self.hand_over()
         refused = self.hand_over(target_ms=400.0, remaining_ms=900.0)[0]
@@ -92,7 +92,7 @@
         self.assertAlmostEqual(refused.load.room_wait_ms, 1000 * SPAN, delta=1.0)
 
     def test_most_urgent_request_takes_the_first_cold_room(self):
-        self.step(ov.WarmUpTold(3000.0))
+        self.step(ov.WarmUpReported(3000.0))
         self.answer(self.hand_over(), [])
         self.hand_over(target_ms=8000.0)
         self.hand_over(target_ms=4000.0)
@@ -147,7 +147,7 @@
         self.refuse_connection()
         self.step(ov.UpstreamAnnounced(2, 20, UpstreamState.READY))
         self.assertIs(self.hand_over()[0].reason, NotRunReason.NO_UPSTREAM)
-        self.step(ov.UpstreamReached())
+        self.step(ov.UpstreamReachable())
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
 
     def test_next_run_is_used_at_once_and_what_ran_has_an_unknown_end(self):
@@ -155,7 +155,7 @@
         effects = self.step(ov.UpstreamRestarted())
         cancelled, ended = effects
         self.assertEqual(cancelled, ov.CancelDispatch(AttemptId("e", 1, 2)))
-        self.assertEqual([one.attempt for one in ended.under], [AttemptId("e", 1, 2)])
+        self.assertEqual([one.attempt for one in ended.unanswered], [AttemptId("e", 1, 2)])
         self.step(ov.DispatchUnknown(AttemptId("e", 1, 2), CutReason.CANCELLED))
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_dependency_full.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_dependency_full.py
@@ -44,7 +44,7 @@
         if refused:
             return refused[0]
         if is_call_refused:
-            step(self.owner_state, ev.CallRefused(), now + 0.01)
+            step(self.owner_state, ev.UpstreamCallRefused(), now + 0.01)
         step(self.owner_state, ev.DispatchHead(hand_over.attempt, status, 20.0), now + 0.02)
         step(self.owner_state, ev.DispatchDone(hand_over.attempt), now + 0.02)
         return None
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
@@ -162,7 +162,7 @@
             match effect:
                 case ov.Dispatch(hand_over=hand_over):
                     self._start(place, hand_over.attempt)
-                case ov.AskLoad():
+                case ov.QueryLoad():
                     self.at(self.now + ASK, lambda: self._report(place))
                 case ov.ReplyNotRun(attempt=attempt, reason=reason, load=load, wait_ms=wait_ms):
                     self._send_back(place, attempt, reason, load, wait_ms)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_call_path.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_call_path.py
@@ -173,7 +173,7 @@
             assert node.owner_state.queue.size == len(node.owner_state.waiting)
             log = node.owner_state.log
             live = len(node.owner_state.running) + len(node.owner_state.waiting)
-            assert len(log.ended) <= log.capacity and len(log.fates) == len(log.ended) + live
+            assert len(log.ended) <= log.capacity and len(log.states) == len(log.ended) + live
             assert len(log.peers) <= log.peer_capacity
         for entry_node in self.world.entries:
             limit = entry_node.firsts * (1 + RETRY_RATIO)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_cold.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_cold.py
@@ -156,32 +156,32 @@
     @rule()
     def turn_cold_during_an_evacuation(self):
         self.step(ov.UpstreamAnnounced(SLOTS, 50, UpstreamState.DRAINING))
-        self.step(ov.WaitingWithdrawn())
+        self.step(ov.QueueWithdrawn())
         assert not self.owner_state.waiting
         self.connect()
-        asked_at = self.now
+        queried_at = self.now
         self.now += 0.01
         self.born_at = self.now
         self.step(ov.UpstreamAnnounced(SLOTS, 50, UpstreamState.READY))
-        self.step(ov.ColdAssumed())
+        self.step(ov.UpstreamAssumedCold())
         # It was asked before it turned cold.
-        self.step(ov.WarmUpTold(0.0, asked_at))
+        self.step(ov.WarmUpReported(0.0, queried_at))
 
     @rule()
     def announce(self):
-        left_ms = max(0.0, self.cold_until - self.now) * 1000
-        self.late.append(left_ms)
-        self.step(ov.WarmUpTold(left_ms))
+        remaining_ms = max(0.0, self.cold_until - self.now) * 1000
+        self.late.append(remaining_ms)
+        self.step(ov.WarmUpReported(remaining_ms))
 
     @rule()
     def announce_late(self):
         if self.late:
-            self.step(ov.WarmUpTold(min(self.late)))
+            self.step(ov.WarmUpReported(min(self.late)))
 
     @rule()
     def ask(self):
-        left_ms = max(0.0, self.cold_until - self.now) * 1000
-        self.step(ov.WarmUpTold(left_ms, asked_at=self.now))
+        remaining_ms = max(0.0, self.cold_until - self.now) * 1000
+        self.step(ov.WarmUpReported(remaining_ms, queried_at=self.now))
 
     @rule()
     def restart_node(self):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
@@ -123,9 +123,9 @@
         if seat not in self.owners or attempt not in seat.state.running:
             return
         if limit is None:
-            self.feed(seat, ov.LimitNotNamed(sent_at))
+            self.feed(seat, ov.RateLimitNotReported(sent_at))
         else:
-            self.feed(seat, ov.LimitNamed(limit, sent_at))
+            self.feed(seat, ov.RateLimitReported(limit, sent_at))
         self.feed(seat, ov.DispatchHead(attempt, 200, 10.0))
         self.feed(seat, ov.DispatchDone(attempt))
         if attempt.entry in self.tables and seat in self.owners:
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
@@ -50,9 +50,9 @@
             "u",
             INCARNATION,
             QUEUE,
-            timed_queue=QUEUE,
-            remembered_attempts=remembered,
-            remembered_peers=peers,
+            timed_queue_capacity=QUEUE,
+            max_remembered_attempts=remembered,
+            max_remembered_peers=peers,
         )
         self.announce(2, 9, UpstreamState.READY)
 
@@ -220,15 +220,15 @@
             return
         owner_state, log = self.owner_state, self.owner_state.log
         assert set(owner_state.running) == set(self.running)
-        assert owner_state.queue.size + len(owner_state.timed) == len(owner_state.waiting)
-        assert owner_state.queue.size <= QUEUE and len(owner_state.timed) <= QUEUE
+        assert owner_state.queue.size + len(owner_state.timed_queue) == len(owner_state.waiting)
+        assert owner_state.queue.size <= QUEUE and len(owner_state.timed_queue) <= QUEUE
         assert len(log.ended) <= log.capacity and len(log.peers) <= log.peer_capacity
-        assert len(log.fates) == len(log.ended) + len(owner_state.running) + len(
+        assert len(log.states) == len(log.ended) + len(owner_state.running) + len(
             owner_state.waiting
         )
         has_slot = len(owner_state.running) < min(owner_state.slots, owner_state.connections)
         assert not (has_slot and owner_state.queue.size), "a slot is idle while attempts wait"
-        if has_slot and len(owner_state.timed):
+        if has_slot and len(owner_state.timed_queue):
             due = owner.next_due(owner_state, self.now)
             assert due is not None, "an attempt is held back and nothing will start it"
             # What is held back is so for a slow phase, or for the moment that a question takes.
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_room.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_room.py
@@ -39,7 +39,7 @@
     @initialize()
     def create(self):
         self.owner_state = owner.create_owner_state(
-            "u", 1, QUEUE, timed_queue=QUEUE, slot_share=0.8
+            "u", 1, QUEUE, timed_queue_capacity=QUEUE, slot_share=0.8
         )
         self.step(ov.UpstreamAnnounced(SLOTS, 9, UpstreamState.READY))
         for number in range(MOST_SEEN - 1):
@@ -117,7 +117,7 @@
         """Return what has to start once a run ends: the most urgent, if a slot will be free."""
         if self.is_held or len(self.running) != USED - 1 or len(self.owner_state.running) != USED:
             return None
-        ranks = {attempt: queued.rank for attempt, queued in self.owner_state.waiting.items()}
+        ranks = {attempt: queued.queue_rank for attempt, queued in self.owner_state.waiting.items()}
         most_urgent = [attempt for attempt, rank in ranks.items() if rank == min(ranks.values())]
         if len(most_urgent) != 1:
             return None
@@ -174,7 +174,7 @@
             assert find_slot_kept_until(owner_state, queued) <= self.now + LONGEST_KEPT
             if queued.is_inner and len(owner_state.running) < SLOTS:
                 held = (*owner_state.running.values(), *owner_state.waiting.values())
-                has_more_urgent = any(one.own_rank < queued.own_rank for one in held)
+                has_more_urgent = any(one.effective_rank < queued.effective_rank for one in held)
                 assert has_more_urgent, "a call waits beside an idle slot"
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_limited_upstream.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_limited_upstream.py
@@ -33,7 +33,7 @@
         return self.step(ov.HandOverArrived(message, 1))
 
     def name(self, per_second):
-        self.step(ov.LimitNamed(per_second, self.now))
+        self.step(ov.RateLimitReported(per_second, self.now))
 
     def run_for(self, span_s, offered_per_s, **more):
         """Offer requests evenly, answer what runs, and return the ranks of what was started."""
@@ -73,7 +73,7 @@
         self.run_for(5.0, 42)
         refusals = [one for one in self.list_refusals() if one.reason is NotRunReason.LIMITED]
         self.assertGreater(len(refusals), 100)
-        at_once = [one for one in refusals if not one.waited]
+        at_once = [one for one in refusals if not one.queue_time]
         self.assertGreater(len(at_once), 0.5 * len(refusals))
         self.assertTrue(all(one.wait_ms > 0.0 for one in at_once))
 
@@ -112,13 +112,13 @@
         self.name(6.2)
         self.effects.clear()
         self.run_for(3.0, 21)
-        self.assertFalse([one for one in self.effects if isinstance(one, ov.AskLoad)])
+        self.assertFalse([one for one in self.effects if isinstance(one, ov.QueryLoad)])
 
     def test_upstream_that_says_it_leaves_gets_nothing_whatever_it_announces(self):
         self.name(0.5)
         self.hand_over(target_ms=9000.0, remaining_ms=9500.0)
         self.effects.clear()
-        self.step(ov.LeavingSaid())
+        self.step(ov.LeavingReported())
         self.step(ov.UpstreamAnnounced(12, 20, UpstreamState.READY))
         self.hand_over()
         reasons = {one.reason for one in self.list_refusals()}
@@ -129,7 +129,7 @@
 
 
 def is_change(effect):
-    return isinstance(effect, ov.LimitChanged)
+    return isinstance(effect, ov.RateLimitChanged)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_room.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_room.py
@@ -88,7 +88,9 @@
     def setUp(self):
         self.now = 0.0
         self.sequence = 0
-        self.owner_state = owner.create_owner_state("u", 1, 16, timed_queue=4, slot_share=0.8)
+        self.owner_state = owner.create_owner_state(
+            "u", 1, 16, timed_queue_capacity=4, slot_share=0.8
+        )
         self.step(ov.UpstreamAnnounced(3, 30, UpstreamState.READY))
         for route, upstream_ms in (("check", 100.0), ("history", 400.0), ("call", 40.0)):
             for _ in range(5):
@@ -238,7 +240,7 @@
         for due in (5.0, 1.0, 3.0):
             urgency_queue.push(queue, due, due, work_ms=due)
         self.assertEqual(
-            urgency_queue.list_in_turn(queue, 2.0, self.owner_state.turns), [3.0, 5.0, 1.0]
+            urgency_queue.list_in_turn(queue, 2.0, self.owner_state.customer_work), [3.0, 5.0, 1.0]
         )
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_suspects.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_suspects.py
@@ -43,7 +43,7 @@
         for attempt in attempts:
             self.step(ov.DispatchUnknown(attempt, CutReason.UPSTREAM_RESET))
         self.step(ov.UpstreamChecked(is_refused=True))
-        self.step(ov.UpstreamReached())
+        self.step(ov.UpstreamReachable())
 
     def count(self, path):
         suspect = self.table.suspects.get(sign(path))
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_end.py
@@ -2,7 +2,7 @@
 
 from bendwind_core.attempts import AttemptId, CutReason, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.attempts.upstream_end import SETTLING, UNANSWERED_FOR
+from bendwind_core.attempts.upstream_end import END_SETTLING_TIME, UNANSWERED_RETENTION
 from bendwind_core.world import Repeat, UpstreamState
 
 ANNOUNCED = ov.UpstreamAnnounced(8, 8, UpstreamState.READY)
@@ -36,7 +36,7 @@
 
     def list_under(self, effects):
         ends = [effect for effect in effects if isinstance(effect, ov.UpstreamEnded)]
-        return [ended.attempt.sequence for end in ends for ended in end.under]
+        return [ended.attempt.sequence for end in ends for ended in end.unanswered]
 
     def test_refused_connection_shows_what_the_upstream_ended_under(self):
         self.run_attempts(1, 2)
@@ -48,13 +48,13 @@
         self.run_attempts(1, 2)
         self.reset(1)
         self.refuse_connection(3)
-        self.now = SETTLING / 2
+        self.now = END_SETTLING_TIME / 2
         self.assertEqual(self.list_under(self.reset(2)), [2])
 
     def test_upstream_that_answers_after_a_lost_answer_has_not_ended_under_it(self):
         self.run_attempts(1, 2, 3)
         self.reset(1)
-        self.now = 2 * SETTLING
+        self.now = 2 * END_SETTLING_TIME
         self.step(ov.DispatchHead(AttemptId("e", 1, 2), 200, 5.0))
         self.reset(3)
         self.assertEqual(self.list_under(self.refuse_connection(4)), [3])
@@ -62,7 +62,7 @@
     def test_what_ended_unanswered_long_before_has_no_part_in_an_end(self):
         self.run_attempts(1, 2)
         self.reset(1, CutReason.CANCELLED)
-        self.now = UNANSWERED_FOR + 1.0
+        self.now = UNANSWERED_RETENTION + 1.0
         self.reset(2)
         self.assertEqual(self.list_under(self.refuse_connection(3)), [2])
 
@@ -79,7 +79,7 @@
             effects = self.reset(sequence)
             self.step(ov.UpstreamChecked(is_refused=False))
         self.assertIn(ov.UpstreamUnreachable(), effects)
-        self.step(ov.UpstreamReached())
+        self.step(ov.UpstreamReachable())
         self.run_attempts(4)
         self.now += 0.005
         self.assertNotIn(ov.UpstreamUnreachable(), self.reset(4))
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
@@ -14,18 +14,18 @@
 from bendwind_core.suspicion import number_request, sign_request
 
 # Nine connections of an upstream that ended were read as broken within 1 ms; a busy node is slower.
-SETTLING: Seconds = 0.1
+END_SETTLING_TIME: Seconds = 0.1
 # A silent end is noticed when the upstream is back or is tried next. What ended without an answer
 # longer ago, as a caller that left with nothing else to do for the upstream, has no part in it.
-UNANSWERED_FOR: Seconds = 10.0
+UNANSWERED_RETENTION: Seconds = 10.0
 # An upstream that takes connections and resets each request, so many one after the other, serves
 # nobody: held down only once it refused connections, one was sent 388 requests in ten seconds.
-RESETS_IN_A_ROW = 3
+RESETS_UNTIL_UNREACHABLE = 3
 # More than the slots of any upstream planned for; of more, the oldest are forgotten.
 MAX_UNANSWERED = 64
 
 
-class Unanswered(msgspec.Struct, frozen=True):
+class UnansweredAttempt(msgspec.Struct, frozen=True):
     """Hold an attempt whose answer did not come, without its body.
 
     `number` is what `number_request` gives its request.
@@ -36,10 +36,10 @@
     headers: tuple[Header, ...]
     signature: bytes
     ended_at: Seconds
-    number: int | None = None
+    request_hash: int | None = None
 
 
-class EndWatch(msgspec.Struct):
+class EndDetector(msgspec.Struct):
     """Hold the attempts that ended without an answer since the upstream's last sign of life.
 
     Until `settles_at`, such attempts are still those of the last end that was seen; `ends` counts
@@ -47,15 +47,15 @@
     counts those one after the other, each of an attempt that began after the one at `reset_at`.
     """
 
-    unanswered: list[Unanswered] = msgspec.field(default_factory=list)
-    settles_at: Seconds = 0.0
-    ends: int = 0
-    is_checked: bool = False
-    resets: int = 0
-    reset_at: Seconds = -math.inf
+    unanswered: list[UnansweredAttempt] = msgspec.field(default_factory=list)
+    end_settles_at: Seconds = 0.0
+    end_count: int = 0
+    is_check_pending: bool = False
+    consecutive_resets: int = 0
+    last_reset_at: Seconds = -math.inf
 
 
-def sign_hand_over(hand_over: HandOver) -> bytes:
+def compute_hand_over_signature(hand_over: HandOver) -> bytes:
     """Return the signature of the request that is handed over."""
     return sign_request(
         hand_over.method,
@@ -66,53 +66,55 @@
     )
 
 
-def number_hand_over(hand_over: HandOver) -> int | None:
+def hash_hand_over(hand_over: HandOver) -> int | None:
     """Return what `number_request` gives the request that is handed over."""
     return number_request(hand_over.method, hand_over.target, hand_over.body)
 
 
-def note_unanswered(watch: EndWatch, hand_over: HandOver, reason: CutReason, now: Seconds) -> None:
+def record_unanswered(
+    detector: EndDetector, hand_over: HandOver, reason: CutReason, now: Seconds
+) -> None:
     """Note that an attempt ended without its answer."""
     if reason is CutReason.FOREIGN_ANSWER:
         # The upstream did answer, though something else.
         return
-    watch.unanswered.append(
-        Unanswered(
+    detector.unanswered.append(
+        UnansweredAttempt(
             hand_over.attempt,
             hand_over.service,
             hand_over.headers,
-            sign_hand_over(hand_over),
+            compute_hand_over_signature(hand_over),
             now,
-            number_hand_over(hand_over),
+            hash_hand_over(hand_over),
         )
     )
-    del watch.unanswered[:-MAX_UNANSWERED]
+    del detector.unanswered[:-MAX_UNANSWERED]
 
 
-def note_reset(watch: EndWatch, started_at: Seconds, now: Seconds) -> bool:
+def record_reset(detector: EndDetector, started_at: Seconds, now: Seconds) -> bool:
     """Note that a connection was reset; tell whether the upstream resets whatever it is sent."""
-    if started_at >= watch.reset_at:
-        watch.resets += 1
-        watch.reset_at = now
-    if watch.resets < RESETS_IN_A_ROW:
+    if started_at >= detector.last_reset_at:
+        detector.consecutive_resets += 1
+        detector.last_reset_at = now
+    if detector.consecutive_resets < RESETS_UNTIL_UNREACHABLE:
         return False
-    watch.resets = 0
+    detector.consecutive_resets = 0
     return True
 
 
-def note_alive(watch: EndWatch, now: Seconds) -> None:
+def record_sign_of_life(detector: EndDetector, now: Seconds) -> None:
     """Note a sign of life: what ended well before it did not end the upstream."""
-    if watch.unanswered:
-        since = now - SETTLING
-        watch.unanswered = [ended for ended in watch.unanswered if ended.ended_at >= since]
+    if detector.unanswered:
+        since = now - END_SETTLING_TIME
+        detector.unanswered = [ended for ended in detector.unanswered if ended.ended_at >= since]
 
 
-def take_unanswered(watch: EndWatch, now: Seconds) -> tuple[Unanswered, ...]:
+def pop_unanswered(detector: EndDetector, now: Seconds) -> tuple[UnansweredAttempt, ...]:
     """Return and forget the attempts that an upstream has ended under."""
-    if now >= watch.settles_at:
-        watch.ends += 1
-    watch.settles_at = now + SETTLING
-    since = now - UNANSWERED_FOR
-    under = tuple(ended for ended in watch.unanswered if ended.ended_at >= since)
-    watch.unanswered = []
+    if now >= detector.end_settles_at:
+        detector.end_count += 1
+    detector.end_settles_at = now + END_SETTLING_TIME
+    since = now - UNANSWERED_RETENTION
+    under = tuple(ended for ended in detector.unanswered if ended.ended_at >= since)
+    detector.unanswered = []
     return under
--- a/packages/bendwind-core/src/bendwind_core/attempts/usual_times.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/usual_times.py
@@ -43,7 +43,7 @@
     usual_ms = owner_state.route_times.get(route)
     if usual_ms is None:
         usual_ms = owner_state.guessed_times.get(route)
-    return owner_state.times.average_ms if usual_ms is None else usual_ms
+    return owner_state.service_times.average_ms if usual_ms is None else usual_ms
 
 
 def find_run_rest_ms(
@@ -68,8 +68,8 @@
     expected_ms = owner_state.guessed_times.get(route) if known_ms is None else known_ms
     taken_ms = upstream_ms / max(1.0, running.slow_factor)
     if expected_ms is not None:
-        is_paced = running.is_paced or owner_state.pace.reported_at is None
-        taken_ms = min(taken_ms, expected_ms * (PACED_STEP if is_paced else UNPACED_STEP))
+        is_pace_known = running.is_pace_known or owner_state.pace.reported_at is None
+        taken_ms = min(taken_ms, expected_ms * (PACED_STEP if is_pace_known else UNPACED_STEP))
     if known_ms is None:
         if len(owner_state.route_times) >= MAX_ROUTE_TIMES:
             owner_state.route_times.pop(next(iter(owner_state.route_times)))
--- a/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
@@ -4,7 +4,7 @@
 from bendwind_core.attempts.call import Attempt
 from bendwind_core.attempts.messages import HandOver, NotRunReason
 from bendwind_core.attempts.owner_state import OwnerState
-from bendwind_core.attempts.upstream_end import Unanswered, sign_hand_over
+from bendwind_core.attempts.upstream_end import UnansweredAttempt, compute_hand_over_signature
 from bendwind_core.attempts.usual_times import find_usual_ms
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.timeline import (
@@ -113,7 +113,7 @@
         owner_state.slots,
         owner_state.pace.factor,
         _find_report_age(owner_state, now),
-        sign_hand_over(hand_over).hex() if is_suspect else "",
+        compute_hand_over_signature(hand_over).hex() if is_suspect else "",
         None if waited is None else _count_ms(waited),
         _find_limit(owner_state),
         int(hand_over.rank),
@@ -122,7 +122,7 @@
     )
 
 
-def make_end_facts(under: tuple[Unanswered, ...], dialect: Dialect) -> EndFacts:
+def make_end_facts(under: tuple[UnansweredAttempt, ...], dialect: Dialect) -> EndFacts:
     """Describe what an upstream ended under."""
     return EndFacts(
         tuple(
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -24,7 +24,7 @@
     owner,
 )
 from bendwind_core.attempts import owner_events as ev
-from bendwind_core.attempts.upstream_end import Unanswered
+from bendwind_core.attempts.upstream_end import UnansweredAttempt
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
 from bendwind_core.limits import ProbeBudget, spend_probe
 from bendwind_core.messages import PeerMessage
@@ -196,7 +196,7 @@
         """Return the most urgent rank of what runs beside this process, None where nothing does."""
         return min(
             (
-                running.own_rank
+                running.effective_rank
                 for owned in self.register.owned.values()
                 for running in owned.owner_state.running.values()
             ),
@@ -263,7 +263,7 @@
                 scope = trio.CancelScope(deadline=expires_at)
                 owned.scopes[hand_over.attempt] = scope
                 self.nursery.start_soon(self._dispatch, owned, hand_over, scope)
-            case ev.AskLoad():
+            case ev.QueryLoad():
                 self.nursery.start_soon(self._ask_load, owned)
             case ev.CheckUpstream():
                 self.nursery.start_soon(self._check_upstream, owned)
@@ -279,17 +279,17 @@
                 self.replies.send(attempt, epoch, Unknown(attempt, reason, load))
             case ev.ReplyFenced(attempt=attempt, epoch=epoch, verdict=verdict):
                 self.replies.send(attempt, epoch, Fenced(attempt, verdict))
-            case ev.UpstreamEnded(under=under):
+            case ev.UpstreamEnded(unanswered=under):
                 self._record_end(owned, under)
             case ev.UpstreamUnreachable():
                 self.register.hold_down(owned)
-            case ev.LimitChanged(change=change, per_second=per_second):
+            case ev.RateLimitChanged(change=change, per_second=per_second):
                 detail = change if per_second is None else f"{change}: {per_second:g} a second"
                 self._log_notice(owned, EventKind.UPSTREAM_LIMIT, detail)
             case ev.Drained():
                 self.recorder.record(EventKind.UPSTREAM_DRAINED, upstream=owned.upstream.name)
 
-    def _record_end(self, owned: OwnedUpstream, under: tuple[Unanswered, ...]) -> None:
+    def _record_end(self, owned: OwnedUpstream, under: tuple[UnansweredAttempt, ...]) -> None:
         self.recorder.record(
             EventKind.UPSTREAM_ENDED,
             upstream=owned.upstream.name,
@@ -311,7 +311,7 @@
 
     def note_call_refused(self) -> None:
         """Hear that a call was refused which an upstream beside this process made."""
-        self._feed_all(ev.CallRefused())
+        self._feed_all(ev.UpstreamCallRefused())
 
     def _record_refusal(self, owned: OwnedUpstream, reply: ev.ReplyNotRun) -> None:
         hand_over = reply.hand_over
@@ -325,14 +325,16 @@
             upstream=owned.upstream.name,
             detail=str(reply.reason),
             request=find_request_id(hand_over.headers, self.dialect),
-            facts=make_refusal_facts(owned.owner_state, hand_over, reply.reason, now, reply.waited),
+            facts=make_refusal_facts(
+                owned.owner_state, hand_over, reply.reason, now, reply.queue_time
+            ),
         )
 
     async def _ask_load(self, owned: OwnedUpstream) -> None:
         """Ask an upstream for its load, within the budget of what measuring may cost."""
         path = self.register.find_health_path(owned.upstream.service)
         if not path or self.dialect.load is None:
-            self._feed(owned, ev.LoadNotReported(may_ask=False))
+            self._feed(owned, ev.LoadNotReported(has_load_endpoint=False))
             return
         answer = None
         asked_at = trio.current_time()
@@ -387,9 +389,9 @@
         """Hear what an answer of an upstream says of it."""
         limit = owned.owner_state.rate_limit
         if notice.limit_per_s is not None:
-            self._feed(owned, ev.LimitNamed(notice.limit_per_s, sent_at))
+            self._feed(owned, ev.RateLimitReported(notice.limit_per_s, sent_at))
         elif not notice.malformed and (is_limited(limit) or not limit.is_heard):
-            self._feed(owned, ev.LimitNotNamed(sent_at))
+            self._feed(owned, ev.RateLimitNotReported(sent_at))
         if notice.malformed:
             self._log_notice(owned, EventKind.NOTICE_MALFORMED, repr(notice.malformed))
         if notice.is_leaving:
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_facts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_facts.py
@@ -40,13 +40,13 @@
             self.arrive(hand_over(sequence), 0.1)
         (refused,) = self.feed(ov.Tick(), 0.5)
         facts = make_refusal_facts(
-            self.owner_state, refused.hand_over, refused.reason, 0.5, refused.waited
+            self.owner_state, refused.hand_over, refused.reason, 0.5, refused.queue_time
         )
         self.assertEqual((refused.reason, facts.waited_ms), (NotRunReason.DEADLINE, 400.0))
 
     def test_refusal_on_arrival_has_no_wait(self):
         (refused,) = self.arrive(hand_over(1, remaining_ms=0.0))
-        self.assertIsNone(refused.waited)
+        self.assertIsNone(refused.queue_time)
         facts = make_refusal_facts(self.owner_state, refused.hand_over, refused.reason, 0.0)
         self.assertNotIn(b"waited_ms", msgspec.json.encode(facts))
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_runs.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_runs.py
@@ -10,7 +10,7 @@
 from bendwind_core.admission import is_cold
 from bendwind_core.attempts import owner
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.attempts.owner_state import is_open
+from bendwind_core.attempts.owner_state import is_accepting
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_core.world import Instance, UpstreamState, WarmUpRule
 from bendwind_node.calls.dialect import BENDWIND_DIALECT
@@ -201,14 +201,14 @@
         for sequence in (1, 2):
             one.announce(sequence=sequence)
         owner_state = one.register.owned["u1"].owner_state
-        one.feed(one.register.owned["u1"], ov.WarmUpTold(0.0, trio.current_time()))
+        one.feed(one.register.owned["u1"], ov.WarmUpReported(0.0, trio.current_time()))
         self.assertFalse(is_cold(owner_state.warm_up, trio.current_time()))
         one.register.hear_configuration(frozenset({"dc1"}))
-        self.assertFalse(is_open(owner_state))
+        self.assertFalse(is_accepting(owner_state))
         one.announce(sequence=3)
-        self.assertFalse(is_open(owner_state))
+        self.assertFalse(is_accepting(owner_state))
         one.register.hear_configuration(frozenset({"dc2"}))
-        self.assertTrue(is_open(owner_state))
+        self.assertTrue(is_accepting(owner_state))
         self.assertTrue(is_cold(owner_state.warm_up, trio.current_time()))
 
     @in_trio
@@ -217,7 +217,7 @@
         one.register.hear_configuration(frozenset({"dc1"}))
         for sequence in (1, 2):
             one.announce(sequence=sequence)
-        self.assertFalse(is_open(one.register.owned["u1"].owner_state))
+        self.assertFalse(is_accepting(one.register.owned["u1"].owner_state))
 
 
 class RefusedConnectionsTest(unittest.TestCase):
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
@@ -165,14 +165,14 @@
         if answer.slow_factor is not None:
             self.feed(owned, ev.LoadReported(answer.slow_factor))
         if answer.warm_up_left_ms is not None and answer.name:
-            self.feed(owned, ev.WarmUpTold(answer.warm_up_left_ms, asked_at))
+            self.feed(owned, ev.WarmUpReported(answer.warm_up_left_ms, asked_at))
         if answer.name:
             self._note_notice(owned, answer.notice, asked_at)
 
     def _note_notice(self, owned: OwnedUpstream, notice: UpstreamNotice, asked_at: Seconds) -> None:
         # An answer on the health path that names no limit ends none: it need not repeat it.
         if notice.limit_per_s is not None:
-            self.feed(owned, ev.LimitNamed(notice.limit_per_s, asked_at))
+            self.feed(owned, ev.RateLimitReported(notice.limit_per_s, asked_at))
         if notice.is_leaving:
             self.hear_leaving(owned)
 
@@ -180,12 +180,12 @@
         """Hear from an upstream itself that it leaves, and tell all; it may never announce it."""
         if owned.owner_state.is_leaving:
             return
-        self.feed(owned, ev.LeavingSaid())
+        self.feed(owned, ev.LeavingReported())
         self._set_state(owned)
         self.recorder.record(EventKind.UPSTREAM_LEAVING, upstream=owned.upstream.name)
 
     async def _ask_owned(self, owned: OwnedUpstream, service: str) -> HealthAnswer | None:
-        self.feed(owned, ev.UpstreamAsked())
+        self.feed(owned, ev.UpstreamQueried())
         return await self._ask(owned.pool, service)
 
     async def _ask(self, pool: UpstreamPool, service: str) -> HealthAnswer | None:
@@ -256,9 +256,9 @@
             born_ms=owned.born_ms,
         )
         self._change(owned, changed)
-        self.feed(owned, ev.WarmUpRuled(self.find_warm_up(news.service)))
+        self.feed(owned, ev.WarmUpConfigured(self.find_warm_up(news.service)))
         if news.sequence:
-            self.feed(owned, ev.WarmUpTold(news.warm_up_left_ms))
+            self.feed(owned, ev.WarmUpReported(news.warm_up_left_ms))
         self._feed_state(owned)
         self._learn_warmth(owned)
 
@@ -309,7 +309,7 @@
         was_evacuated = self.is_evacuated
         self.is_evacuated = self.own.data_centre in evacuated
         for owned in self.owned.values():
-            self.feed(owned, ev.WarmUpRuled(self.find_warm_up(owned.upstream.service)))
+            self.feed(owned, ev.WarmUpConfigured(self.find_warm_up(owned.upstream.service)))
             if self.is_evacuated != was_evacuated:
                 self._evacuate(owned)
             self._learn_warmth(owned)
@@ -317,10 +317,10 @@
     def _evacuate(self, owned: OwnedUpstream) -> None:
         self._feed_state(owned)
         if self.is_evacuated:
-            self.feed(owned, ev.WaitingWithdrawn())
+            self.feed(owned, ev.QueueWithdrawn())
         else:
             # It was sent nothing, and may have been restarted meanwhile.
-            self.feed(owned, ev.ColdAssumed())
+            self.feed(owned, ev.UpstreamAssumedCold())
 
     def _feed_state(self, owned: OwnedUpstream) -> None:
         upstream = owned.upstream
@@ -394,9 +394,9 @@
         )
         if is_reached:
             owned.is_unreachable = False
-            self.feed(owned, ev.UpstreamReached())
+            self.feed(owned, ev.UpstreamReachable())
             # Whatever refuses connections and takes them again has most likely started anew.
-            self.feed(owned, ev.ColdAssumed())
+            self.feed(owned, ev.UpstreamAssumedCold())
             self._set_state(owned)
             self._feed_state(owned)
             self._learn_warmth(owned)
@@ -408,7 +408,7 @@
         owned.pool = UpstreamPool(news.host, news.port, news.connections)
         if owned.is_unreachable:
             owned.is_unreachable = False
-            self.feed(owned, ev.UpstreamReached())
+            self.feed(owned, ev.UpstreamReachable())
 
     def _change(self, owned: OwnedUpstream, changed: Upstream) -> None:
         if changed == owned.upstream:
