--- a/packages/bendwind-core/src/bendwind_core/attempts/attempt_log.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/attempt_log.py
@@ -1,8 +1,9 @@
-"""Remember, in bounded memory, what became of the attempts an owner node was handed.
+"""Record, in bounded memory, the execution state of the attempts that an owner node was handed.
 
-When the oldest ended attempt of an entry node is dropped, the floor of that entry node rises to
-its sequence: of an attempt at or below the floor nothing can be said any more. Dropping a peer
-relies on ordered links: once a link was reopened, nothing more arrives of its earlier attempts.
+When the oldest ended attempt of an entry node is evicted, the floor of that entry node rises to
+the sequence of this attempt. The state of an unrecorded attempt at or below the floor is unknown.
+Evicting a peer relies on ordered links: after a link has been reopened, no more messages of its
+earlier attempts arrive.
 """
 
 import collections
@@ -14,7 +15,7 @@
 
 
 class ExecutionState(enum.Enum):
-    """Say what became of an attempt at its owner node."""
+    """Name the execution state of an attempt at its owner node."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -25,7 +26,8 @@
 class EntryPeer(msgspec.Struct):
     """Hold what is known of one entry node.
 
-    `fence_floor` covers what was dropped while the entry node itself had been evicted.
+    `epoch` is the epoch of its newest link. Attempts up to `floor` may have been evicted.
+    `fence_floor` covers the attempts that were evicted while the entry node itself had no record.
     """
 
     incarnation: int
@@ -35,7 +37,10 @@
 
 
 class AttemptLog(msgspec.Struct):
-    """Hold the fates of live attempts and of the last `capacity` ended ones."""
+    """Hold the states of live attempts and of the last `capacity` ended attempts.
+
+    `evicted_floor` covers the evicted attempts of entry nodes without a record.
+    """
 
     capacity: int
     peer_capacity: int
@@ -51,17 +56,20 @@
 def find_or_create_peer(
     log: AttemptLog, entry: str, incarnation: int, floor: int
 ) -> EntryPeer | None:
-    """Return the entry node's record, made or renewed; None for a run before its latest.
+    """Return the entry node's record; None for an incarnation before its newest.
 
-    `floor` is the floor of a new record where one may have been dropped before.
+    The record is created for a new entry node and replaced for a new incarnation. `floor` is the
+    floor of a new record if an earlier record of the entry node may have been evicted.
     """
     peer = log.peers.get(entry)
     if peer is not None and peer.incarnation == incarnation:
         return peer
     if peer is not None and peer.incarnation > incarnation:
         return None
-    is_known_new = peer is not None or not log.has_evicted_peers
-    peer = EntryPeer(incarnation, floor=0 if is_known_new else floor, fence_floor=log.evicted_floor)
+    has_full_history = peer is not None or not log.has_evicted_peers
+    peer = EntryPeer(
+        incarnation, floor=0 if has_full_history else floor, fence_floor=log.evicted_floor
+    )
     log.peers[entry] = peer
     log.peers.move_to_end(entry)
     if len(log.peers) > log.peer_capacity:
@@ -72,15 +80,15 @@
 
 
 def record_live(log: AttemptLog, attempt: AttemptId, state: ExecutionState) -> None:
-    """Note that an attempt is queued or running."""
+    """Record that an attempt is queued or running."""
     log.states[attempt] = state
 
 
 def record_ended(log: AttemptLog, attempt: AttemptId, state: ExecutionState) -> None:
-    """Note the last fate of an attempt, and drop the oldest ended one if there are too many."""
-    before = log.states.get(attempt)
+    """Record the last state of an attempt; evict the oldest ended one if there are too many."""
+    previous_state = log.states.get(attempt)
     log.states[attempt] = state
-    if before not in (ExecutionState.ENDED, ExecutionState.NEVER_STARTED):
+    if previous_state not in (ExecutionState.ENDED, ExecutionState.NEVER_STARTED):
         log.ended.append(attempt)
     if len(log.ended) > log.capacity:
         _evict_oldest(log)
--- a/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
@@ -1,4 +1,4 @@
-"""Take notice of how an attempt that was started went."""
+"""Handle the result of an attempt that was started."""
 
 from bendwind_core.admission import note_run_ended
 from bendwind_core.attempts.attempt_log import ExecutionState
@@ -26,14 +26,15 @@
 
 
 def is_failure(status: int) -> bool:
-    """Tell whether an answer's status says that the upstream failed."""
+    """Return whether an answer's status reports a failure of the upstream."""
     return status >= _FAILED_STATUS
 
 
 def handle_answer_head(owner_state: OwnerState, event: DispatchHead, now: Seconds) -> None:
-    """Take notice of the head of an answer."""
+    """Handle the head of an answer."""
     record_sign_of_life(owner_state.end_detector, now)
-    # Health may be good while every request is reset: only an answer to one counts.
+    # Only an answer to a request ends a series of resets: health checks may succeed while the
+    # upstream resets every request.
     owner_state.end_detector.consecutive_resets = 0
     note_time(owner_state.service_times, event.upstream_ms)
     running = owner_state.running.get(event.attempt)
@@ -57,7 +58,7 @@
 def handle_dispatch_not_run(
     owner_state: OwnerState, event: DispatchNotRun, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Hear that a started attempt did not run after all."""
+    """Handle the proof that a started attempt did not run."""
     if event.reason is not NotRunReason.CONNECT_FAILED:
         mark_sent(owner_state, event.attempt, now)
     running = end_attempt(owner_state, event.attempt, ExecutionState.NEVER_STARTED)
@@ -73,7 +74,7 @@
 def handle_dispatch_unknown(
     owner_state: OwnerState, event: DispatchUnknown, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Hear that nobody knows how a started attempt went."""
+    """Handle a started attempt whose result is unknown."""
     mark_sent(owner_state, event.attempt, now)
     running = end_attempt(owner_state, event.attempt, ExecutionState.ENDED)
     if running is None:
--- a/packages/bendwind-core/src/bendwind_core/attempts/fencing.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/fencing.py
@@ -1,4 +1,4 @@
-"""Settle attempts whose link broke: fence those not started, give up those nobody awaits."""
+"""Handle fences and links: fence attempts that have not started, cancel those nobody awaits."""
 
 from bendwind_core.attempts.attempt_log import (
     EntryPeer,
@@ -20,7 +20,7 @@
 
 
 def cancel_running(owner_state: OwnerState, attempt: AttemptId, effects: list[OwnerEffect]) -> None:
-    """Cancel an attempt that runs, once."""
+    """Cancel a running attempt, unless it was cancelled before."""
     running = owner_state.running.get(attempt)
     if running is not None and not running.is_cancelled:
         running.is_cancelled = True
@@ -30,7 +30,7 @@
 def handle_fence(
     owner_state: OwnerState, fence: Fence, epoch: int, effects: list[OwnerEffect]
 ) -> None:
-    """Make sure that an attempt which has not started never does, and say what became of it."""
+    """Ensure that an attempt which has not started never starts, and reply with its state."""
     verdict = _find_fence_verdict(owner_state, fence)
     effects.append(ReplyFenced(fence.attempt, epoch, verdict))
 
@@ -62,7 +62,7 @@
 def handle_link_opened(
     owner_state: OwnerState, event: LinkOpened, effects: list[OwnerEffect]
 ) -> None:
-    """Give up what came in on earlier links of an entry node or from its earlier runs."""
+    """Drop the attempts from an entry node's earlier links and earlier incarnations."""
     peer = find_or_create_peer(owner_state.log, event.entry, event.incarnation, floor=0)
     if peer is not None:
         advance_link_epoch(owner_state, peer, event.entry, event.incarnation, event.epoch, effects)
@@ -76,21 +76,21 @@
     epoch: int,
     effects: list[OwnerEffect],
 ) -> None:
-    """Give up what came in on earlier links, at the first sign of a later one."""
+    """Drop the attempts from earlier links at the first message of a later link."""
     if epoch > peer.epoch:
         peer.epoch = epoch
         _drop_attempts_before(owner_state, entry, incarnation, epoch, effects)
 
 
 def handle_link_lost(owner_state: OwnerState, event: LinkLost, effects: list[OwnerEffect]) -> None:
-    """Give up what came in on a link that broke."""
+    """Drop the attempts that arrived on a broken link or on earlier links of the entry node."""
     _drop_attempts_before(owner_state, event.entry, event.incarnation, event.epoch + 1, effects)
 
 
 def _drop_attempts_before(
     owner_state: OwnerState, entry: str, incarnation: int, epoch: int, effects: list[OwnerEffect]
 ) -> None:
-    # Nobody awaits what came in on the entry node's earlier links or from its earlier runs.
+    # Nobody awaits attempts from the entry node's earlier links or earlier incarnations.
     for attempt, queued in list(owner_state.waiting.items()):
         if _is_before_epoch(attempt, queued.epoch, entry, incarnation, epoch):
             fence_waiting(owner_state, queued)
--- a/packages/bendwind-core/src/bendwind_core/attempts/hand_overs.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/hand_overs.py
@@ -1,4 +1,4 @@
-"""Decide on each attempt that is handed over: refused, started or waiting."""
+"""Decide whether each attempt that is handed over is refused, started or queued."""
 
 from bendwind_core.admission import is_limited, note_arrival, note_offered, note_origin, turns_away
 from bendwind_core.attempts.admission import (
@@ -37,7 +37,7 @@
 def find_early_refusal(
     owner_state: OwnerState, hand_over: HandOver, now: Seconds
 ) -> NotRunReason | None:
-    """Return why a hand-over whose body is still coming would be refused now, or None."""
+    """Return why a hand-over whose body is not complete yet would be refused now, or None."""
     if hand_over.owner_incarnation != owner_state.incarnation:
         return NotRunReason.WRONG_OWNER
     guess_route_time(owner_state, hand_over)
@@ -59,7 +59,7 @@
 def handle_hand_over(
     owner_state: OwnerState, event: HandOverArrived, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Decide on an attempt that was handed over."""
+    """Refuse, start or queue an attempt that was handed over."""
     hand_over = event.hand_over
     attempt = hand_over.attempt
     if hand_over.owner_incarnation != owner_state.incarnation:
@@ -80,7 +80,8 @@
     if not queued.is_inner:
         note_arrival(owner_state.arrival_counts, hand_over.rank, now)
     refusal = _find_refusal(owner_state, queued, now)
-    # A try that is sent back is offered elsewhere; one that is taken counts like any other.
+    # A refused no-wait attempt is offered to another upstream; an accepted one counts like any
+    # other attempt.
     if not queued.is_inner and (hand_over.may_wait or refusal is None):
         note_offered(owner_state.rank_counts, hand_over.rank, now)
     if refusal is None and turns_away(owner_state.dependency_overload, hand_over.route, now):
@@ -93,10 +94,10 @@
             ask_for_next(owner_state, now, effects)
         return
     if owner_state.suspects.suspects or hand_over.suspicion is not None:
-        withheld = find_suspect_refusal(owner_state, queued, now)
-        if withheld is not None:
+        suspect_refusal = find_suspect_refusal(owner_state, queued, now)
+        if suspect_refusal is not None:
             record_ended(owner_state.log, attempt, ExecutionState.NEVER_STARTED)
-            reason, wait_ms = withheld.reason, withheld.wait_ms
+            reason, wait_ms = suspect_refusal.reason, suspect_refusal.wait_ms
             refuse(owner_state, attempt, event.epoch, reason, now, effects, hand_over, wait_ms)
             return
     _enqueue(owner_state, queued, now, effects)
@@ -105,7 +106,10 @@
 def _find_reported_wait_ms(
     owner_state: OwnerState, queued: QueuedAttempt, refusal: NotRunReason, now: Seconds
 ) -> Milliseconds | None:
-    """Return how long the entry node is told that a refused attempt would have waited, or None."""
+    """Return the wait that is reported to the entry node of a refused attempt, or None.
+
+    The wait is how long the attempt would have waited, or when its caller should come back.
+    """
     if refusal is NotRunReason.LIMITED and queued.hand_over.may_wait:
         return tell_return_ms(owner_state, now)
     if refusal in (NotRunReason.BUSY, NotRunReason.LIMITED):
@@ -128,7 +132,7 @@
     if state is not None:
         return True
     if attempt.sequence <= peer.floor:
-        # It may be a repeat of an attempt that was started and dropped from the log.
+        # It may repeat an attempt that was started and later evicted from the log.
         sample = load_sample(owner_state, now)
         effects.append(ReplyUnknown(attempt, epoch, CutReason.LINK_LOST, sample))
         return True
@@ -168,8 +172,8 @@
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     attempt = queued.hand_over.attempt
-    has_place = has_room(owner_state, now, find_slots(owner_state, queued, now))
-    if not owner_state.waiting and has_place and _may_start(owner_state, queued, now):
+    has_slot = has_room(owner_state, now, find_slots(owner_state, queued, now))
+    if not owner_state.waiting and has_slot and _may_start(owner_state, queued, now):
         start_attempt(owner_state, queued, now, effects)
         return
     record_live(owner_state.log, attempt, ExecutionState.QUEUED)
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -1,7 +1,7 @@
-"""Decide, at the one node that sends to an upstream, what happens to each attempt.
+"""Decide what happens to each attempt at the owner node, the only node that sends to an upstream.
 
-The owner alone knows which attempts were started, so it alone says "not run", and only of an
-attempt that it marks, in the same step, as one that never starts.
+Only the owner knows which attempts were started. Therefore only the owner replies that an attempt
+did not run, and in the same step it records that this attempt never starts.
 """
 
 from collections.abc import Callable
@@ -117,13 +117,13 @@
 
 
 def next_due(owner_state: OwnerState, now: Seconds) -> Seconds | None:
-    """Return when the next Tick is due, or None."""
+    """Return when the next Tick is due, or None if no Tick is needed."""
     due_times = next_expiry(owner_state), next_look(owner_state, now), next_room(owner_state, now)
     return min((due for due in due_times if due is not None), default=None)
 
 
 def step(owner_state: OwnerState, event: OwnerEvent, now: Seconds) -> list[OwnerEffect]:
-    """Apply an event to the owner."""
+    """Apply an event to the owner and return the effects to carry out, in order."""
     effects: list[OwnerEffect] = []
     match event:
         case HandOverArrived():
@@ -198,7 +198,7 @@
     _refuse_waiting(owner_state, is_stalled_again, NotRunReason.STALLED, now, effects)
     _dispatch_waiting(owner_state, now, effects)
     _refuse_waiting(owner_state, _is_past_refusal_time, NotRunReason.QUEUE_FULL, now, effects)
-    # What was given back may have been what kept a call from a slot that requests do not use.
+    # A refused attempt may have kept an inner call from a slot above the share that is used.
     _dispatch_waiting(owner_state, now, effects)
     ask_if_held(owner_state, now, effects)
     _report_drained(owner_state, effects)
@@ -230,7 +230,7 @@
 
 
 def _cannot_start_at_once(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    """Tell whether an attempt that may not wait would have to, by what has been reported since."""
+    """Return whether an attempt that may not wait cannot start, by the newest reports."""
     if queued.hand_over.may_wait:
         return False
     return is_slow(owner_state.pace, now) or not has_room(
@@ -249,18 +249,18 @@
     now: Seconds,
     effects: list[OwnerEffect],
 ) -> None:
-    """Refuse what would be late here, while it can still be tried elsewhere."""
+    """Refuse attempts that would be late here while another upstream can still be tried."""
     for queued in list(owner_state.waiting.values()):
         if should_refuse(owner_state, queued, now):
             take_off_queue(owner_state, queued)
-            named = name_reason(owner_state, reason, now)
-            drop_waiting(owner_state, queued, named, now, effects)
+            reported_reason = name_reason(owner_state, reason, now)
+            drop_waiting(owner_state, queued, reported_reason, now, effects)
 
 
 def _dispatch_waiting(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
     while (queued := _pop_next(owner_state, now)) is not None:
         if is_now_quarantined(owner_state, queued, now):
-            # While it waited, upstreams ended under it elsewhere.
+            # Other upstreams ended while they ran this request, after it had been queued here.
             drop_waiting(owner_state, queued, NotRunReason.QUARANTINED, now, effects)
             continue
         del owner_state.waiting[queued.hand_over.attempt]
@@ -275,7 +275,7 @@
 
 
 def _report_drained(owner_state: OwnerState, effects: list[OwnerEffect]) -> None:
-    is_empty = not owner_state.running and not owner_state.waiting
-    if not is_accepting(owner_state) and is_empty and not owner_state.is_drained:
+    is_idle = not owner_state.running and not owner_state.waiting
+    if not is_accepting(owner_state) and is_idle and not owner_state.is_drained:
         owner_state.is_drained = True
         effects.append(Drained())
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_events.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_events.py
@@ -1,8 +1,8 @@
 """Define the events and effects of the owner node for one upstream.
 
-The task that owns the upstream feeds events to `bendwind_core.attempts.owner.step` and carries
-out the effects in order. A reply names the link epoch its attempt came in on; where that link is
-gone the task drops the reply, since the entry node then fences the attempt.
+The task that owns the upstream passes events to `bendwind_core.attempts.owner.step` and carries
+out the effects in order. A reply holds the epoch of the link on which its attempt arrived. If that
+link no longer exists, the task drops the reply, since the entry node then fences the attempt.
 """
 
 import msgspec
@@ -22,18 +22,18 @@
 
 
 class HandOverArrived(msgspec.Struct):
-    """Report a hand-over that came in on an entry node's link of this epoch."""
+    """Report a hand-over that arrived on the entry node's link with this epoch."""
 
     hand_over: HandOver
     epoch: int
 
 
 class UpstreamCallRefused(msgspec.Struct):
-    """Report that a call which the upstream made was refused."""
+    """Report that a call made by the upstream was refused."""
 
 
 class DispatchSent(msgspec.Struct):
-    """Report that the whole request went out to the upstream."""
+    """Report that the whole request was sent to the upstream."""
 
     attempt: AttemptId
 
@@ -50,22 +50,25 @@
 
 
 class LoadReported(msgspec.Struct):
-    """Report what the upstream said of its own pace; 1.0 is as usual."""
+    """Report how many times longer than usual requests take, by the upstream's own measure.
+
+    1.0 is the usual pace.
+    """
 
     slow_factor: float
 
 
 class LoadNotReported(msgspec.Struct):
-    """Report that the upstream was not asked for its load, or did not tell it.
+    """Report that the upstream was not queried for its load, or did not report it.
 
-    `may_ask` is false where it has no page for that.
+    `has_load_endpoint` is false if the upstream has no page that reports its load.
     """
 
     has_load_endpoint: bool = True
 
 
 class RateLimitReported(msgspec.Struct):
-    """Report the rate limit that the upstream named in an answer, to a request sent at `sent_at`.
+    """Report the rate limit that an answer to a request sent at `sent_at` contained.
 
     Units: `per_second` in requests a second.
     """
@@ -75,29 +78,30 @@
 
 
 class RateLimitNotReported(msgspec.Struct):
-    """Report that an answer of the upstream, to a request sent at `sent_at`, named no limit."""
+    """Report that an answer to a request sent at `sent_at` contained no rate limit."""
 
     sent_at: Seconds
 
 
 class LeavingReported(msgspec.Struct):
-    """Report that the upstream said in an answer that it leaves; that is final for its run."""
+    """Report that an answer said that the upstream leaves; this is final for its present run."""
 
 
 class UpstreamQueried(msgspec.Struct):
-    """Report that the upstream was sent a question, which counts for its limit as a request."""
+    """Report that the upstream was sent a query, which counts as a request for its rate limit."""
 
 
 class DispatchDone(msgspec.Struct):
-    """Report that the upstream's answer ended whole: its slot is free."""
+    """Report that the upstream's answer is complete: its slot is free."""
 
     attempt: AttemptId
 
 
 class DispatchNotRun(msgspec.Struct):
-    """Report proof that the dispatched attempt did not run: no byte was sent, or a shed reply.
+    """Report that the dispatched attempt is proven not to have run.
 
-    `is_timed_out` says that the upstream neither took nor refused the connection.
+    The proof is that no byte was sent or that the upstream replied that it shed the request.
+    `is_timed_out` says that the upstream neither accepted nor refused the connection.
     """
 
     attempt: AttemptId
@@ -106,28 +110,28 @@
 
 
 class DispatchUnknown(msgspec.Struct):
-    """Report that the dispatch ended without a whole answer."""
+    """Report that the dispatch ended without a complete answer."""
 
     attempt: AttemptId
     reason: CutReason
 
 
 class CancelArrived(msgspec.Struct):
-    """Report an entry node's cancel."""
+    """Report that an entry node cancelled an attempt."""
 
     attempt: AttemptId
     epoch: int
 
 
 class FenceArrived(msgspec.Struct):
-    """Report an entry node's fence."""
+    """Report that an entry node fenced an attempt."""
 
     fence: Fence
     epoch: int
 
 
 class LinkOpened(msgspec.Struct):
-    """Report that an entry node opened a link; epochs of one incarnation only grow."""
+    """Report that an entry node opened a link; the epochs of one incarnation only increase."""
 
     entry: str
     incarnation: int
@@ -135,7 +139,7 @@
 
 
 class LinkLost(msgspec.Struct):
-    """Report that an entry node's link of this epoch broke."""
+    """Report that the entry node's link with this epoch broke."""
 
     entry: str
     incarnation: int
@@ -143,7 +147,7 @@
 
 
 class Drain(msgspec.Struct):
-    """Refuse new attempts for good: this process or its upstream is to stop."""
+    """Refuse new attempts permanently: this process or its upstream is about to stop."""
 
 
 class UpstreamAnnounced(msgspec.Struct):
@@ -155,19 +159,20 @@
 
 
 class WarmUpConfigured(msgspec.Struct):
-    """Report what the configuration says of the warm-up of the upstream's service."""
+    """Report the configured warm-up rule of the upstream's service, None without one."""
 
     rule: WarmUpRule | None
 
 
 class UpstreamAssumedCold(msgspec.Struct):
-    """Report that the upstream may have turned cold without saying so."""
+    """Report that the upstream may have become cold without reporting it."""
 
 
 class WarmUpReported(msgspec.Struct):
-    """Report how much longer the upstream said that it is cold.
+    """Report how much longer the upstream stays cold, by its own statement.
 
-    `asked_at` is when it was asked, None for an announcement of its own, which may be late.
+    `queried_at` is when the upstream was queried, None for an unsolicited announcement, which may
+    have been delayed.
     """
 
     remaining_ms: Milliseconds
@@ -175,34 +180,38 @@
 
 
 class UpstreamRestarted(msgspec.Struct):
-    """Report that the upstream started again under its name: what ran there has an unknown end."""
+    """Report that the upstream restarted under its name.
+
+    The results of the attempts that were running there are unknown.
+    """
 
 
 class QueueWithdrawn(msgspec.Struct):
-    """Give back what waits: operators want nothing more sent to the upstream."""
+    """Refuse all waiting attempts: operators want nothing more sent to the upstream."""
 
 
 class UpstreamChecked(msgspec.Struct):
-    """Report whether the upstream refused a connection that was made to find that out."""
+    """Report whether the upstream refused the connection that a CheckUpstream effect opened."""
 
     is_refused: bool
 
 
 class UpstreamReachable(msgspec.Struct):
-    """Report that an upstream which refused connections takes them again."""
+    """Report that an upstream which refused connections accepts them again."""
 
 
 class UpstreamLost(msgspec.Struct):
-    """Report that the upstream left or let its lease run out.
+    """Report that the upstream left or that its lease expired.
 
-    `is_replaced` says that another one stands at its address, and that it had not said goodbye.
+    `is_replaced` says that another upstream is at its address, and that it had not announced its
+    departure.
     """
 
     is_replaced: bool = False
 
 
 class Tick(msgspec.Struct):
-    """Let queued attempts expire; due at `next_due(owner_state)`."""
+    """Expire queued attempts; due at `next_due(owner_state)`."""
 
 
 OwnerEvent = (
@@ -238,30 +247,30 @@
 
 
 class Dispatch(msgspec.Struct):
-    """Send the request to the upstream, to be given up at `expires_at`."""
+    """Send the request to the upstream, and abandon it at `expires_at`."""
 
     hand_over: HandOver
     expires_at: Seconds
 
 
 class QueryLoad(msgspec.Struct):
-    """Ask the upstream for its load; LoadReported or LoadNotReported follows."""
+    """Query the upstream for its load; the result is LoadReported or LoadNotReported."""
 
 
 class CancelDispatch(msgspec.Struct):
-    """Cancel a request at the upstream; its end is still to be reported."""
+    """Cancel a request at the upstream; the task still reports how the dispatch ended."""
 
     attempt: AttemptId
 
 
 class CheckUpstream(msgspec.Struct):
-    """Find out whether the upstream takes connections, and answer by UpstreamChecked."""
+    """Check whether the upstream accepts connections; the result is UpstreamChecked."""
 
 
 class ReplyNotRun(msgspec.Struct):
-    """Send NotRun to the attempt's entry node; `hand_over` is what was refused, if at hand.
+    """Send NotRun to the attempt's entry node; `hand_over` is the refused hand-over, if available.
 
-    Units: `wait_ms` as in NotRun; `waited` is how long it was in the queue, in seconds.
+    Units: `wait_ms` as in NotRun; `queue_time` is how long the attempt was queued, in seconds.
     """
 
     attempt: AttemptId
@@ -291,17 +300,17 @@
 
 
 class UpstreamUnreachable(msgspec.Struct):
-    """Report that the upstream refuses connections; UpstreamReached says when it no longer does."""
+    """Report that the upstream refuses connections; UpstreamReachable reports the end of this."""
 
 
 class UpstreamEnded(msgspec.Struct):
-    """Report that the upstream ended by itself, and what it had not answered by then."""
+    """Report that the upstream ended by itself, and which attempts it had not answered."""
 
     unanswered: tuple[UnansweredAttempt, ...]
 
 
 class RateLimitChanged(msgspec.Struct):
-    """Report what became of the upstream's rate limit; None is none.
+    """Report a change of the upstream's rate limit; `per_second` is None if it has no limit now.
 
     Units: `per_second` in requests a second.
     """
@@ -311,7 +320,7 @@
 
 
 class Drained(msgspec.Struct):
-    """Report once that no attempt at a draining upstream is held any more."""
+    """Report, once, that the owner of a draining upstream holds no more attempts."""
 
 
 OwnerEffect = (
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
@@ -1,4 +1,4 @@
-"""Hold the attempts at the one node that sends to an upstream."""
+"""Hold the state of an upstream's owner node, the only node that sends requests to it."""
 
 import math
 
@@ -24,22 +24,24 @@
 
 MAX_REMEMBERED_ATTEMPTS = 4096
 
-# Attempts with an objective are admitted by how long they would wait, which bounds their number
-# where they take some time; a limit below that drops long ones for short ones that came later.
+# Bounds the queue of attempts with a latency objective. Admission by the estimated wait already
+# bounds it where attempts take some time; a limit below that bound would drop long attempts in
+# favour of short ones that arrived later.
 MAX_TIMED_QUEUE = 128
 
-# One for each node of the largest deployment planned for; about 150 bytes each.
+# One entry node per node of the largest planned deployment; about 150 bytes each.
 MAX_REMEMBERED_PEERS = 16384
 
 
 class QueuedAttempt(msgspec.Struct):
-    """Hold an attempt that waits.
-
-    One with a latency objective should start by `due_at`, and is given back at `leaves_at` if no
-    slot is free: held to its deadline, it could not be tried elsewhere any more. `signature`
-    is empty where nothing was known against any request. `rank` is where it waits, the lowest
-    first, `own_rank` how urgent it is, that of the calling run for a call that an upstream makes,
-    and `is_inner` says that this run fails without it.
+    """Hold an attempt that waits for a slot.
+
+    An attempt with a latency objective should start by `due_at`, and is refused at `refuse_at` if
+    no slot is free: if it waited until its deadline, no other upstream could be tried any more.
+    `signature` is empty if nothing was known against any request. `queue_rank` is the rank by
+    which the queue is ordered, the lowest first. `effective_rank` is how urgent the attempt is; for
+    a call that an upstream makes, it is the rank of the run that makes the call. `is_inner` says
+    that the attempt is such a call, and that this run fails without it.
     """
 
     hand_over: HandOver
@@ -58,10 +60,11 @@
 class RunningAttempt(msgspec.Struct):
     """Hold a started attempt.
 
-    `slow_factor` is how much longer than usual it should take; `is_paced` says that the upstream
-    had told so shortly before, `is_sent` that the request went out whole, and `is_under_end` that
-    the upstream is known to have ended while it ran. `signature` and `is_suspect` are as when it
-    was queued, as is `own_rank`, and `status` is that of the answer's head, 0 without one.
+    `slow_factor` is how many times longer than usual it should take; `is_pace_known` says that the
+    upstream had reported this shortly before. `is_sent` says that the whole request was sent, and
+    `is_upstream_ended` that the upstream is known to have ended while the attempt ran. `signature`,
+    `is_suspect` and `effective_rank` are those of the queued attempt. `status` is the status in the
+    head of the answer, 0 before the head.
     """
 
     epoch: int
@@ -79,23 +82,26 @@
 
     @property
     def route(self) -> str:
-        """Return the route that the call came by, empty without one."""
+        """Return the route of the call, empty if it has none."""
         return self.hand_over.route
 
 
 class OwnerState(msgspec.Struct):
-    """Hold everything that was handed to one upstream's owner node.
-
-    Attempts with a latency objective wait in `timed`, all others in `queue`. `slot_share` is the
-    part of the slots that is used, `route_times` the usual time of each route's answers,
-    `guessed_times` stands in for routes without any, `origins` tells where each route's requests
-    begin, `dependency` what is known of the upstream's own calls, `warm_up` whether it is cold,
-    `rate_limit` what it takes by its own word, `ends` what it may have ended under, `suspects` what
-    the process knows against requests, `served` which were served here lately, `turns` what was
-    done for each customer, `rank_counts` how often each rank is served, `arrivals` what came of
-    each rank lately, and `asked_at` is when it was last asked for its load.
-    `is_unreachable` says that it refused the last connection, `is_leaving` that its present run is
-    to get nothing more, by its own word.
+    """Hold all attempts that were handed to one upstream's owner node.
+
+    Attempts with a latency objective wait in `timed_queue`, all others in `queue`; `waiting` holds
+    both kinds. `slot_share` is the share of the slots that is used. `route_times` is the usual
+    time of each route's answers, and `guessed_times` the estimate for routes without answers.
+    `origins` holds where the requests of each route come from. `dependency_overload` holds what is
+    known of the calls that the upstream itself makes. `warm_up` holds whether the upstream is cold,
+    and `rate_limit` the limit that the upstream reported. `end_detector` holds the requests that
+    may have been running when the upstream ended, `suspects` what the process knows against
+    requests, and `served_requests` the requests that were served here recently. `customer_work` is
+    the recent work for each customer, `rank_counts` how often requests of each rank are served, and
+    `arrival_counts` how many requests of each rank arrived recently. `load_queried_at` is when the
+    upstream was last queried for its load, and `has_load_endpoint` whether it has a page for that.
+    `is_unreachable` says that the upstream refused the last connection. `is_leaving` says that the
+    upstream reported that it leaves: its present run gets no further requests.
     Units: `route_times` and `guessed_times` in milliseconds.
     """
 
@@ -135,7 +141,7 @@
 
     @property
     def run_limit(self) -> int:
-        """Return how many attempts may run at a time."""
+        """Return how many attempts may run at the same time."""
         used = max(1, int(self.slots * self.slot_share)) if self.slots else 0
         return min(used, self.connections)
 
@@ -153,11 +159,11 @@
     suspects: SuspectTable | None = None,
     alone_from: Seconds = -math.inf,
 ) -> OwnerState:
-    """Create an owner's state for an upstream that has yet to announce itself.
+    """Create the owner's state for an upstream that has not announced itself yet.
 
-    `incarnation` is this process's own run; `queue` bounds the attempts that wait, `timed_queue`
-    those of them with a latency objective. `alone_from` is when no other process sends to the
-    upstream any more.
+    `incarnation` identifies the run of this process. `timed_queue_capacity` bounds the waiting
+    attempts with a latency objective, and `queue_capacity` all others. `alone_from` is the time
+    from which no other process sends to the upstream.
     """
     log = AttemptLog(max_remembered_attempts, max_remembered_peers)
     timed_queue = UrgencyQueue(timed_queue_capacity)
@@ -173,6 +179,6 @@
 
 
 def is_accepting(owner_state: OwnerState) -> bool:
-    """Tell whether new attempts are taken."""
+    """Return whether the owner accepts new attempts."""
     is_ready = owner_state.state is UpstreamState.READY and not owner_state.is_stopping
     return is_ready and not owner_state.is_unreachable and not owner_state.is_leaving
--- a/packages/bendwind-core/src/bendwind_core/attempts/running_attempts.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/running_attempts.py
@@ -12,7 +12,7 @@
 
 
 def mark_sent(owner_state: OwnerState, attempt: AttemptId, now: Seconds) -> None:
-    """Note that a running attempt's request went out, at the first sign of it."""
+    """Mark a running attempt's request as sent, at the first event that implies it."""
     running = owner_state.running.get(attempt)
     if running is not None and not running.is_sent:
         running.is_sent = True
@@ -20,7 +20,7 @@
 
 
 def record_resend(owner_state: OwnerState, attempt: AttemptId, now: Seconds) -> None:
-    """Count a request that goes out a second time, over another connection, for the limit too."""
+    """Count a request that is sent again, over another connection, for the rate limit as well."""
     running = owner_state.running.get(attempt)
     if running is not None and running.is_sent:
         note_taken(owner_state.rate_limit, now)
@@ -29,7 +29,7 @@
 def end_attempt(
     owner_state: OwnerState, attempt: AttemptId, state: ExecutionState
 ) -> RunningAttempt | None:
-    """Take a running attempt off the owner's state; return None if it was not there."""
+    """Remove a running attempt from the owner's state; return None if it was not running."""
     running = owner_state.running.pop(attempt, None)
     if running is not None:
         record_ended(owner_state.log, attempt, state)
@@ -39,7 +39,7 @@
 def start_attempt(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Give an attempt a slot and dispatch it."""
+    """Assign a slot to an attempt and dispatch it."""
     hand_over = queued.hand_over
     record_live(owner_state.log, hand_over.attempt, ExecutionState.RUNNING)
     if not owner_state.running:
--- a/packages/bendwind-core/src/bendwind_core/attempts/suspects.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/suspects.py
@@ -1,4 +1,4 @@
-"""Have an owner node note what speaks for and against requests, and go by it."""
+"""Record evidence for and against requests at an owner node; refuse suspects accordingly."""
 
 import msgspec
 
@@ -30,9 +30,9 @@
 
 
 class SuspectRefusal(msgspec.Struct, frozen=True):
-    """Say why a request that upstreams ended under is not let in.
+    """Hold why a suspect, a request that upstreams were running when they ended, is refused.
 
-    Units: `wait_ms` is when it would be, in milliseconds, None where that is not known.
+    Units: `wait_ms` is the time until it would be accepted, in milliseconds, None if unknown.
     """
 
     reason: NotRunReason
@@ -40,27 +40,27 @@
 
 
 def record_upstream_end(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    """Note that the upstream has ended, and hold that against what it had not answered."""
-    under = pop_unanswered(owner_state.end_detector, now)
-    # One that leaves as it said may break off what it runs.
-    if not under or owner_state.state is not UpstreamState.READY:
+    """Record an end of the upstream against the requests that it had not answered."""
+    unanswered = pop_unanswered(owner_state.end_detector, now)
+    # An upstream that leaves as announced may cut off its running attempts.
+    if not unanswered or owner_state.state is not UpstreamState.READY:
         return
-    name = EndName(
+    end_id = EndName(
         owner_state.suspects.own,
         owner_state.incarnation,
         owner_state.upstream,
         owner_state.end_detector.end_count,
     )
-    for ended in under:
+    for ended in unanswered:
         is_served = take_served(owner_state.served_requests, ended.request_hash, now)
         note_end(
-            owner_state.suspects, ended.signature, ended.service, name, now, is_served=is_served
+            owner_state.suspects, ended.signature, ended.service, end_id, now, is_served=is_served
         )
-    effects.append(UpstreamEnded(under))
+    effects.append(UpstreamEnded(unanswered))
 
 
 def record_success(owner_state: OwnerState, running: RunningAttempt, now: Seconds) -> None:
-    """Note that a request was answered with success, which clears it of suspicion."""
+    """Record that a request was answered successfully, which clears it of suspicion."""
     hand_over = running.hand_over
     note_served(owner_state.served_requests, hash_hand_over(hand_over), now)
     if owner_state.suspects.suspects:
@@ -72,7 +72,10 @@
 def find_suspect_refusal(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
 ) -> SuspectRefusal | None:
-    """Return why a request is not let in, by what this process and its entry node know, or None."""
+    """Return why a request is refused as a suspect, or None.
+
+    This process and the entry node of the request both contribute what they know of it.
+    """
     hand_over = queued.hand_over
     queued.signature = compute_hand_over_signature(hand_over)
     if hand_over.suspicion is not None:
@@ -89,7 +92,10 @@
 
 
 def _count_other_suspects(owner_state: OwnerState, signature: bytes) -> int:
-    """Count the other suspects that run or wait at the upstream; beside a trial, none may."""
+    """Count the other suspects that run or wait at the upstream.
+
+    No other suspect may run beside a trial: while one runs or waits, the count is the limit itself.
+    """
     held = (*owner_state.running.values(), *owner_state.waiting.values())
     others = {attempt.signature for attempt in held if attempt.is_suspect} - {signature}
     suspects = (owner_state.suspects.suspects.get(other) for other in others)
@@ -98,7 +104,7 @@
 
 
 def is_now_quarantined(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    """Tell whether a request that waits is not to run any more."""
+    """Return whether a request that waits must not run any more."""
     if not owner_state.suspects.suspects:
         return False
     signature = queued.signature or compute_hand_over_signature(queued.hand_over)
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
@@ -1,8 +1,8 @@
-"""Tell which attempts an upstream ended under.
+"""Find which attempts an upstream was running when it ended.
 
-The connections of an upstream that ends break one after the other, and only a refused connection or
-another run in its place shows that it was its end. Until then an attempt without an answer is kept,
-for as long as the upstream gives no sign of life.
+When an upstream ends, its connections break one after the other. Only a refused connection, or
+another run in its place, shows that the upstream has ended. Until then an attempt without an answer
+is kept, as long as the upstream gives no sign of life.
 """
 
 import math
@@ -13,22 +13,25 @@
 from bendwind_core.core import Seconds
 from bendwind_core.suspicion import number_request, sign_request
 
-# Nine connections of an upstream that ended were read as broken within 1 ms; a busy node is slower.
+# Attempts that fail within this time of an end belong to the same end. Nine connections of an
+# upstream that ended were read as broken within 1 ms; a busy node is slower.
 END_SETTLING_TIME: Seconds = 0.1
-# A silent end is noticed when the upstream is back or is tried next. What ended without an answer
-# longer ago, as a caller that left with nothing else to do for the upstream, has no part in it.
+# A silent end is detected only when the upstream is back or is tried next. An attempt that ended
+# without an answer longer ago is not related to it; for example, its caller may have left while the
+# upstream had nothing else to do.
 UNANSWERED_RETENTION: Seconds = 10.0
-# An upstream that takes connections and resets each request, so many one after the other, serves
-# nobody: held down only once it refused connections, one was sent 388 requests in ten seconds.
+# An upstream that accepts connections but resets this many requests one after the other serves
+# nobody, and is treated as unreachable. When only refused connections counted, such an upstream was
+# sent 388 requests in ten seconds.
 RESETS_UNTIL_UNREACHABLE = 3
-# More than the slots of any upstream planned for; of more, the oldest are forgotten.
+# More than the slots of any planned upstream; beyond this, the oldest attempts are evicted.
 MAX_UNANSWERED = 64
 
 
 class UnansweredAttempt(msgspec.Struct, frozen=True):
-    """Hold an attempt whose answer did not come, without its body.
+    """Hold an attempt without an answer, without the body of its request.
 
-    `number` is what `number_request` gives its request.
+    `request_hash` is equal for equal requests within this process, None for a long request.
     """
 
     attempt: AttemptId
@@ -42,9 +45,10 @@
 class EndDetector(msgspec.Struct):
     """Hold the attempts that ended without an answer since the upstream's last sign of life.
 
-    Until `settles_at`, such attempts are still those of the last end that was seen; `ends` counts
-    these. `is_checked` says that the upstream is being asked whether it takes connections. `resets`
-    counts those one after the other, each of an attempt that began after the one at `reset_at`.
+    Until `end_settles_at`, such attempts belong to the last end that was detected; `end_count`
+    counts the ends. `is_check_pending` says that a check whether the upstream accepts connections
+    is under way. `consecutive_resets` counts resets one after the other, each of an attempt
+    that started after the previous counted reset, at `last_reset_at`.
     """
 
     unanswered: list[UnansweredAttempt] = msgspec.field(default_factory=list)
@@ -56,7 +60,7 @@
 
 
 def compute_hand_over_signature(hand_over: HandOver) -> bytes:
-    """Return the signature of the request that is handed over."""
+    """Return the signature of a hand-over's request."""
     return sign_request(
         hand_over.method,
         hand_over.target,
@@ -67,16 +71,16 @@
 
 
 def hash_hand_over(hand_over: HandOver) -> int | None:
-    """Return what `number_request` gives the request that is handed over."""
+    """Return a hash of a hand-over's request, valid in this process; None for a long request."""
     return number_request(hand_over.method, hand_over.target, hand_over.body)
 
 
 def record_unanswered(
     detector: EndDetector, hand_over: HandOver, reason: CutReason, now: Seconds
 ) -> None:
-    """Note that an attempt ended without its answer."""
+    """Record that an attempt ended without an answer."""
     if reason is CutReason.FOREIGN_ANSWER:
-        # The upstream did answer, though something else.
+        # The upstream did send an answer, although a foreign one.
         return
     detector.unanswered.append(
         UnansweredAttempt(
@@ -92,7 +96,7 @@
 
 
 def record_reset(detector: EndDetector, started_at: Seconds, now: Seconds) -> bool:
-    """Note that a connection was reset; tell whether the upstream resets whatever it is sent."""
+    """Record a connection reset; return whether the upstream resets every request."""
     if started_at >= detector.last_reset_at:
         detector.consecutive_resets += 1
         detector.last_reset_at = now
@@ -103,18 +107,18 @@
 
 
 def record_sign_of_life(detector: EndDetector, now: Seconds) -> None:
-    """Note a sign of life: what ended well before it did not end the upstream."""
+    """Record a sign of life: attempts that ended well before it did not end the upstream."""
     if detector.unanswered:
         since = now - END_SETTLING_TIME
         detector.unanswered = [ended for ended in detector.unanswered if ended.ended_at >= since]
 
 
 def pop_unanswered(detector: EndDetector, now: Seconds) -> tuple[UnansweredAttempt, ...]:
-    """Return and forget the attempts that an upstream has ended under."""
+    """Record an end of the upstream; return and remove the attempts that it had not answered."""
     if now >= detector.end_settles_at:
         detector.end_count += 1
     detector.end_settles_at = now + END_SETTLING_TIME
     since = now - UNANSWERED_RETENTION
-    under = tuple(ended for ended in detector.unanswered if ended.ended_at >= since)
+    unanswered = tuple(ended for ended in detector.unanswered if ended.ended_at >= since)
     detector.unanswered = []
-    return under
+    return unanswered
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_lifecycle.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_lifecycle.py
@@ -1,4 +1,4 @@
-"""Follow what becomes of an owner's upstream: announced, unreachable, ended, restarted, gone."""
+"""Track the state of an owner's upstream: announced, unreachable, ended, restarted or gone."""
 
 from bendwind_core.admission import assume_cold, forget
 from bendwind_core.attempts.fencing import cancel_running
@@ -17,14 +17,14 @@
 from bendwind_core.core import Seconds
 from bendwind_core.world import UpstreamState
 
-# A leaving upstream gets nothing new after this, not even what was queued before.
+# After this time a draining upstream gets no more attempts, not even those queued before.
 DRAIN_QUEUE_TIMEOUT: Seconds = 1.0
 
 
 def handle_announcement(
     owner_state: OwnerState, event: UpstreamAnnounced, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Take over what the upstream says of its capacity and state."""
+    """Apply the capacity and state that the upstream announced."""
     owner_state.slots = event.slots
     owner_state.connections = event.connections
     owner_state.state = event.state
@@ -39,7 +39,7 @@
 
 
 def handle_drain(owner_state: OwnerState, now: Seconds) -> None:
-    """Refuse new attempts for good."""
+    """Refuse new attempts permanently."""
     if not owner_state.is_stopping:
         owner_state.is_stopping = True
         owner_state.is_drained = False
@@ -52,17 +52,17 @@
 
 
 def handle_leaving(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    """Take nothing more for the present run of an upstream, and give back what waits."""
+    """Refuse new and waiting attempts for the present run of an upstream that leaves."""
     owner_state.is_leaving = True
     owner_state.is_drained = False
     bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
 
 
 def mark_unreachable(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    """Take nothing more for an upstream that refuses connections, and give back what waits.
+    """Refuse new and waiting attempts for an upstream that refuses connections.
 
-    Its attempts fail within a millisecond, so that it seems idle and draws the next ones: 483 of
-    them in one second after a loss of power.
+    Its attempts fail within a millisecond, so that it seems idle and attracts the next attempts:
+    483 of them in one second after a power loss.
     """
     if not owner_state.is_unreachable:
         owner_state.is_unreachable = True
@@ -73,7 +73,7 @@
 def handle_upstream_check(
     owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect], *, is_refused: bool
 ) -> None:
-    """Hear whether the upstream still takes connections after it broke one off."""
+    """Handle the check of whether the upstream accepts connections after it broke one."""
     owner_state.end_detector.is_check_pending = False
     if is_refused and owner_state.state is not UpstreamState.GONE:
         mark_unreachable(owner_state, now, effects)
@@ -83,7 +83,7 @@
 def handle_upstream_restart(
     owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Turn to another run of the upstream, which knows nothing of the one before."""
+    """Reset what is known of the upstream's previous run and cancel its running attempts."""
     owner_state.is_unreachable = False
     owner_state.pace = Pace()
     take_change(owner_state, forget(owner_state.rate_limit), now, effects)
@@ -95,7 +95,7 @@
 def handle_upstream_lost(
     owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect], *, is_replaced: bool
 ) -> None:
-    """Hear that the upstream is gone; `is_replaced` if another one stands in its place."""
+    """Handle the loss of the upstream; `is_replaced` if another one has taken its place."""
     if is_replaced:
         _cancel_running_attempts(owner_state, now, effects)
     owner_state.state = UpstreamState.GONE
@@ -106,7 +106,7 @@
 def _cancel_running_attempts(
     owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Cancel what ran at an upstream in whose place another run stands."""
+    """Cancel the attempts of an upstream's run that was replaced by another."""
     for attempt, running in list(owner_state.running.items()):
         record_unanswered(
             owner_state.end_detector, running.hand_over, CutReason.UPSTREAM_RESET, now
