--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_busy_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_busy_owner.py
@@ -1,4 +1,4 @@
-"""Check what an owner does with attempts that may not wait."""
+"""Test how an owner handles attempts that may not wait."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 from bendwind_core.world import Repeat, UpstreamState
 
 
-class BusyOwnerTest(unittest.TestCase):
+class NoWaitAttemptTest(unittest.TestCase):
     def setUp(self):
         self.owner_state = create_owner_state("u", 1, 16)
         step(self.owner_state, ev.UpstreamAnnounced(2, 20, UpstreamState.READY), 0.0)
@@ -41,35 +41,35 @@
     def list_reasons(self, effects):
         return [effect.reason for effect in effects if isinstance(effect, ev.ReplyNotRun)]
 
-    def test_without_a_slot_it_goes_back_with_the_time_until_there_is_one(self):
+    def test_refused_as_busy_with_wait_time_when_no_slot_is_free(self):
         self.report(1.0, 0.99)
         for _ in range(2):
             self.assertIsInstance(self.hand_over(1.0)[0], ev.Dispatch)
         [refusal] = self.hand_over(1.1)
         self.assertEqual(refusal.reason, NotRunReason.BUSY)
-        # Without an answer yet, 0.3 of the objective is what it should take.
+        # Without an answer yet, an attempt is expected to take 0.3 of its latency objective.
         self.assertAlmostEqual(refusal.load.wait_ms, 0.3 * 955.0 - 100.0)
         self.assertAlmostEqual(refusal.wait_ms, refusal.load.wait_ms)
 
-    def test_a_slow_phase_told_while_it_is_held_sends_it_back_at_once(self):
+    def test_slow_report_refuses_held_attempt_at_once(self):
         self.report(1.0, 0.5)
-        [asked] = self.hand_over(1.0)
-        self.assertIsInstance(asked, ev.QueryLoad)
+        [query] = self.hand_over(1.0)
+        self.assertIsInstance(query, ev.QueryLoad)
         self.assertEqual(self.list_reasons(self.report(5.0, 1.001)), [NotRunReason.BUSY])
         self.assertFalse(self.owner_state.waiting)
 
-    def test_the_usual_pace_told_while_it_is_held_starts_it(self):
+    def test_usual_pace_report_starts_held_attempt(self):
         self.report(1.0, 0.5)
         self.hand_over(1.0)
         self.assertIsInstance(self.report(1.0, 1.001)[0], ev.Dispatch)
 
-    def test_what_may_wait_is_held_to_the_end_of_the_phase(self):
+    def test_attempt_that_may_wait_is_held_until_slow_phase_ends(self):
         self.report(1.0, 0.98)
         self.report(5.0, 1.0)
         self.assertEqual(self.list_reasons(self.hand_over(1.01, may_wait=True)), [])
         self.assertEqual(len(self.owner_state.waiting), 1)
 
-    def test_a_refusal_as_slow_asks_anew_so_that_the_next_one_goes_by_it(self):
+    def test_refusal_in_slow_phase_queries_load_for_next_attempt(self):
         self.report(1.0, 0.98)
         self.report(5.0, 1.0)
         self.assertEqual(self.list_reasons(self.hand_over(1.01)), [NotRunReason.BUSY])
@@ -78,7 +78,7 @@
         self.report(1.0, 1.051)
         self.assertIsInstance(self.hand_over(1.052)[0], ev.Dispatch)
 
-    def test_a_free_upstream_tells_no_wait(self):
+    def test_free_upstream_reports_no_wait(self):
         self.report(1.0, 1.0)
         self.assertEqual(load_sample(self.owner_state, 1.0).wait_ms, 0.0)
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
@@ -6,14 +6,14 @@
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.world import Repeat, UpstreamState, WarmUpRule
 
-# Six requests in any second, for three seconds.
+# At most six requests in any second, for three seconds.
 RULE = WarmUpRule(3.0, 4.0)
 LIMITS = WarmUpLimits(1.0, 2.0)
 LIMIT = 6
 
 
 class ColdUpstreamTest(unittest.TestCase):
-    """Drive one owner whose upstream has twenty slots and answers at once."""
+    """Test an owner whose upstream has 20 slots and answers at once."""
 
     def setUp(self):
         self.now = 100.0
@@ -31,49 +31,51 @@
         message = HandOver(*parts, insist=True, route="r", target_ms=target_ms)
         return self.step(ov.HandOverArrived(message, 1))
 
-    def press(self, span, each_s=0.01, **times):
-        """Hand over a request every so often, answer at once, and return when each went out."""
+    def send_load(self, duration, interval_s=0.01, **times):
+        """Hand over a request every `interval_s` seconds; answer at once; return the send times."""
         sent_at = []
-        until = self.now + span
+        until = self.now + duration
         while self.now < until:
             self.answer(self.hand_over(**times), sent_at)
             self.answer(self.step(ov.Tick()), sent_at)
-            self.now += each_s
+            self.now += interval_s
         return sent_at
 
     def answer(self, effects, sent_at):
-        started = [one.hand_over.attempt for one in effects if isinstance(one, ov.Dispatch)]
+        started = [
+            effect.hand_over.attempt for effect in effects if isinstance(effect, ov.Dispatch)
+        ]
         for attempt in started:
             sent_at.append(self.now)
             self.answer(self.step(ov.DispatchSent(attempt)), sent_at)
             self.answer(self.step(ov.DispatchHead(attempt, 200, 10.0)), sent_at)
             self.answer(self.step(ov.DispatchDone(attempt)), sent_at)
 
-    def assert_spared(self, sent_at):
+    def assert_within_limit(self, sent_at):
         busiest = max(sum(1 for at in sent_at if first <= at <= first + 1) for first in sent_at)
         self.assertLessEqual(busiest, LIMIT)
         self.assertGreaterEqual(len(sent_at), LIMIT - 1)
 
-    def test_cold_upstream_is_sent_what_it_bears_and_the_rest_later(self):
+    def test_cold_upstream_gets_at_most_the_limit_and_the_rest_later(self):
         self.step(ov.WarmUpReported(3000.0))
-        self.assert_spared(self.press(1.0))
+        self.assert_within_limit(self.send_load(1.0))
         self.assertTrue(self.owner_state.waiting)
         due = owner.next_due(self.owner_state, self.now)
         self.assertLess(due, self.now + SPAN / LIMIT)
 
-    def test_warm_upstream_is_sent_all(self):
-        self.assertEqual(len(self.press(0.5)), 50)
+    def test_warm_upstream_gets_all_requests(self):
+        self.assertEqual(len(self.send_load(0.5)), 50)
 
-    def test_upstream_that_started_again_counts_as_cold_before_it_tells(self):
+    def test_restarted_upstream_is_assumed_cold_until_it_reports(self):
         self.step(ov.UpstreamRestarted())
-        self.assert_spared(self.press(2.0))
+        self.assert_within_limit(self.send_load(2.0))
 
-    def test_late_announcement_of_a_warm_upstream_frees_no_room(self):
+    def test_late_warm_announcement_does_not_lift_the_limit(self):
         self.step(ov.WarmUpReported(3000.0, queried_at=self.now))
         self.step(ov.WarmUpReported(0.0))
-        self.assert_spared(self.press(2.0))
+        self.assert_within_limit(self.send_load(2.0))
 
-    def test_request_that_waits_for_a_connection_holds_up_the_next(self):
+    def test_request_waiting_for_connection_delays_the_next(self):
         self.step(ov.WarmUpReported(3000.0))
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
         self.now += 0.9
@@ -83,7 +85,7 @@
         self.now += SPAN / LIMIT
         self.assertIsInstance(self.step(ov.Tick())[0], ov.Dispatch)
 
-    def test_request_that_no_cold_room_serves_in_time_is_refused_at_once(self):
+    def test_request_that_cannot_be_sent_in_time_is_refused_at_once(self):
         self.step(ov.WarmUpReported(3000.0))
         for _ in range(LIMIT):
             self.hand_over()
@@ -91,7 +93,7 @@
         self.assertIs(refused.reason, NotRunReason.QUEUE_FULL)
         self.assertAlmostEqual(refused.load.room_wait_ms, 1000 * SPAN, delta=1.0)
 
-    def test_most_urgent_request_takes_the_first_cold_room(self):
+    def test_most_urgent_request_is_sent_first_to_cold_upstream(self):
         self.step(ov.WarmUpReported(3000.0))
         self.answer(self.hand_over(), [])
         self.hand_over(target_ms=8000.0)
@@ -100,16 +102,16 @@
         first = self.step(ov.Tick())[0]
         self.assertEqual(first.hand_over.attempt.sequence, 3)
 
-    def test_services_upstreams_that_come_back_together_are_not_pushed_over(self):
-        """Replay a return after a loss of power: thirty a second at what bears six."""
+    def test_upstream_is_not_overloaded_after_power_loss(self):
+        """Replay the return of a service after a power loss: 30 requests a second, limit 6."""
         self.step(ov.UpstreamRestarted())
-        sent_at = self.press(2.9, 1 / 30, target_ms=600.0, remaining_ms=600.0)
-        self.assert_spared(sent_at)
+        sent_at = self.send_load(2.9, 1 / 30, target_ms=600.0, remaining_ms=600.0)
+        self.assert_within_limit(sent_at)
         self.assertGreaterEqual(len(sent_at), 2 * LIMIT)
 
 
 class UnreachableUpstreamTest(unittest.TestCase):
-    """Drive one owner whose upstream refuses connections."""
+    """Test an owner whose upstream refuses connections."""
 
     def setUp(self):
         self.owner_state = owner.create_owner_state("u", 1, 64)
@@ -130,32 +132,32 @@
             self.hand_over()
         return self.step(ov.DispatchNotRun(AttemptId("e", 1, 1), NotRunReason.CONNECT_FAILED))
 
-    def test_first_refusal_gives_back_what_waits_and_takes_nothing_more(self):
+    def test_first_refused_connection_refuses_waiting_and_new_attempts(self):
         effects = self.refuse_connection()
-        self.assertEqual(sum(isinstance(one, ov.UpstreamUnreachable) for one in effects), 1)
-        refusals = [one for one in effects if isinstance(one, ov.ReplyNotRun)]
-        self.assertEqual({one.attempt.sequence for one in refusals}, {1, 3, 4})
-        self.assertTrue(all(one.load.draining for one in refusals[-1:]))
+        self.assertEqual(sum(isinstance(effect, ov.UpstreamUnreachable) for effect in effects), 1)
+        refusals = [effect for effect in effects if isinstance(effect, ov.ReplyNotRun)]
+        self.assertEqual({effect.attempt.sequence for effect in refusals}, {1, 3, 4})
+        self.assertTrue(all(effect.load.draining for effect in refusals[-1:]))
         self.assertIs(self.hand_over()[0].reason, NotRunReason.NO_UPSTREAM)
 
-    def test_second_refusal_is_no_news(self):
+    def test_second_refused_connection_is_not_reported(self):
         self.refuse_connection()
         effects = self.step(ov.DispatchNotRun(AttemptId("e", 1, 2), NotRunReason.CONNECT_FAILED))
-        self.assertFalse(any(isinstance(one, ov.UpstreamUnreachable) for one in effects))
+        self.assertFalse(any(isinstance(effect, ov.UpstreamUnreachable) for effect in effects))
 
-    def test_it_is_used_again_once_it_was_reached(self):
+    def test_upstream_is_used_again_once_it_accepts_connections(self):
         self.refuse_connection()
         self.step(ov.UpstreamAnnounced(2, 20, UpstreamState.READY))
         self.assertIs(self.hand_over()[0].reason, NotRunReason.NO_UPSTREAM)
         self.step(ov.UpstreamReachable())
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
 
-    def test_next_run_is_used_at_once_and_what_ran_has_an_unknown_end(self):
+    def test_next_run_is_used_at_once_and_running_attempts_are_unanswered(self):
         self.refuse_connection()
         effects = self.step(ov.UpstreamRestarted())
         cancelled, ended = effects
         self.assertEqual(cancelled, ov.CancelDispatch(AttemptId("e", 1, 2)))
-        self.assertEqual([one.attempt for one in ended.unanswered], [AttemptId("e", 1, 2)])
+        self.assertEqual([attempt.attempt for attempt in ended.unanswered], [AttemptId("e", 1, 2)])
         self.step(ov.DispatchUnknown(AttemptId("e", 1, 2), CutReason.CANCELLED))
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fencing.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fencing.py
@@ -5,8 +5,8 @@
 from bendwind_core.world import Repeat, UpstreamState
 
 
-class LaterLinkTest(unittest.TestCase):
-    """Drive one owner whose upstream has one slot."""
+class LinkEpochTest(unittest.TestCase):
+    """Test an owner whose upstream has one slot."""
 
     def setUp(self):
         self.owner_state = owner.create_owner_state("u", 1, 16)
@@ -17,8 +17,8 @@
         message = HandOver(attempt, 1, "s", "u", "GET", b"/", (), 1000.0, Repeat.IDEMPOTENT, 1)
         return owner.step(self.owner_state, ov.HandOverArrived(message, epoch), 0.0)
 
-    def test_hand_over_of_a_later_link_gives_up_what_waits_of_an_earlier_one(self):
-        # Found by fuzzing: it waited on where the hand-over came before the link's opening.
+    def test_hand_over_on_later_link_drops_attempts_of_earlier_link(self):
+        # The attempt of the earlier link kept waiting if the hand-over arrived before LinkOpened.
         self.hand_over(1, 1)
         self.hand_over(2, 1)
         effects = self.hand_over(3, 2)
@@ -26,7 +26,7 @@
         self.assertIsInstance(effects[0], ov.CancelDispatch)
         self.assertEqual(owner.step(self.owner_state, ov.LinkOpened("e", 1, 2), 0.0), [])
 
-    def test_hand_over_of_an_earlier_link_is_passed_over(self):
+    def test_hand_over_on_earlier_link_is_ignored(self):
         self.hand_over(1, 2)
         self.assertEqual(self.hand_over(2, 1), [])
         self.assertFalse(self.owner_state.waiting)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_cold.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_cold.py
@@ -1,4 +1,4 @@
-"""Check, against a model of the upstream, that a cold one is never sent more than it bears."""
+"""Fuzz an owner against a model of its upstream: a cold one never gets more than its limit."""
 
 import unittest
 
@@ -13,15 +13,15 @@
 
 RULE = WarmUpRule(3.0, 4.0)
 LIMITS = WarmUpLimits(1.5, 2.0)
-# The users' bound: arrivals in any span of one second while the upstream is cold.
-MOST_IN_A_SECOND = 4.0 * 1.5 + 2.0
+# The required bound: requests that arrive in any span of one second while the upstream is cold.
+MAX_PER_SECOND = 4.0 * 1.5 + 2.0
 SLOTS = 6
 entries = st.sampled_from(["e0", "e1", "e2"])
 times_ms = st.sampled_from([150.0, 600.0, 3000.0])
 
 
-class ColdUpstream(RuleBasedStateMachine):
-    """Drive the owner of one upstream; both the node's process and the upstream start again."""
+class ColdUpstreamMachine(RuleBasedStateMachine):
+    """Drive the owner of one upstream; both the node's process and the upstream may restart."""
 
     def __init__(self):
         super().__init__()
@@ -30,7 +30,7 @@
         self.arrivals = []
         self.connecting = {}
         self.running = {}
-        self.late = []
+        self.announced_ms = []
         self.born_at = -10.0
         self.incarnation = 0
 
@@ -57,14 +57,14 @@
 
     def cancel(self, attempt):
         if self.connecting.pop(attempt, None) or self.running.pop(attempt, None):
-            self.later.append(ov.DispatchUnknown(attempt, CutReason.CANCELLED))
+            self.pending_events.append(ov.DispatchUnknown(attempt, CutReason.CANCELLED))
 
-    def run_later(self):
-        later, self.later = self.later, []
-        for event in later:
+    def feed_pending_events(self):
+        events, self.pending_events = self.pending_events, []
+        for event in events:
             self.step(event)
 
-    later = []
+    pending_events = []
 
     @rule(entry=entries, remaining_ms=times_ms, has_target=st.booleans(), count=st.integers(1, 9))
     def hand_over(self, entry, remaining_ms, has_target, count):
@@ -88,7 +88,7 @@
 
     @rule()
     def connect(self):
-        """Have everything that was dispatched arrive."""
+        """Deliver all dispatched requests to the upstream."""
         for attempt in tuple(self.connecting):
             self.running[attempt] = self.now
             self.step(ov.DispatchSent(attempt))
@@ -109,8 +109,8 @@
             self.step(ov.DispatchDone(attempt))
 
     @rule(entry=entries, does_connect=st.booleans())
-    def press(self, entry, does_connect):
-        """Ask for far more than is borne, of an upstream that answers at once."""
+    def send_overload(self, entry, does_connect):
+        """Hand over far more requests than the limit, to an upstream that answers at once."""
         for _ in range(3):
             self.hand_over(entry, 3000.0, False, 9)
             if not does_connect:
@@ -123,13 +123,13 @@
     def pass_time(self, gap):
         until = self.now + gap
         while True:
-            # A dispatch waits for a connection for a second at most.
+            # A dispatch waits at most one second for a connection.
             dues = [at + 1.0 for at in self.connecting.values()]
             due = owner.next_due(self.owner_state, self.now)
             soonest = min([until, *dues, *([] if due is None else [max(due, self.now)])])
             if soonest >= until:
                 break
-            assert soonest > self.now or dues, "the owner asks to be looked at without end"
+            assert soonest > self.now or dues, "the owner requests ticks without end"
             self.now = soonest
             if any(at + 1.0 <= self.now for at in self.connecting.values()):
                 self.connect()
@@ -139,22 +139,22 @@
 
     @rule()
     def restart_upstream(self):
-        """Start the upstream again; it may take a while until it says that it is cold."""
+        """Restart the upstream; some time may pass until it reports that it is cold."""
         if self.now - self.born_at < 1.0:
             return
         self.born_at = self.now
         self.connecting.clear()
         self.running.clear()
-        self.later = []
+        self.pending_events = []
         for attempt in list(self.owner_state.running):
-            self.later.append(ov.DispatchUnknown(attempt, CutReason.UPSTREAM_RESET))
-        self.run_later()
-        self.later = []
+            self.pending_events.append(ov.DispatchUnknown(attempt, CutReason.UPSTREAM_RESET))
+        self.feed_pending_events()
+        self.pending_events = []
         self.step(ov.UpstreamRestarted())
-        self.run_later()
+        self.feed_pending_events()
 
     @rule()
-    def turn_cold_during_an_evacuation(self):
+    def become_cold_during_an_evacuation(self):
         self.step(ov.UpstreamAnnounced(SLOTS, 50, UpstreamState.DRAINING))
         self.step(ov.QueueWithdrawn())
         assert not self.owner_state.waiting
@@ -164,22 +164,22 @@
         self.born_at = self.now
         self.step(ov.UpstreamAnnounced(SLOTS, 50, UpstreamState.READY))
         self.step(ov.UpstreamAssumedCold())
-        # It was asked before it turned cold.
+        # The upstream was queried before it became cold.
         self.step(ov.WarmUpReported(0.0, queried_at))
 
     @rule()
     def announce(self):
         remaining_ms = max(0.0, self.cold_until - self.now) * 1000
-        self.late.append(remaining_ms)
+        self.announced_ms.append(remaining_ms)
         self.step(ov.WarmUpReported(remaining_ms))
 
     @rule()
     def announce_late(self):
-        if self.late:
-            self.step(ov.WarmUpReported(min(self.late)))
+        if self.announced_ms:
+            self.step(ov.WarmUpReported(min(self.announced_ms)))
 
     @rule()
-    def ask(self):
+    def query(self):
         remaining_ms = max(0.0, self.cold_until - self.now) * 1000
         self.step(ov.WarmUpReported(remaining_ms, queried_at=self.now))
 
@@ -189,13 +189,13 @@
         self.start_node()
 
     @invariant()
-    def a_cold_upstream_gets_no_more_than_it_bears(self):
+    def cold_upstream_gets_no_more_than_its_limit(self):
         for first in self.arrivals:
             span = [at for at in self.arrivals if first <= at <= first + 1.0]
-            assert len(span) <= MOST_IN_A_SECOND, span
+            assert len(span) <= MAX_PER_SECOND, span
 
 
-TestColdUpstream = ColdUpstream.TestCase
+TestColdUpstream = ColdUpstreamMachine.TestCase
 
 if __name__ == "__main__":
     unittest.main()
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
@@ -1,4 +1,4 @@
-"""Check one owner against a model that remembers every attempt for ever."""
+"""Fuzz an owner against a model that records every attempt and evicts none."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 INCARNATION = 5
 QUEUE = 3
-REMEMBERED = 2
+MAX_REMEMBERED = 2
 attempts = st.builds(
     AttemptId, st.sampled_from(["e0", "e1"]), st.sampled_from([1, 1, 1, 1, 2]), st.integers(1, 6)
 )
@@ -30,50 +30,53 @@
 incarnations = st.sampled_from([INCARNATION] * 5 + [INCARNATION - 1])
 
 
-class Owner(RuleBasedStateMachine):
+class OwnerMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
         self.now = 0.0
         self.started = set()
-        self.proven = set()
+        self.proven_not_run = set()
         self.seen = set()
         self.running = {}
         self.is_drained = True
-        self.timed = set()
+        self.timed_attempts = set()
 
     @initialize(
-        peers=st.sampled_from([8, 8, 1]), remembered=st.sampled_from([REMEMBERED, REMEMBERED, 1000])
+        max_peers=st.sampled_from([8, 8, 1]),
+        max_remembered=st.sampled_from([MAX_REMEMBERED, MAX_REMEMBERED, 1000]),
     )
-    def create(self, peers, remembered):
-        self.peers, self.remembered = peers, remembered
+    def create(self, max_peers, max_remembered):
+        self.max_peers, self.max_remembered = max_peers, max_remembered
         self.owner_state = owner.create_owner_state(
             "u",
             INCARNATION,
             QUEUE,
             timed_queue_capacity=QUEUE,
-            max_remembered_attempts=remembered,
-            max_remembered_peers=peers,
+            max_remembered_attempts=max_remembered,
+            max_remembered_peers=max_peers,
         )
         self.announce(2, 9, UpstreamState.READY)
 
     def step(self, event):
-        lines = self._lines(event)
+        queue_lengths = self._count_queue_lengths(event)
         for effect in owner.step(self.owner_state, event, self.now):
-            self.check(effect, lines)
+            self.check_effect(effect, queue_lengths)
 
-    def _lines(self, event):
-        lines = {entry: len(line) for entry, line in self.owner_state.queue.lines.items()}
+    def _count_queue_lengths(self, event):
+        queue_lengths = {entry: len(line) for entry, line in self.owner_state.queue.lines.items()}
         if isinstance(event, ov.HandOverArrived):
             entry = event.hand_over.attempt.entry
-            lines[entry] = lines.get(entry, 0) + 1
-        return lines
+            queue_lengths[entry] = queue_lengths.get(entry, 0) + 1
+        return queue_lengths
 
-    def check(self, effect, lines):
+    def check_effect(self, effect, queue_lengths):
         match effect:
             case ov.Dispatch(hand_over, expires_at):
                 attempt = hand_over.attempt
                 assert attempt not in self.started, "started twice"
-                assert attempt not in self.proven, "started after a proof that it never would"
+                assert (
+                    attempt not in self.proven_not_run
+                ), "started after a proof that it never starts"
                 assert hand_over.owner_incarnation == INCARNATION
                 assert expires_at > self.now, "started after its deadline"
                 assert not self.is_drained
@@ -83,12 +86,14 @@
                     self.owner_state.slots, self.owner_state.connections
                 )
             case ov.ReplyNotRun(attempt, _, reason):
-                assert attempt not in self.started, "told not-run, but it started"
-                self.proven.add(attempt)
-                is_polite = not self.insist or attempt in self.timed
-                assert reason is not NotRunReason.STALLED or is_polite
-                if reason is NotRunReason.QUEUE_FULL and attempt not in self.timed:
-                    assert lines[attempt.entry] >= max(lines.values()), "took another's share"
+                assert attempt not in self.started, "reported as not run, but it started"
+                self.proven_not_run.add(attempt)
+                may_be_stalled = not self.insist or attempt in self.timed_attempts
+                assert reason is not NotRunReason.STALLED or may_be_stalled
+                if reason is NotRunReason.QUEUE_FULL and attempt not in self.timed_attempts:
+                    assert queue_lengths[attempt.entry] >= max(
+                        queue_lengths.values()
+                    ), "displaced though its queue was not the longest"
             case ov.ReplyFenced(attempt, _, verdict):
                 self.check_verdict(attempt, verdict)
             case ov.CancelDispatch(attempt):
@@ -100,15 +105,17 @@
     def check_verdict(self, attempt, verdict):
         match verdict:
             case FenceVerdict.NEVER_STARTED:
-                assert self.fence_incarnation == INCARNATION, "spoke for another run"
+                assert (
+                    self.fence_incarnation == INCARNATION
+                ), "replied for another incarnation of the owner"
                 assert attempt not in self.started, "fenced as never started, but it started"
-                self.proven.add(attempt)
+                self.proven_not_run.add(attempt)
             case FenceVerdict.STARTED:
                 assert attempt in self.started
             case FenceVerdict.FORGOTTEN:
-                may_forget = self.peers == 1 or self.remembered == REMEMBERED
+                may_forget = self.max_peers == 1 or self.max_remembered == MAX_REMEMBERED
                 is_old = attempt.incarnation == 1 or self.fence_incarnation != INCARNATION
-                assert may_forget or is_old, "forgot without need"
+                assert may_forget or is_old, "forgot an attempt without need"
 
     @rule(
         attempt=attempts,
@@ -120,8 +127,8 @@
         target_ms=st.sampled_from([None, None, 0.0, 15.0, 400.0]),
     )
     def hand_over(self, attempt, epoch, incarnation, remaining_ms, repeat, insist, target_ms):
-        if self.peers == 1 and attempt in self.seen:
-            return  # A link is ordered: nothing of an attempt follows once its peer was dropped.
+        if self.max_peers == 1 and attempt in self.seen:
+            return  # Links are ordered: no message of an attempt arrives after its peer is evicted.
         self.seen.add(attempt)
         if incarnation != INCARNATION:
             attempt = AttemptId("other", 1, attempt.sequence)
@@ -130,13 +137,13 @@
         route = "" if target_ms is None else f"route-{attempt.sequence % 2}"
         message = HandOver(*parts, insist=insist, route=route, target_ms=target_ms)
         if target_ms is not None:
-            self.timed.add(attempt)
+            self.timed_attempts.add(attempt)
         self.step(ov.HandOverArrived(message, epoch))
 
     @rule(
         report=st.sampled_from([ov.LoadReported(1.0), ov.LoadReported(4.0), ov.LoadNotReported()])
     )
-    def hear_load(self, report):
+    def report_load(self, report):
         self.step(report)
 
     @rule(attempt=attempts, epoch=epochs, incarnation=incarnations)
@@ -149,9 +156,9 @@
         attempt=attempts,
         epoch=epochs,
         kind=st.sampled_from(["cancel", "cancel", "lost", "opened", "tick", "gone", "drain"]),
-        is_meant=st.booleans(),
+        is_applied=st.booleans(),
     )
-    def disturb(self, attempt, epoch, kind, is_meant):
+    def send_control_event(self, attempt, epoch, kind, is_applied):
         match kind:
             case "cancel":
                 self.step(ov.CancelArrived(attempt, epoch))
@@ -163,15 +170,15 @@
                 self.check_abandoned(attempt, epoch - 1)
             case "tick":
                 self.step(ov.Tick())
-            case "gone" if is_meant:
+            case "gone" if is_applied:
                 self.step(ov.UpstreamLost())
-            case "drain" if is_meant and attempt.sequence == 1:
+            case "drain" if is_applied and attempt.sequence == 1:
                 self.step(ov.Drain())
 
     def check_abandoned(self, attempt, epoch):
         for other, queued in self.owner_state.waiting.items():
             is_same = other.entry == attempt.entry and other.incarnation == attempt.incarnation
-            assert not is_same or queued.epoch > epoch, "kept what nobody awaits"
+            assert not is_same or queued.epoch > epoch, "kept an attempt that nobody awaits"
 
     @precondition(lambda self: self.running)
     @rule(
@@ -230,12 +237,12 @@
         assert not (has_slot and owner_state.queue.size), "a slot is idle while attempts wait"
         if has_slot and len(owner_state.timed_queue):
             due = owner.next_due(owner_state, self.now)
-            assert due is not None, "an attempt is held back and nothing will start it"
-            # What is held back is so for a slow phase, or for the moment that a question takes.
+            assert due is not None, "an attempt is held back and no tick will start it"
+            # An attempt is held back for a slow phase, or for the duration of a load query.
             assert due <= self.now + TYPICAL_PHASE or owner_state.pace.lengths
 
 
-TestOwner = Owner.TestCase
+TestOwner = OwnerMachine.TestCase
 TestOwner.settings = settings(max_examples=max(600, settings().max_examples))
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_suspects.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_suspects.py
@@ -7,12 +7,12 @@
 from bendwind_core.world import Repeat, UpstreamState
 
 
-def sign(path):
+def compute_path_signature(path):
     return sign_request("GET", path, (), b"")
 
 
 class SuspectsTest(unittest.TestCase):
-    """Drive one owner that shares its node's table of suspects."""
+    """Test an owner that shares the suspect table of its node."""
 
     def setUp(self):
         self.now = 0.0
@@ -34,10 +34,10 @@
         (effect,) = self.step(ov.HandOverArrived(message, 1))
         return attempt, effect
 
-    def suspect(self, path, count, table=None):
+    def add_suspect(self, path, count, table=None):
         for number in range(count):
             name = EndName("n2", 1, "v", number)
-            note_end(table or self.table, sign(path), "s", name, self.now)
+            note_end(table or self.table, compute_path_signature(path), "s", name, self.now)
 
     def end_upstream(self, *attempts):
         for attempt in attempts:
@@ -45,15 +45,15 @@
         self.step(ov.UpstreamChecked(is_refused=True))
         self.step(ov.UpstreamReachable())
 
-    def count(self, path):
-        suspect = self.table.suspects.get(sign(path))
+    def count_ends(self, path):
+        suspect = self.table.suspects.get(compute_path_signature(path))
         return 0 if suspect is None else suspect.count
 
     def answer(self, attempt, status):
         self.step(ov.DispatchHead(attempt, status, 5.0))
         self.step(ov.DispatchDone(attempt))
 
-    def test_lost_connection_has_the_upstream_looked_at_once(self):
+    def test_lost_connections_trigger_one_upstream_check(self):
         first, second = self.hand_over(b"/a")[0], self.hand_over(b"/b")[0]
         effects = self.step(ov.DispatchUnknown(first, CutReason.UPSTREAM_RESET))
         self.assertIn(ov.CheckUpstream(), effects)
@@ -61,15 +61,15 @@
         self.assertNotIn(ov.CheckUpstream(), effects)
         effects = self.step(ov.UpstreamChecked(is_refused=True))
         self.assertIn(ov.UpstreamUnreachable(), effects)
-        self.assertEqual((self.count(b"/a"), self.count(b"/b")), (1, 1))
+        self.assertEqual((self.count_ends(b"/a"), self.count_ends(b"/b")), (1, 1))
 
-    def test_upstream_that_takes_connections_has_not_ended(self):
+    def test_upstream_that_accepts_connections_has_not_ended(self):
         attempt, _ = self.hand_over(b"/a")
         self.step(ov.DispatchUnknown(attempt, CutReason.UPSTREAM_RESET))
         self.step(ov.UpstreamChecked(is_refused=False))
-        self.assertEqual(self.count(b"/a"), 0)
+        self.assertEqual(self.count_ends(b"/a"), 0)
 
-    def test_request_that_ended_three_upstreams_is_refused_with_the_time_to_come_back(self):
+    def test_request_is_quarantined_with_wait_time_after_three_ends(self):
         for _ in range(3):
             self.end_upstream(self.hand_over(b"/a")[0])
             self.now += 1.0
@@ -78,30 +78,30 @@
         self.assertEqual(refusal.wait_ms, 4000.0)
         self.assertIsInstance(self.hand_over(b"/b")[1], ov.Dispatch)
 
-    def test_what_its_entry_node_knows_counts_too(self):
+    def test_suspicion_reported_by_entry_node_counts(self):
         elsewhere = SuspectTable("n2")
-        self.suspect(b"/a", 3, elsewhere)
-        told = find_told(elsewhere, sign(b"/a"), self.now)
-        _, refusal = self.hand_over(b"/a", told)
+        self.add_suspect(b"/a", 3, elsewhere)
+        report = find_told(elsewhere, compute_path_signature(b"/a"), self.now)
+        _, refusal = self.hand_over(b"/a", report)
         self.assertIs(refusal.reason, NotRunReason.QUARANTINED)
-        self.assertIn(sign(b"/a"), self.table.news)
+        self.assertIn(compute_path_signature(b"/a"), self.table.news)
 
-    def test_few_suspects_run_beside_each_other(self):
+    def test_number_of_concurrent_suspects_is_limited(self):
         paths = [b"/a", *(f"/{number}".encode() for number in range(MOST_TOGETHER))]
         for path in paths:
-            self.suspect(path, 2)
+            self.add_suspect(path, 2)
         attempt, started = self.hand_over(b"/a")
         self.assertIsInstance(started, ov.Dispatch)
-        further = [self.hand_over(path)[1] for path in paths[1:]]
-        self.assertTrue(all(isinstance(effect, ov.Dispatch) for effect in further[:-1]))
-        self.assertIs(further[-1].reason, NotRunReason.KEPT_APART)
+        others = [self.hand_over(path)[1] for path in paths[1:]]
+        self.assertTrue(all(isinstance(effect, ov.Dispatch) for effect in others[:-1]))
+        self.assertIs(others[-1].reason, NotRunReason.KEPT_APART)
         self.assertIsInstance(self.hand_over(b"/a")[1], ov.Dispatch)
         self.assertIsInstance(self.hand_over(b"/harmless")[1], ov.Dispatch)
         self.answer(attempt, 200)
-        self.assertEqual(self.count(b"/a"), 0)
+        self.assertEqual(self.count_ends(b"/a"), 0)
 
-    def test_no_other_suspect_runs_beside_a_trial(self):
-        self.suspect(b"/b", 2)
+    def test_no_other_suspect_runs_during_a_trial(self):
+        self.add_suspect(b"/b", 2)
         for _ in range(3):
             self.end_upstream(self.hand_over(b"/a")[0])
             self.now += 1.0
@@ -109,8 +109,8 @@
         self.assertIsInstance(self.hand_over(b"/a")[1], ov.Dispatch)
         self.assertIs(self.hand_over(b"/b")[1].reason, NotRunReason.KEPT_APART)
 
-    def test_of_two_requests_that_end_upstreams_each_is_told_from_forty_beside_them(self):
-        """Replay two poison requests among harmless ones, all sent again until they are served."""
+    def test_two_poison_requests_are_identified_among_forty_harmless_ones(self):
+        """Replay two poison requests among 40 harmless ones, all sent again until served."""
         poison = (b"/g1", b"/g2")
         harmless = [f"/{number}".encode() for number in range(40)]
         self.step(ov.UpstreamAnnounced(64, 64, UpstreamState.READY))
@@ -135,20 +135,20 @@
         self.assertEqual(served, set(harmless))
         self.assertLessEqual(max(runs.values()), 5)
 
-    def test_error_does_not_clear_and_success_does(self):
-        self.suspect(b"/a", 2)
+    def test_only_successful_answer_clears_suspicion(self):
+        self.add_suspect(b"/a", 2)
         self.answer(self.hand_over(b"/a")[0], 500)
-        self.assertEqual(self.count(b"/a"), 2)
+        self.assertEqual(self.count_ends(b"/a"), 2)
         self.answer(self.hand_over(b"/a")[0], 200)
-        self.assertEqual(self.count(b"/a"), 0)
+        self.assertEqual(self.count_ends(b"/a"), 0)
 
-    def test_upstream_that_ends_after_it_said_so_speaks_against_nobody(self):
+    def test_announced_departure_creates_no_suspects(self):
         attempt, _ = self.hand_over(b"/a")
         self.step(ov.UpstreamAnnounced(8, 8, UpstreamState.DRAINING))
         self.end_upstream(attempt)
-        self.assertEqual(self.count(b"/a"), 0)
+        self.assertEqual(self.count_ends(b"/a"), 0)
 
-    def test_request_that_waits_is_given_back_once_it_is_quarantined(self):
+    def test_waiting_request_is_refused_once_it_is_quarantined(self):
         for number in range(8):
             self.hand_over(f"/{number}".encode())
         self.sequence += 1
@@ -156,10 +156,10 @@
         message = HandOver(waiting, 1, "s", "u", "GET", b"/a", (), 9000.0, Repeat.IDEMPOTENT, 1)
         self.step(ov.HandOverArrived(message, 1))
         self.assertIn(waiting, self.owner_state.waiting)
-        self.suspect(b"/a", 3)
+        self.add_suspect(b"/a", 3)
         effects = self.step(ov.DispatchDone(AttemptId("e", 1, 1)))
         refused = [effect for effect in effects if isinstance(effect, ov.ReplyNotRun)]
-        self.assertEqual([one.reason for one in refused], [NotRunReason.QUARANTINED])
+        self.assertEqual([effect.reason for effect in refused], [NotRunReason.QUARANTINED])
         self.assertNotIn(waiting, self.owner_state.running)
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_end.py
@@ -9,7 +9,7 @@
 
 
 class UpstreamEndTest(unittest.TestCase):
-    """Drive one owner whose upstream runs eight attempts."""
+    """Test an owner whose upstream can run eight attempts at a time."""
 
     def setUp(self):
         self.now = 0.0
@@ -34,44 +34,44 @@
         failed = NotRunReason.CONNECT_FAILED
         return self.step(ov.DispatchNotRun(AttemptId("e", 1, sequence), failed, is_timed_out))
 
-    def list_under(self, effects):
+    def list_unanswered(self, effects):
         ends = [effect for effect in effects if isinstance(effect, ov.UpstreamEnded)]
         return [ended.attempt.sequence for end in ends for ended in end.unanswered]
 
-    def test_refused_connection_shows_what_the_upstream_ended_under(self):
+    def test_refused_connection_reports_unanswered_attempts(self):
         self.run_attempts(1, 2)
         self.reset(1)
         self.reset(2, CutReason.UPSTREAM_TIMEOUT)
-        self.assertEqual(self.list_under(self.refuse_connection(3)), [1, 2])
+        self.assertEqual(self.list_unanswered(self.refuse_connection(3)), [1, 2])
 
-    def test_connection_read_as_broken_a_moment_later_belongs_to_the_same_end(self):
+    def test_reset_shortly_after_an_end_belongs_to_the_same_end(self):
         self.run_attempts(1, 2)
         self.reset(1)
         self.refuse_connection(3)
         self.now = END_SETTLING_TIME / 2
-        self.assertEqual(self.list_under(self.reset(2)), [2])
+        self.assertEqual(self.list_unanswered(self.reset(2)), [2])
 
-    def test_upstream_that_answers_after_a_lost_answer_has_not_ended_under_it(self):
+    def test_sign_of_life_excludes_attempts_that_failed_before_it(self):
         self.run_attempts(1, 2, 3)
         self.reset(1)
         self.now = 2 * END_SETTLING_TIME
         self.step(ov.DispatchHead(AttemptId("e", 1, 2), 200, 5.0))
         self.reset(3)
-        self.assertEqual(self.list_under(self.refuse_connection(4)), [3])
+        self.assertEqual(self.list_unanswered(self.refuse_connection(4)), [3])
 
-    def test_what_ended_unanswered_long_before_has_no_part_in_an_end(self):
+    def test_attempts_unanswered_long_before_an_end_are_left_out(self):
         self.run_attempts(1, 2)
         self.reset(1, CutReason.CANCELLED)
         self.now = UNANSWERED_RETENTION + 1.0
         self.reset(2)
-        self.assertEqual(self.list_under(self.refuse_connection(3)), [2])
+        self.assertEqual(self.list_unanswered(self.refuse_connection(3)), [2])
 
-    def test_upstream_that_has_left_is_not_looked_after(self):
+    def test_check_result_of_a_gone_upstream_is_ignored(self):
         self.step(ov.UpstreamLost())
         self.assertEqual(self.step(ov.UpstreamChecked(is_refused=True)), [])
 
-    def test_upstream_that_takes_connections_and_resets_each_request_is_held_down(self):
-        # It was sent 388 requests in ten seconds, each of which failed within some milliseconds.
+    def test_upstream_that_resets_each_request_becomes_unreachable(self):
+        # Such an upstream was sent 388 requests in ten seconds; each failed within milliseconds.
         effects = []
         for sequence in range(1, 4):
             self.run_attempts(sequence)
@@ -84,13 +84,13 @@
         self.now += 0.005
         self.assertNotIn(ov.UpstreamUnreachable(), self.reset(4))
 
-    def test_connections_that_break_all_at_once_are_one_reset(self):
+    def test_simultaneous_resets_count_once(self):
         self.run_attempts(1, 2, 3, 4)
         self.now += 0.005
         effects = [effect for sequence in (1, 2, 3, 4) for effect in self.reset(sequence)]
         self.assertNotIn(ov.UpstreamUnreachable(), effects)
 
-    def test_upstream_that_answers_between_resets_is_not_held_down(self):
+    def test_upstream_that_answers_between_resets_stays_reachable(self):
         for sequence in range(1, 9, 2):
             self.run_attempts(sequence, sequence + 1)
             self.now += 0.005
@@ -98,26 +98,26 @@
             self.step(ov.DispatchDone(AttemptId("e", 1, sequence)))
             self.assertNotIn(ov.UpstreamUnreachable(), self.reset(sequence + 1))
 
-    def test_upstream_that_takes_no_connection_in_time_has_not_been_seen_to_end(self):
+    def test_connection_timeout_is_not_an_end(self):
         self.run_attempts(1)
         self.reset(1)
-        self.assertEqual(self.list_under(self.refuse_connection(2, is_timed_out=True)), [])
+        self.assertEqual(self.list_unanswered(self.refuse_connection(2, is_timed_out=True)), [])
 
-    def test_next_run_shows_the_end_of_the_one_before_once(self):
+    def test_next_run_reports_the_end_of_the_previous_run_once(self):
         self.run_attempts(1, 2)
         self.reset(1)
-        self.assertEqual(self.list_under(self.step(ov.UpstreamRestarted())), [1, 2])
-        self.assertEqual(self.list_under(self.reset(2, CutReason.CANCELLED)), [])
-        self.assertEqual(self.list_under(self.step(ov.UpstreamRestarted())), [])
+        self.assertEqual(self.list_unanswered(self.step(ov.UpstreamRestarted())), [1, 2])
+        self.assertEqual(self.list_unanswered(self.reset(2, CutReason.CANCELLED)), [])
+        self.assertEqual(self.list_unanswered(self.step(ov.UpstreamRestarted())), [])
 
-    def test_upstream_that_leaves_as_it_said_has_not_ended_by_itself(self):
+    def test_announced_departure_is_not_an_end(self):
         self.run_attempts(1)
         self.reset(1)
-        self.assertEqual(self.list_under(self.step(ov.UpstreamLost())), [])
+        self.assertEqual(self.list_unanswered(self.step(ov.UpstreamLost())), [])
 
-    def test_another_upstream_in_its_place_shows_its_end(self):
+    def test_replacement_by_another_upstream_reports_an_end(self):
         self.run_attempts(1)
-        self.assertEqual(self.list_under(self.step(ov.UpstreamLost(is_replaced=True))), [1])
+        self.assertEqual(self.list_unanswered(self.step(ov.UpstreamLost(is_replaced=True))), [1])
 
 
 if __name__ == "__main__":
