--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -194,10 +194,10 @@
         case Tick():
             pass
     _expire_queue(owner_state, now, effects)
-    _refuse_waiting(owner_state, _cannot_start_at_once, NotRunReason.BUSY, now, effects)
-    _refuse_waiting(owner_state, is_stalled_again, NotRunReason.STALLED, now, effects)
+    _refuse_matching(owner_state, _cannot_start_immediately, NotRunReason.BUSY, now, effects)
+    _refuse_matching(owner_state, is_stalled_again, NotRunReason.STALLED, now, effects)
     _dispatch_waiting(owner_state, now, effects)
-    _refuse_waiting(owner_state, _is_past_refusal_time, NotRunReason.QUEUE_FULL, now, effects)
+    _refuse_matching(owner_state, _is_past_refusal_time, NotRunReason.QUEUE_FULL, now, effects)
     # A refused attempt may have kept an inner call from a slot above the share that is used.
     _dispatch_waiting(owner_state, now, effects)
     ask_if_held(owner_state, now, effects)
@@ -229,7 +229,7 @@
             drop_waiting(owner_state, queued, NotRunReason.DEADLINE, now, effects)
 
 
-def _cannot_start_at_once(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
+def _cannot_start_immediately(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
     """Return whether an attempt that may not wait cannot start, by the newest reports."""
     if queued.hand_over.may_wait:
         return False
@@ -242,7 +242,7 @@
     return now >= find_end(queued)
 
 
-def _refuse_waiting(
+def _refuse_matching(
     owner_state: OwnerState,
     should_refuse: Callable[[OwnerState, QueuedAttempt, Seconds], bool],
     reason: NotRunReason,
