--- a/packages/bendwind-core/src/bendwind_core/attempts/attempt_log.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/attempt_log.py
@@ -1,8 +1,9 @@
-"""Remember, in bounded memory, what became of the attempts an owner node was handed.
+"""Record, in bounded memory, the execution state of the attempts that an owner node was handed.
 
-When the oldest ended attempt of an entry node is dropped, the floor of that entry node rises to
-its sequence: of an attempt at or below the floor nothing can be said any more. Dropping a peer
-relies on ordered links: once a link was reopened, nothing more arrives of its earlier attempts.
+When the oldest ended attempt of an entry node is evicted, the floor of that entry node rises to
+the sequence of this attempt. The state of an unrecorded attempt at or below the floor is unknown.
+Evicting a peer relies on ordered links: after a link has been reopened, no more messages of its
+earlier attempts arrive.
 """
 
 import collections
@@ -13,8 +14,8 @@
 from bendwind_core.attempts.messages import AttemptId
 
 
-class Fate(enum.Enum):
-    """Say what became of an attempt at its owner node."""
+class ExecutionState(enum.Enum):
+    """Name the execution state of an attempt at its owner node."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -25,7 +26,8 @@
 class EntryPeer(msgspec.Struct):
     """Hold what is known of one entry node.
 
-    `fence_floor` covers what was dropped while the entry node itself had been dropped.
+    `epoch` is the epoch of its newest link. Attempts up to `floor` may have been evicted.
+    `fence_floor` covers the attempts that were evicted while the entry node itself had no record.
     """
 
     incarnation: int
@@ -35,60 +37,68 @@
 
 
 class AttemptLog(msgspec.Struct):
-    """Hold the fates of live attempts and of the last `capacity` ended ones."""
+    """Hold the states of live attempts and of the last `capacity` ended attempts.
+
+    `evicted_floor` covers the evicted attempts of entry nodes without a record.
+    """
 
     capacity: int
     peer_capacity: int
-    fates: dict[AttemptId, Fate] = msgspec.field(default_factory=dict)
+    states: dict[AttemptId, ExecutionState] = msgspec.field(default_factory=dict)
     ended: collections.deque[AttemptId] = msgspec.field(default_factory=collections.deque)
     peers: collections.OrderedDict[str, EntryPeer] = msgspec.field(
         default_factory=collections.OrderedDict
     )
-    has_dropped_peers: bool = False
-    lost_floor: int = 0
+    has_evicted_peers: bool = False
+    evicted_floor: int = 0
 
 
-def meet_peer(log: AttemptLog, entry: str, incarnation: int, floor: int) -> EntryPeer | None:
-    """Return the entry node's record, made or renewed; None for a run before its latest.
+def find_or_create_peer(
+    log: AttemptLog, entry: str, incarnation: int, floor: int
+) -> EntryPeer | None:
+    """Return the entry node's record; None for an incarnation before its newest.
 
-    `floor` is the floor of a new record where one may have been dropped before.
+    The record is created for a new entry node and replaced for a new incarnation. `floor` is the
+    floor of a new record if an earlier record of the entry node may have been evicted.
     """
     peer = log.peers.get(entry)
     if peer is not None and peer.incarnation == incarnation:
         return peer
     if peer is not None and peer.incarnation > incarnation:
         return None
-    known_new = peer is not None or not log.has_dropped_peers
-    peer = EntryPeer(incarnation, floor=0 if known_new else floor, fence_floor=log.lost_floor)
+    has_full_history = peer is not None or not log.has_evicted_peers
+    peer = EntryPeer(
+        incarnation, floor=0 if has_full_history else floor, fence_floor=log.evicted_floor
+    )
     log.peers[entry] = peer
     log.peers.move_to_end(entry)
     if len(log.peers) > log.peer_capacity:
-        _, dropped = log.peers.popitem(last=False)
-        log.lost_floor = max(log.lost_floor, dropped.floor, dropped.fence_floor)
-        log.has_dropped_peers = True
+        _, evicted = log.peers.popitem(last=False)
+        log.evicted_floor = max(log.evicted_floor, evicted.floor, evicted.fence_floor)
+        log.has_evicted_peers = True
     return peer
 
 
-def record_live(log: AttemptLog, attempt: AttemptId, fate: Fate) -> None:
-    """Note that an attempt is queued or running."""
-    log.fates[attempt] = fate
+def record_live(log: AttemptLog, attempt: AttemptId, state: ExecutionState) -> None:
+    """Record that an attempt is queued or running."""
+    log.states[attempt] = state
 
 
-def record_ended(log: AttemptLog, attempt: AttemptId, fate: Fate) -> None:
-    """Note the last fate of an attempt, and drop the oldest ended one if there are too many."""
-    before = log.fates.get(attempt)
-    log.fates[attempt] = fate
-    if before not in (Fate.ENDED, Fate.NEVER_STARTED):
+def record_ended(log: AttemptLog, attempt: AttemptId, state: ExecutionState) -> None:
+    """Record the last state of an attempt; evict the oldest ended one if there are too many."""
+    previous_state = log.states.get(attempt)
+    log.states[attempt] = state
+    if previous_state not in (ExecutionState.ENDED, ExecutionState.NEVER_STARTED):
         log.ended.append(attempt)
     if len(log.ended) > log.capacity:
-        _drop_oldest(log)
+        _evict_oldest(log)
 
 
-def _drop_oldest(log: AttemptLog) -> None:
+def _evict_oldest(log: AttemptLog) -> None:
     oldest = log.ended.popleft()
-    del log.fates[oldest]
+    del log.states[oldest]
     peer = log.peers.get(oldest.entry)
     if peer is not None and peer.incarnation == oldest.incarnation:
         peer.floor = max(peer.floor, oldest.sequence)
     elif peer is None or peer.incarnation < oldest.incarnation:
-        log.lost_floor = max(log.lost_floor, oldest.sequence)
+        log.evicted_floor = max(log.evicted_floor, oldest.sequence)
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
@@ -1,4 +1,4 @@
-"""Hold the attempts at the one node that sends to an upstream."""
+"""Hold the state of an upstream's owner node, the only node that sends requests to it."""
 
 import math
 
@@ -16,30 +16,32 @@
 from bendwind_core.attempts.messages import AttemptId, HandOver
 from bendwind_core.attempts.pace import Pace
 from bendwind_core.attempts.service_time import ServiceTime
-from bendwind_core.attempts.upstream_end import EndWatch
+from bendwind_core.attempts.upstream_end import EndDetector
 from bendwind_core.core import Milliseconds, Seconds
 from bendwind_core.limits import FairQueue, Turns, UrgencyQueue
 from bendwind_core.suspicion import ServedRequests, SuspectTable
 from bendwind_core.world import UpstreamState
 
-REMEMBERED_ATTEMPTS = 4096
+MAX_REMEMBERED_ATTEMPTS = 4096
 
-# Attempts with an objective are admitted by how long they would wait, which bounds their number
-# where they take some time; a limit below that drops long ones for short ones that came later.
-TIMED_QUEUE = 128
+# Bounds the queue of attempts with a latency objective. Admission by the estimated wait already
+# bounds it where attempts take some time; a limit below that bound would drop long attempts in
+# favour of short ones that arrived later.
+MAX_TIMED_QUEUE = 128
 
-# One for each node of the largest deployment planned for; about 150 bytes each.
-REMEMBERED_PEERS = 16384
+# One entry node per node of the largest planned deployment; about 150 bytes each.
+MAX_REMEMBERED_PEERS = 16384
 
 
 class QueuedAttempt(msgspec.Struct):
-    """Hold an attempt that waits.
-
-    One with a latency objective should start by `due_at`, and is given back at `leaves_at` if no
-    slot is free: held to its deadline, it could not be tried elsewhere any more. `signature`
-    is empty where nothing was known against any request. `rank` is where it waits, the lowest
-    first, `own_rank` how urgent it is, that of the calling run for a call that an upstream makes,
-    and `is_inner` says that this run fails without it.
+    """Hold an attempt that waits for a slot.
+
+    An attempt with a latency objective should start by `due_at`, and is refused at `refuse_at` if
+    no slot is free: if it waited until its deadline, no other upstream could be tried any more.
+    `signature` is empty if nothing was known against any request. `queue_rank` is the rank by
+    which the queue is ordered, the lowest first. `effective_rank` is how urgent the attempt is; for
+    a call that an upstream makes, it is the rank of the run that makes the call. `is_inner` says
+    that the attempt is such a call, and that this run fails without it.
     """
 
     hand_over: HandOver
@@ -47,55 +49,59 @@
     expires_at: Seconds
     queued_at: Seconds = 0.0
     due_at: Seconds = 0.0
-    leaves_at: Seconds = 0.0
+    refuse_at: Seconds = 0.0
     signature: bytes = b""
     is_suspect: bool = False
-    rank: float = 0.0
-    own_rank: int = 0
+    queue_rank: float = 0.0
+    effective_rank: int = 0
     is_inner: bool = False
 
 
 class RunningAttempt(msgspec.Struct):
     """Hold a started attempt.
 
-    `slow_factor` is how much longer than usual it should take; `is_paced` says that the upstream
-    had told so shortly before, `is_sent` that the request went out whole, and `is_under_end` that
-    the upstream is known to have ended while it ran. `signature` and `is_suspect` are as when it
-    was queued, as is `own_rank`, and `status` is that of the answer's head, 0 without one.
+    `slow_factor` is how many times longer than usual it should take; `is_pace_known` says that the
+    upstream had reported this shortly before. `is_sent` says that the whole request was sent, and
+    `is_upstream_ended` that the upstream is known to have ended while the attempt ran. `signature`,
+    `is_suspect` and `effective_rank` are those of the queued attempt. `status` is the status in the
+    head of the answer, 0 before the head.
     """
 
     epoch: int
     started_at: Seconds
     hand_over: HandOver
     slow_factor: float = 1.0
-    is_paced: bool = False
+    is_pace_known: bool = False
     is_cancelled: bool = False
     is_sent: bool = False
-    is_under_end: bool = False
+    is_upstream_ended: bool = False
     signature: bytes = b""
     is_suspect: bool = False
     status: int = 0
-    own_rank: int = 0
+    effective_rank: int = 0
 
     @property
     def route(self) -> str:
-        """Return the route that the call came by, empty without one."""
+        """Return the route of the call, empty if it has none."""
         return self.hand_over.route
 
 
 class OwnerState(msgspec.Struct):
-    """Hold everything that was handed to one upstream's owner node.
-
-    Attempts with a latency objective wait in `timed`, all others in `queue`. `slot_share` is the
-    part of the slots that is used, `route_times` the usual time of each route's answers,
-    `guessed_times` stands in for routes without any, `origins` tells where each route's requests
-    begin, `dependency` what is known of the upstream's own calls, `warm_up` whether it is cold,
-    `rate_limit` what it takes by its own word, `ends` what it may have ended under, `suspects` what
-    the process knows against requests, `served` which were served here lately, `turns` what was
-    done for each customer, `rank_counts` how often each rank is served, `arrivals` what came of
-    each rank lately, and `asked_at` is when it was last asked for its load.
-    `is_unreachable` says that it refused the last connection, `is_leaving` that its present run is
-    to get nothing more, by its own word.
+    """Hold all attempts that were handed to one upstream's owner node.
+
+    Attempts with a latency objective wait in `timed_queue`, all others in `queue`; `waiting` holds
+    both kinds. `slot_share` is the share of the slots that is used. `route_times` is the usual
+    time of each route's answers, and `guessed_times` the estimate for routes without answers.
+    `origins` holds where the requests of each route come from. `dependency_overload` holds what is
+    known of the calls that the upstream itself makes. `warm_up` holds whether the upstream is cold,
+    and `rate_limit` the limit that the upstream reported. `end_detector` holds the requests that
+    may have been running when the upstream ended, `suspects` what the process knows against
+    requests, and `served_requests` the requests that were served here recently. `customer_work` is
+    the recent work for each customer, `rank_counts` how often requests of each rank are served, and
+    `arrival_counts` how many requests of each rank arrived recently. `load_queried_at` is when the
+    upstream was last queried for its load, and `has_load_endpoint` whether it has a page for that.
+    `is_unreachable` says that the upstream refused the last connection. `is_leaving` says that the
+    upstream reported that it leaves: its present run gets no further requests.
     Units: `route_times` and `guessed_times` in milliseconds.
     """
 
@@ -103,39 +109,39 @@
     incarnation: int
     queue: FairQueue[QueuedAttempt]
     log: AttemptLog
-    timed: UrgencyQueue[QueuedAttempt]
+    timed_queue: UrgencyQueue[QueuedAttempt]
     slot_share: float = 1.0
     slots: int = 0
     connections: int = 0
     state: UpstreamState = UpstreamState.GONE
     is_stopping: bool = False
     is_drained: bool = True
-    bounce_queue_at: Seconds | None = None
-    progress_at: Seconds = 0.0
+    refuse_queue_at: Seconds | None = None
+    last_progress_at: Seconds = 0.0
     running: dict[AttemptId, RunningAttempt] = msgspec.field(default_factory=dict)
     waiting: dict[AttemptId, QueuedAttempt] = msgspec.field(default_factory=dict)
-    times: ServiceTime = msgspec.field(default_factory=ServiceTime)
+    service_times: ServiceTime = msgspec.field(default_factory=ServiceTime)
     route_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
     guessed_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
     origins: Origins = msgspec.field(default_factory=Origins)
-    dependency: Dependency = msgspec.field(default_factory=Dependency)
+    dependency_overload: Dependency = msgspec.field(default_factory=Dependency)
     pace: Pace = msgspec.field(default_factory=Pace)
     warm_up: WarmUp = msgspec.field(default_factory=WarmUp)
     rate_limit: RateLimit = msgspec.field(default_factory=RateLimit)
-    ends: EndWatch = msgspec.field(default_factory=EndWatch)
+    end_detector: EndDetector = msgspec.field(default_factory=EndDetector)
     suspects: SuspectTable = msgspec.field(default_factory=SuspectTable)
-    served: ServedRequests = msgspec.field(default_factory=ServedRequests)
-    turns: Turns = msgspec.field(default_factory=Turns)
+    served_requests: ServedRequests = msgspec.field(default_factory=ServedRequests)
+    customer_work: Turns = msgspec.field(default_factory=Turns)
     rank_counts: RankCounts = msgspec.field(default_factory=RankCounts)
-    arrivals: Arrivals = msgspec.field(default_factory=Arrivals)
+    arrival_counts: Arrivals = msgspec.field(default_factory=Arrivals)
     is_unreachable: bool = False
     is_leaving: bool = False
-    asked_at: Seconds | None = None
-    may_ask: bool = True
+    load_queried_at: Seconds | None = None
+    has_load_endpoint: bool = True
 
     @property
     def run_limit(self) -> int:
-        """Return how many attempts may run at a time."""
+        """Return how many attempts may run at the same time."""
         used = max(1, int(self.slots * self.slot_share)) if self.slots else 0
         return min(used, self.connections)
 
@@ -143,25 +149,27 @@
 def create_owner_state(
     upstream: str,
     incarnation: int,
-    queue: int,
+    queue_capacity: int,
     *,
-    timed_queue: int = TIMED_QUEUE,
-    remembered_attempts: int = REMEMBERED_ATTEMPTS,
-    remembered_peers: int = REMEMBERED_PEERS,
+    timed_queue_capacity: int = MAX_TIMED_QUEUE,
+    max_remembered_attempts: int = MAX_REMEMBERED_ATTEMPTS,
+    max_remembered_peers: int = MAX_REMEMBERED_PEERS,
     slot_share: float = 1.0,
     warm_up: WarmUp | None = None,
     suspects: SuspectTable | None = None,
     alone_from: Seconds = -math.inf,
 ) -> OwnerState:
-    """Create an owner's state for an upstream that has yet to announce itself.
+    """Create the owner's state for an upstream that has not announced itself yet.
 
-    `incarnation` is this process's own run; `queue` bounds the attempts that wait, `timed_queue`
-    those of them with a latency objective. `alone_from` is when no other process sends to the
-    upstream any more.
+    `incarnation` identifies the run of this process. `timed_queue_capacity` bounds the waiting
+    attempts with a latency objective, and `queue_capacity` all others. `alone_from` is the time
+    from which no other process sends to the upstream.
     """
-    log = AttemptLog(remembered_attempts, remembered_peers)
-    timed = UrgencyQueue(timed_queue)
-    owner_state = OwnerState(upstream, incarnation, FairQueue(queue), log, timed, slot_share)
+    log = AttemptLog(max_remembered_attempts, max_remembered_peers)
+    timed_queue = UrgencyQueue(timed_queue_capacity)
+    owner_state = OwnerState(
+        upstream, incarnation, FairQueue(queue_capacity), log, timed_queue, slot_share
+    )
     if warm_up is not None:
         owner_state.warm_up = warm_up
     owner_state.rate_limit.alone_from = alone_from
@@ -170,7 +178,7 @@
     return owner_state
 
 
-def is_open(owner_state: OwnerState) -> bool:
-    """Tell whether new attempts are taken."""
+def is_accepting(owner_state: OwnerState) -> bool:
+    """Return whether the owner accepts new attempts."""
     is_ready = owner_state.state is UpstreamState.READY and not owner_state.is_stopping
     return is_ready and not owner_state.is_unreachable and not owner_state.is_leaving
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
@@ -1,8 +1,8 @@
-"""Tell which attempts an upstream ended under.
+"""Find which attempts an upstream was running when it ended.
 
-The connections of an upstream that ends break one after the other, and only a refused connection or
-another run in its place shows that it was its end. Until then an attempt without an answer is kept,
-for as long as the upstream gives no sign of life.
+When an upstream ends, its connections break one after the other. Only a refused connection, or
+another run in its place, shows that the upstream has ended. Until then an attempt without an answer
+is kept, as long as the upstream gives no sign of life.
 """
 
 import math
@@ -13,22 +13,25 @@
 from bendwind_core.core import Seconds
 from bendwind_core.suspicion import compute_signature, hash_request
 
-# Nine connections of an upstream that ended were read as broken within 1 ms; a busy node is slower.
-SETTLING: Seconds = 0.1
-# A silent end is noticed when the upstream is back or is tried next. What ended without an answer
-# longer ago, as a caller that left with nothing else to do for the upstream, has no part in it.
-UNANSWERED_FOR: Seconds = 10.0
-# An upstream that takes connections and resets each request, so many one after the other, serves
-# nobody: held down only once it refused connections, one was sent 388 requests in ten seconds.
-RESETS_IN_A_ROW = 3
-# More than the slots of any upstream planned for; of more, the oldest are forgotten.
+# Attempts that fail within this time of an end belong to the same end. Nine connections of an
+# upstream that ended were read as broken within 1 ms; a busy node is slower.
+END_SETTLING_TIME: Seconds = 0.1
+# A silent end is detected only when the upstream is back or is tried next. An attempt that ended
+# without an answer longer ago is not related to it; for example, its caller may have left while the
+# upstream had nothing else to do.
+UNANSWERED_RETENTION: Seconds = 10.0
+# An upstream that accepts connections but resets this many requests one after the other serves
+# nobody, and is treated as unreachable. When only refused connections counted, such an upstream was
+# sent 388 requests in ten seconds.
+RESETS_UNTIL_UNREACHABLE = 3
+# More than the slots of any planned upstream; beyond this, the oldest attempts are evicted.
 MAX_UNANSWERED = 64
 
 
-class Unanswered(msgspec.Struct, frozen=True):
-    """Hold an attempt whose answer did not come, without its body.
+class UnansweredAttempt(msgspec.Struct, frozen=True):
+    """Hold an attempt without an answer, without the body of its request.
 
-    `number` is what `number_request` gives its request.
+    `request_hash` is equal for equal requests within this process, None for a long request.
     """
 
     attempt: AttemptId
@@ -36,27 +39,28 @@
     headers: tuple[Header, ...]
     signature: bytes
     ended_at: Seconds
-    number: int | None = None
+    request_hash: int | None = None
 
 
-class EndWatch(msgspec.Struct):
+class EndDetector(msgspec.Struct):
     """Hold the attempts that ended without an answer since the upstream's last sign of life.
 
-    Until `settles_at`, such attempts are still those of the last end that was seen; `ends` counts
-    these. `is_checked` says that the upstream is being asked whether it takes connections. `resets`
-    counts those one after the other, each of an attempt that began after the one at `reset_at`.
+    Until `end_settles_at`, such attempts belong to the last end that was detected; `end_count`
+    counts the ends. `is_check_pending` says that a check whether the upstream accepts connections
+    is under way. `consecutive_resets` counts resets one after the other, each of an attempt
+    that started after the previous counted reset, at `last_reset_at`.
     """
 
-    unanswered: list[Unanswered] = msgspec.field(default_factory=list)
-    settles_at: Seconds = 0.0
-    ends: int = 0
-    is_checked: bool = False
-    resets: int = 0
-    reset_at: Seconds = -math.inf
+    unanswered: list[UnansweredAttempt] = msgspec.field(default_factory=list)
+    end_settles_at: Seconds = 0.0
+    end_count: int = 0
+    is_check_pending: bool = False
+    consecutive_resets: int = 0
+    last_reset_at: Seconds = -math.inf
 
 
-def sign_hand_over(hand_over: HandOver) -> bytes:
-    """Return the signature of the request that is handed over."""
+def compute_hand_over_signature(hand_over: HandOver) -> bytes:
+    """Return the signature of a hand-over's request."""
     return compute_signature(
         hand_over.method,
         hand_over.target,
@@ -66,53 +70,55 @@
     )
 
 
-def number_hand_over(hand_over: HandOver) -> int | None:
-    """Return what `number_request` gives the request that is handed over."""
+def hash_hand_over(hand_over: HandOver) -> int | None:
+    """Return a hash of a hand-over's request, valid in this process; None for a long request."""
     return hash_request(hand_over.method, hand_over.target, hand_over.body)
 
 
-def note_unanswered(watch: EndWatch, hand_over: HandOver, reason: CutReason, now: Seconds) -> None:
-    """Note that an attempt ended without its answer."""
+def record_unanswered(
+    detector: EndDetector, hand_over: HandOver, reason: CutReason, now: Seconds
+) -> None:
+    """Record that an attempt ended without an answer."""
     if reason is CutReason.FOREIGN_ANSWER:
-        # The upstream did answer, though something else.
+        # The upstream did send an answer, although a foreign one.
         return
-    watch.unanswered.append(
-        Unanswered(
+    detector.unanswered.append(
+        UnansweredAttempt(
             hand_over.attempt,
             hand_over.service,
             hand_over.headers,
-            sign_hand_over(hand_over),
+            compute_hand_over_signature(hand_over),
             now,
-            number_hand_over(hand_over),
+            hash_hand_over(hand_over),
         )
     )
-    del watch.unanswered[:-MAX_UNANSWERED]
+    del detector.unanswered[:-MAX_UNANSWERED]
 
 
-def note_reset(watch: EndWatch, started_at: Seconds, now: Seconds) -> bool:
-    """Note that a connection was reset; tell whether the upstream resets whatever it is sent."""
-    if started_at >= watch.reset_at:
-        watch.resets += 1
-        watch.reset_at = now
-    if watch.resets < RESETS_IN_A_ROW:
+def record_reset(detector: EndDetector, started_at: Seconds, now: Seconds) -> bool:
+    """Record a connection reset; return whether the upstream resets every request."""
+    if started_at >= detector.last_reset_at:
+        detector.consecutive_resets += 1
+        detector.last_reset_at = now
+    if detector.consecutive_resets < RESETS_UNTIL_UNREACHABLE:
         return False
-    watch.resets = 0
+    detector.consecutive_resets = 0
     return True
 
 
-def note_alive(watch: EndWatch, now: Seconds) -> None:
-    """Note a sign of life: what ended well before it did not end the upstream."""
-    if watch.unanswered:
-        since = now - SETTLING
-        watch.unanswered = [ended for ended in watch.unanswered if ended.ended_at >= since]
+def record_sign_of_life(detector: EndDetector, now: Seconds) -> None:
+    """Record a sign of life: attempts that ended well before it did not end the upstream."""
+    if detector.unanswered:
+        since = now - END_SETTLING_TIME
+        detector.unanswered = [ended for ended in detector.unanswered if ended.ended_at >= since]
 
 
-def take_unanswered(watch: EndWatch, now: Seconds) -> tuple[Unanswered, ...]:
-    """Return and forget the attempts that an upstream has ended under."""
-    if now >= watch.settles_at:
-        watch.ends += 1
-    watch.settles_at = now + SETTLING
-    since = now - UNANSWERED_FOR
-    under = tuple(ended for ended in watch.unanswered if ended.ended_at >= since)
-    watch.unanswered = []
-    return under
+def pop_unanswered(detector: EndDetector, now: Seconds) -> tuple[UnansweredAttempt, ...]:
+    """Record an end of the upstream; return and remove the attempts that it had not answered."""
+    if now >= detector.end_settles_at:
+        detector.end_count += 1
+    detector.end_settles_at = now + END_SETTLING_TIME
+    since = now - UNANSWERED_RETENTION
+    unanswered = tuple(ended for ended in detector.unanswered if ended.ended_at >= since)
+    detector.unanswered = []
+    return unanswered
