--- a/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
@@ -2,27 +2,31 @@
 
 from bendwind_core.admission import is_limited, note_arrival, note_offered, note_origin, turns_away
 from bendwind_core.attempts.admission import (
-    ask_for_next,
-    find_due,
-    find_leaving,
+    can_start_immediately,
+    estimate_start_wait_ms,
+    find_latest_start,
     find_refusal,
-    find_start_wait_ms,
-    has_place_at_once,
-    list_hopeless,
-    may_start,
+    find_rejection_time,
+    list_unstartable,
+    query_load_after_refusal,
+    should_start_now,
 )
 from bendwind_core.attempts.attempt_log import EntryPeer, Fate, meet_peer, record_ended, record_live
 from bendwind_core.attempts.fencing import take_epoch
-from bendwind_core.attempts.limits import name_reason, take_carried, tell_return_ms
 from bendwind_core.attempts.messages import AttemptId, CutReason, HandOver, NotRunReason
 from bendwind_core.attempts.owner_events import HandOverArrived, OwnerEffect, ReplyUnknown
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt, is_open
-from bendwind_core.attempts.precedence import find_slots, push, set_precedence
-from bendwind_core.attempts.refusals import drop_waiting, refuse, take_off_queue
+from bendwind_core.attempts.precedence import find_slot_limit, push_timed, set_precedence
+from bendwind_core.attempts.refusals import refuse, refuse_waiting, remove_from_queue
 from bendwind_core.attempts.runs import start
-from bendwind_core.attempts.slots import find_room_wait_ms, has_room, is_stalled, load_sample
+from bendwind_core.attempts.slots import find_rate_wait_ms, has_capacity, is_stalled, load_sample
 from bendwind_core.attempts.suspects import find_suspicion
-from bendwind_core.attempts.usual_times import guess_route_time
+from bendwind_core.attempts.upstream_limit import (
+    apply_carried_limit,
+    assign_retry_wait_ms,
+    resolve_refusal_reason,
+)
+from bendwind_core.attempts.usual_times import set_initial_route_time
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.limits import fair_queue
 from bendwind_core.world import UpstreamState
@@ -34,7 +38,7 @@
     """Return why a hand-over whose body is still coming would be refused now, or None."""
     if hand_over.owner_incarnation != owner_state.incarnation:
         return NotRunReason.WRONG_OWNER
-    guess_route_time(owner_state, hand_over)
+    set_initial_route_time(owner_state, hand_over)
     return _find_refusal(owner_state, _create_queued(owner_state, hand_over, 0, now), now)
 
 
@@ -45,8 +49,8 @@
     queued = QueuedAttempt(hand_over, epoch, expires_at, now)
     set_precedence(owner_state, queued, now)
     if hand_over.target_ms is not None:
-        queued.due_at = find_due(owner_state, hand_over, now)
-        queued.leaves_at = find_leaving(owner_state, queued, now)
+        queued.due_at = find_latest_start(owner_state, hand_over, now)
+        queued.leaves_at = find_rejection_time(owner_state, queued, now)
     return queued
 
 
@@ -65,8 +69,8 @@
     take_epoch(owner_state, peer, attempt.entry, attempt.incarnation, event.epoch, effects)
     if _is_seen(owner_state, peer, attempt, event.epoch, now, effects):
         return
-    take_carried(owner_state, hand_over, now, effects)
-    guess_route_time(owner_state, hand_over)
+    apply_carried_limit(owner_state, hand_over, now, effects)
+    set_initial_route_time(owner_state, hand_over)
     note_origin(owner_state.origins, hand_over.route, hand_over.origin)
     queued = _create_queued(owner_state, hand_over, event.epoch, now)
     if not queued.is_inner:
@@ -82,7 +86,7 @@
         wait_ms = _find_told_wait(owner_state, queued, refusal, now)
         refuse(owner_state, attempt, event.epoch, refusal, now, effects, hand_over, wait_ms)
         if refusal is NotRunReason.BUSY:
-            ask_for_next(owner_state, now, effects)
+            query_load_after_refusal(owner_state, now, effects)
         return
     if owner_state.suspects.suspects or hand_over.suspicion is not None:
         withheld = find_suspicion(owner_state, queued, now)
@@ -99,9 +103,9 @@
 ) -> Milliseconds | None:
     """Return how long the entry node is told that a refused attempt would have waited, or None."""
     if refusal is NotRunReason.LIMITED and queued.hand_over.may_wait:
-        return tell_return_ms(owner_state, now)
+        return assign_retry_wait_ms(owner_state, now)
     if refusal in (NotRunReason.BUSY, NotRunReason.LIMITED):
-        return find_start_wait_ms(owner_state, queued, now)
+        return estimate_start_wait_ms(owner_state, queued, now)
     return None
 
 
@@ -131,7 +135,7 @@
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
 ) -> NotRunReason | None:
     reason = _find_reason(owner_state, queued, now)
-    return None if reason is None else name_reason(owner_state, reason, now)
+    return None if reason is None else resolve_refusal_reason(owner_state, reason, now)
 
 
 def _find_reason(
@@ -144,13 +148,13 @@
         return NotRunReason.DRAINING
     if hand_over.remaining_ms <= 0:
         return NotRunReason.DEADLINE
-    if not hand_over.may_wait and not has_place_at_once(owner_state, queued, now):
+    if not hand_over.may_wait and not can_start_immediately(owner_state, queued, now):
         return NotRunReason.BUSY
     if hand_over.target_ms is not None:
         return find_refusal(owner_state, queued, now)
     if not hand_over.insist and is_stalled(owner_state, now):
         return NotRunReason.STALLED
-    wait_ms = find_room_wait_ms(owner_state, len(owner_state.waiting), now)
+    wait_ms = find_rate_wait_ms(owner_state, len(owner_state.waiting), now)
     if is_limited(owner_state.rate_limit) and wait_ms >= hand_over.remaining_ms:
         return NotRunReason.QUEUE_FULL
     return None
@@ -160,7 +164,7 @@
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     attempt = queued.hand_over.attempt
-    has_place = has_room(owner_state, now, find_slots(owner_state, queued, now))
+    has_place = has_capacity(owner_state, now, find_slot_limit(owner_state, queued, now))
     if not owner_state.waiting and has_place and _may_start(owner_state, queued, now):
         start(owner_state, queued, now, effects)
         return
@@ -169,14 +173,14 @@
     if queued.hand_over.target_ms is None:
         displaced = fair_queue.push(owner_state.queue, attempt.entry, queued)
     else:
-        displaced = push(owner_state, queued)
+        displaced = push_timed(owner_state, queued)
     if displaced is not None:
-        reason = name_reason(owner_state, NotRunReason.QUEUE_FULL, now)
-        drop_waiting(owner_state, displaced, reason, now, effects)
-    for hopeless in list_hopeless(owner_state, queued, now):
-        take_off_queue(owner_state, hopeless)
-        drop_waiting(owner_state, hopeless, NotRunReason.QUEUE_FULL, now, effects)
+        reason = resolve_refusal_reason(owner_state, NotRunReason.QUEUE_FULL, now)
+        refuse_waiting(owner_state, displaced, reason, now, effects)
+    for hopeless in list_unstartable(owner_state, queued, now):
+        remove_from_queue(owner_state, hopeless)
+        refuse_waiting(owner_state, hopeless, NotRunReason.QUEUE_FULL, now, effects)
 
 
 def _may_start(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    return queued.hand_over.target_ms is None or may_start(owner_state, queued, now)
+    return queued.hand_over.target_ms is None or should_start_now(owner_state, queued, now)
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -16,15 +16,14 @@
     note_told,
 )
 from bendwind_core.attempts.admission import (
-    ask_if_held,
-    is_stalled_again,
-    next_look,
-    take_startable,
+    is_delayed_by_next_slow_phase,
+    next_recheck,
+    pop_startable,
+    query_load_if_held,
 )
 from bendwind_core.attempts.arrivals import find_early_refusal, take_hand_over
 from bendwind_core.attempts.attempt_log import Fate
 from bendwind_core.attempts.fencing import answer_fence, cancel_running, lose_link, open_link
-from bendwind_core.attempts.limits import name_reason, take_change
 from bendwind_core.attempts.messages import NotRunReason
 from bendwind_core.attempts.owner_events import (
     CallRefused,
@@ -65,21 +64,22 @@
     create_owner_state,
     is_open,
 )
-from bendwind_core.attempts.pace import is_slow, note_report
-from bendwind_core.attempts.precedence import find_slots
+from bendwind_core.attempts.pace import is_slow, record_report
+from bendwind_core.attempts.precedence import find_slot_limit
 from bendwind_core.attempts.refusals import (
-    bounce_queue,
-    drop_waiting,
-    find_end,
+    find_expiry,
     next_expiry,
-    take_off_queue,
+    refuse_all_waiting,
+    refuse_waiting,
+    remove_from_queue,
 )
 from bendwind_core.attempts.run_ends import is_failure, take_head, take_not_run, take_unknown
 from bendwind_core.attempts.runs import end_running, mark_sent, note_sent_again, start
-from bendwind_core.attempts.service_time import note_result
-from bendwind_core.attempts.slots import has_room, load_sample, next_room
+from bendwind_core.attempts.service_time import record_result
+from bendwind_core.attempts.slots import has_capacity, load_sample, next_permitted_send
 from bendwind_core.attempts.suspects import is_withheld_here, note_success
 from bendwind_core.attempts.upstream_end import note_alive
+from bendwind_core.attempts.upstream_limit import apply_limit_change, resolve_refusal_reason
 from bendwind_core.attempts.upstream_state import (
     hear_leaving,
     lose,
@@ -103,7 +103,11 @@
 
 def next_due(owner_state: OwnerState, now: Seconds) -> Seconds | None:
     """Return when the next Tick is due, or None."""
-    looks = next_expiry(owner_state), next_look(owner_state, now), next_room(owner_state, now)
+    looks = (
+        next_expiry(owner_state),
+        next_recheck(owner_state, now),
+        next_permitted_send(owner_state, now),
+    )
     return min((due for due in looks if due is not None), default=None)
 
 
@@ -119,7 +123,7 @@
         case DispatchHead():
             mark_sent(owner_state, event.attempt, now)
             take_head(owner_state, event, now)
-            note_result(owner_state.times, is_error=is_failure(event.status))
+            record_result(owner_state.times, is_error=is_failure(event.status))
         case DispatchDone():
             owner_state.progress_at = now
             running = end_running(owner_state, event.attempt, Fate.ENDED)
@@ -128,16 +132,16 @@
         case CallRefused():
             note_call_refused(owner_state.dependency, now)
         case LoadReported(slow_factor=slow_factor):
-            note_report(owner_state.pace, slow_factor, now)
+            record_report(owner_state.pace, slow_factor, now)
             note_alive(owner_state.ends, now)
         case LoadNotReported(may_ask=may_ask):
             owner_state.may_ask = may_ask
         case LimitNamed(per_second=per_second, sent_at=sent_at):
             change = note_named(owner_state.rate_limit, per_second, sent_at, now)
-            take_change(owner_state, change, now, effects)
+            apply_limit_change(owner_state, change, now, effects)
         case LimitNotNamed(sent_at=sent_at):
             change = note_not_named(owner_state.rate_limit, sent_at, now)
-            take_change(owner_state, change, now, effects)
+            apply_limit_change(owner_state, change, now, effects)
         case LeavingSaid():
             hear_leaving(owner_state, now, effects)
         case UpstreamAsked():
@@ -157,7 +161,7 @@
         case UpstreamRestarted():
             restart(owner_state, now, effects)
         case WaitingWithdrawn():
-            bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
+            refuse_all_waiting(owner_state, NotRunReason.DRAINING, now, effects)
         case DispatchNotRun():
             take_not_run(owner_state, event, now, effects)
         case DispatchUnknown():
@@ -180,12 +184,12 @@
             pass
     _expire_queue(owner_state, now, effects)
     _give_back(owner_state, _has_to_wait, NotRunReason.BUSY, now, effects)
-    _give_back(owner_state, is_stalled_again, NotRunReason.STALLED, now, effects)
+    _give_back(owner_state, is_delayed_by_next_slow_phase, NotRunReason.STALLED, now, effects)
     _dispatch_waiting(owner_state, now, effects)
     _give_back(owner_state, _is_at_its_end, NotRunReason.QUEUE_FULL, now, effects)
     # What was given back may have been what kept a call from a slot that requests do not use.
     _dispatch_waiting(owner_state, now, effects)
-    ask_if_held(owner_state, now, effects)
+    query_load_if_held(owner_state, now, effects)
     _report_drained(owner_state, effects)
     return effects
 
@@ -196,8 +200,8 @@
     attempt = event.attempt
     queued = owner_state.waiting.get(attempt)
     if queued is not None:
-        take_off_queue(owner_state, queued)
-        drop_waiting(owner_state, queued, NotRunReason.CANCELLED, now, effects)
+        remove_from_queue(owner_state, queued)
+        refuse_waiting(owner_state, queued, NotRunReason.CANCELLED, now, effects)
         return
     cancel_running(owner_state, attempt, effects)
 
@@ -206,25 +210,25 @@
     if not owner_state.waiting:
         return
     if owner_state.bounce_queue_at is not None and now >= owner_state.bounce_queue_at:
-        bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
+        refuse_all_waiting(owner_state, NotRunReason.DRAINING, now, effects)
         return
     for queued in list(owner_state.waiting.values()):
         if now >= queued.expires_at:
-            take_off_queue(owner_state, queued)
-            drop_waiting(owner_state, queued, NotRunReason.DEADLINE, now, effects)
+            remove_from_queue(owner_state, queued)
+            refuse_waiting(owner_state, queued, NotRunReason.DEADLINE, now, effects)
 
 
 def _has_to_wait(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
     """Tell whether an attempt that may not wait would have to, by what has been reported since."""
     if queued.hand_over.may_wait:
         return False
-    return is_slow(owner_state.pace, now) or not has_room(
-        owner_state, now, find_slots(owner_state, queued, now)
+    return is_slow(owner_state.pace, now) or not has_capacity(
+        owner_state, now, find_slot_limit(owner_state, queued, now)
     )
 
 
 def _is_at_its_end(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    return now >= find_end(queued)
+    return now >= find_expiry(queued)
 
 
 def _give_back(
@@ -237,24 +241,24 @@
     """Refuse what would be late here, while it can still be tried elsewhere."""
     for queued in list(owner_state.waiting.values()):
         if is_given_back(owner_state, queued, now):
-            take_off_queue(owner_state, queued)
-            named = name_reason(owner_state, reason, now)
-            drop_waiting(owner_state, queued, named, now, effects)
+            remove_from_queue(owner_state, queued)
+            named = resolve_refusal_reason(owner_state, reason, now)
+            refuse_waiting(owner_state, queued, named, now, effects)
 
 
 def _dispatch_waiting(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
     while (queued := _take_next(owner_state, now)) is not None:
         if is_withheld_here(owner_state, queued, now):
             # While it waited, upstreams ended under it elsewhere.
-            drop_waiting(owner_state, queued, NotRunReason.QUARANTINED, now, effects)
+            refuse_waiting(owner_state, queued, NotRunReason.QUARANTINED, now, effects)
             continue
         del owner_state.waiting[queued.hand_over.attempt]
         start(owner_state, queued, now, effects)
 
 
 def _take_next(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
-    queued = take_startable(owner_state, now) if len(owner_state.timed) else None
-    if queued is None and has_room(owner_state, now):
+    queued = pop_startable(owner_state, now) if len(owner_state.timed) else None
+    if queued is None and has_capacity(owner_state, now):
         return fair_queue.pop(owner_state.queue)
     return queued
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/pace.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/pace.py
@@ -14,20 +14,20 @@
 # Below this a report is taken for the usual scatter.
 SLOW_FACTOR = 1.5
 # What to reckon with where nothing is known: the risk of starting blindly.
-TYPICAL_SLOW_FACTOR = 4.0
+DEFAULT_SLOW_FACTOR = 4.0
 # After a report of the usual pace, 1 in 20 was slow 25 to 75 ms later and 1 in 10 after 100 ms;
 # docs/design/admission.md has the figures. A run that starts in a phase takes some times as long, a
 # question a round trip within the instance.
-USUAL_REPORT_LIFE: Seconds = 0.02
+USUAL_REPORT_VALIDITY: Seconds = 0.02
 # A slow phase whose length is not known yet is taken to last this long: the same page.
-TYPICAL_PHASE: Seconds = 0.3
+DEFAULT_PHASE_LENGTH: Seconds = 0.3
 # An upstream that reported nothing better for this many phases is slow for longer than a phase, as
 # one that has just started is: that is then its usual pace.
-LASTING_PHASES = 1.5
+BASE_CHANGE_PHASES = 1.5
 # A phase is measured where reports stood this close around its beginning and its end.
-SHARP_EDGE: Seconds = 0.06
+MAX_EDGE_GAP: Seconds = 0.06
 # So many phases are remembered; their median bears a few that ran into each other.
-PHASES = 9
+REMEMBERED_PHASES = 9
 
 
 class Pace(msgspec.Struct):
@@ -42,50 +42,50 @@
     factor: float = 1.0
     reported_at: Seconds | None = None
     base: float = 1.0
-    since: Seconds | None = None
-    least: float = 1.0
-    began_at: Seconds = 0.0
-    is_sharp: bool = False
-    lengths: collections.deque[Seconds] = msgspec.field(
-        default_factory=lambda: collections.deque(maxlen=PHASES)
+    slow_since: Seconds | None = None
+    least_factor: float = 1.0
+    phase_began_at: Seconds = 0.0
+    is_start_exact: bool = False
+    phase_lengths: collections.deque[Seconds] = msgspec.field(
+        default_factory=lambda: collections.deque(maxlen=REMEMBERED_PHASES)
     )
 
 
-def note_report(pace: Pace, factor: float, now: Seconds) -> None:
+def record_report(pace: Pace, factor: float, now: Seconds) -> None:
     """Take over a report."""
-    _note_base(pace, factor, now)
-    was_slow = _is_slowed(pace, pace.factor)
-    is_slow = _is_slowed(pace, factor)
+    _update_base(pace, factor, now)
+    was_slow = _is_slow_factor(pace, pace.factor)
+    is_slow = _is_slow_factor(pace, factor)
     since = now if pace.reported_at is None else pace.reported_at
-    is_close = now - since <= SHARP_EDGE
+    is_close = now - since <= MAX_EDGE_GAP
     if is_slow and not was_slow:
-        pace.began_at = max((since + now) / 2, now - find_phase_length(pace))
-        pace.is_sharp = is_close and pace.reported_at is not None
-    elif was_slow and not is_slow and pace.is_sharp and is_close:
-        pace.lengths.append((since + now) / 2 - pace.began_at)
+        pace.phase_began_at = max((since + now) / 2, now - find_phase_length(pace))
+        pace.is_start_exact = is_close and pace.reported_at is not None
+    elif was_slow and not is_slow and pace.is_start_exact and is_close:
+        pace.phase_lengths.append((since + now) / 2 - pace.phase_began_at)
     elif is_slow and now >= find_phase_end(pace):
         # It goes on beyond the usual: another phase has begun.
-        pace.began_at = find_phase_end(pace)
-        pace.is_sharp = False
+        pace.phase_began_at = find_phase_end(pace)
+        pace.is_start_exact = False
     pace.factor = factor
     pace.reported_at = now
 
 
-def _note_base(pace: Pace, factor: float, now: Seconds) -> None:
+def _update_base(pace: Pace, factor: float, now: Seconds) -> None:
     if factor < SLOW_FACTOR:
-        pace.since = None
+        pace.slow_since = None
         pace.base = 1.0
         return
-    if pace.since is None or _has_gap(pace, now):
-        pace.since = now
-        pace.least = factor
-    pace.least = min(pace.least, factor)
-    has_lasted = now - pace.since >= LASTING_PHASES * find_phase_length(pace)
-    if has_lasted or pace.base > pace.least:
-        pace.base = pace.least
+    if pace.slow_since is None or _has_report_gap(pace, now):
+        pace.slow_since = now
+        pace.least_factor = factor
+    pace.least_factor = min(pace.least_factor, factor)
+    has_lasted = now - pace.slow_since >= BASE_CHANGE_PHASES * find_phase_length(pace)
+    if has_lasted or pace.base > pace.least_factor:
+        pace.base = pace.least_factor
 
 
-def _has_gap(pace: Pace, now: Seconds) -> bool:
+def _has_report_gap(pace: Pace, now: Seconds) -> bool:
     """Tell whether a phase may have ended and another begun since the last report."""
     # Two phases seen as one would pass for what lasts, and what then starts in a phase would be
     # thought to run at the usual pace.
@@ -93,26 +93,26 @@
     return now - since > find_phase_length(pace) / 2
 
 
-def _is_slowed(pace: Pace, factor: float) -> bool:
+def _is_slow_factor(pace: Pace, factor: float) -> bool:
     return factor >= SLOW_FACTOR * pace.base
 
 
 def find_phase_length(pace: Pace) -> Seconds:
     """Return how long a slow phase usually lasts."""
-    return statistics.median(pace.lengths) if pace.lengths else TYPICAL_PHASE
+    return statistics.median(pace.phase_lengths) if pace.phase_lengths else DEFAULT_PHASE_LENGTH
 
 
 def find_phase_end(pace: Pace) -> Seconds:
     """Return when the present slow phase is expected to end."""
-    return pace.began_at + find_phase_length(pace)
+    return pace.phase_began_at + find_phase_length(pace)
 
 
 def is_slow(pace: Pace, now: Seconds) -> bool:
     """Tell whether the upstream reported a slow phase that should not have ended yet."""
-    return _is_slowed(pace, pace.factor) and now < find_phase_end(pace)
+    return _is_slow_factor(pace, pace.factor) and now < find_phase_end(pace)
 
 
-def is_known(pace: Pace, now: Seconds) -> bool:
+def is_report_current(pace: Pace, now: Seconds) -> bool:
     """Tell whether the last report still says how fast the upstream works.
 
     One that never told its load cannot be asked for it either, so that there is nothing to wait
@@ -120,7 +120,7 @@
     """
     if pace.reported_at is None or is_slow(pace, now):
         return True
-    return not _is_slowed(pace, pace.factor) and now - pace.reported_at < USUAL_REPORT_LIFE
+    return not _is_slow_factor(pace, pace.factor) and now - pace.reported_at < USUAL_REPORT_VALIDITY
 
 
 def find_factor(pace: Pace, now: Seconds) -> float:
@@ -128,6 +128,6 @@
     return pace.factor if is_slow(pace, now) else pace.base
 
 
-def find_rest_ms(pace: Pace, now: Seconds) -> Milliseconds:
+def find_remaining_phase_ms(pace: Pace, now: Seconds) -> Milliseconds:
     """Return how much longer the present slow phase lasts."""
     return max(0.0, find_phase_end(pace) - now) * MILLISECONDS_PER_SECOND
--- a/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
@@ -16,7 +16,7 @@
 # An inner call goes before new requests of the next more urgent rank too: its run holds a slot and
 # is lost without it, they hold nothing yet. With half a rank 0.018 fewer requests were in time in
 # full-with-inner-calls.
-INNER_STEP = 1.5
+INNER_CALL_RANK_STEP = 1.5
 # Where the request of a starved rank waits: before every rank and every inner call, of which the
 # most urgent stands at minus one and a half.
 _STARVED_RANK = -2.0
@@ -29,12 +29,12 @@
     queued.own_rank = hand_over.rank
     if queued.is_inner and hand_over.run_rank is not None:
         queued.own_rank = hand_over.run_rank
-    queued.rank = _find_place(owner_state, queued, now)
+    queued.rank = _find_queue_rank(owner_state, queued, now)
 
 
-def _find_place(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> float:
+def _find_queue_rank(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> float:
     if queued.is_inner:
-        return queued.own_rank - INNER_STEP
+        return queued.own_rank - INNER_CALL_RANK_STEP
     if queued.own_rank == 0 or find_starved_rank(owner_state.rank_counts, now) != queued.own_rank:
         return queued.own_rank
     # One at a time, so that the starved rank does not keep out the more urgent ones in its turn.
@@ -42,10 +42,10 @@
     return queued.own_rank if waits else _STARVED_RANK
 
 
-def find_slots(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> int:
+def find_slot_limit(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> int:
     """Return how many attempts may run in all if one more of this kind is started."""
     if not queued.is_inner:
-        is_kept = now < find_slot_kept_until(owner_state, queued)
+        is_kept = now < find_slot_reserved_until(owner_state, queued)
         return owner_state.run_limit - 1 if is_kept else owner_state.run_limit
     held = (*owner_state.running.values(), *owner_state.waiting.values())
     # Above its knee an upstream is slow for all: only what is more urgent is spared that.
@@ -54,7 +54,7 @@
     return min(owner_state.slots, owner_state.connections)
 
 
-def find_slot_kept_until(owner_state: OwnerState, queued: QueuedAttempt) -> Seconds:
+def find_slot_reserved_until(owner_state: OwnerState, queued: QueuedAttempt) -> Seconds:
     """Return until when the last slot is kept from an attempt for more urgent ones."""
     if queued.is_inner or queued.rank <= 0 or owner_state.run_limit < 2:
         return -math.inf
@@ -77,7 +77,7 @@
     return urgency_queue.list_ahead(owner_state.timed, newcomer, now, owner_state.turns)
 
 
-def push(owner_state: OwnerState, queued: QueuedAttempt) -> QueuedAttempt | None:
+def push_timed(owner_state: OwnerState, queued: QueuedAttempt) -> QueuedAttempt | None:
     """Have an attempt with an objective wait; return the one that gives way to it, if any."""
     hand_over = queued.hand_over
     work_ms = find_usual_ms(owner_state, hand_over.route)
--- a/packages/bendwind-core/src/bendwind_core/attempts/refusals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/refusals.py
@@ -9,7 +9,7 @@
 from bendwind_core.limits import fair_queue, urgency_queue
 
 
-def find_end(queued: QueuedAttempt) -> Seconds:
+def find_expiry(queued: QueuedAttempt) -> Seconds:
     """Return when a waiting attempt that has not started is refused."""
     if queued.hand_over.target_ms is None:
         return queued.expires_at
@@ -20,7 +20,7 @@
     """Return when the next waiting attempt expires or is refused, or None."""
     if not owner_state.waiting:
         return None
-    due = min(find_end(queued) for queued in owner_state.waiting.values())
+    due = min(find_expiry(queued) for queued in owner_state.waiting.values())
     if owner_state.bounce_queue_at is not None:
         due = min(due, owner_state.bounce_queue_at)
     return due
@@ -42,7 +42,7 @@
     effects.append(ReplyNotRun(attempt, epoch, reason, sample, hand_over, wait_ms, waited))
 
 
-def drop_waiting(
+def refuse_waiting(
     owner_state: OwnerState,
     queued: QueuedAttempt,
     reason: NotRunReason,
@@ -51,7 +51,7 @@
     wait_ms: Milliseconds | None = None,
 ) -> None:
     """Take an attempt, already out of the queue, off the owner's state and refuse it."""
-    _forget_waiting(owner_state, queued)
+    _remove_waiting(owner_state, queued)
     hand_over = queued.hand_over
     waited = now - queued.queued_at
     refuse(
@@ -69,11 +69,11 @@
 
 def fence_waiting(owner_state: OwnerState, queued: QueuedAttempt) -> None:
     """Take a queued attempt off the owner's state without a reply."""
-    take_off_queue(owner_state, queued)
-    _forget_waiting(owner_state, queued)
+    remove_from_queue(owner_state, queued)
+    _remove_waiting(owner_state, queued)
 
 
-def take_off_queue(owner_state: OwnerState, queued: QueuedAttempt) -> None:
+def remove_from_queue(owner_state: OwnerState, queued: QueuedAttempt) -> None:
     """Take an attempt out of the queue that it waits in."""
     if queued.hand_over.target_ms is None:
         fair_queue.remove(owner_state.queue, queued.hand_over.attempt.entry, queued)
@@ -81,21 +81,21 @@
         urgency_queue.remove(owner_state.timed, queued)
 
 
-def take_any(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
+def pop_any(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
     """Take the next attempt out of its queue, whether it may start or not, or None."""
     timed = urgency_queue.pop(owner_state.timed, now)
     return fair_queue.pop(owner_state.queue) if timed is None else timed
 
 
-def _forget_waiting(owner_state: OwnerState, queued: QueuedAttempt) -> None:
+def _remove_waiting(owner_state: OwnerState, queued: QueuedAttempt) -> None:
     attempt = queued.hand_over.attempt
     del owner_state.waiting[attempt]
     record_ended(owner_state.log, attempt, Fate.NEVER_STARTED)
 
 
-def bounce_queue(
+def refuse_all_waiting(
     owner_state: OwnerState, reason: NotRunReason, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     """Refuse everything that waits."""
-    while (queued := take_any(owner_state, now)) is not None:
-        drop_waiting(owner_state, queued, reason, now, effects)
+    while (queued := pop_any(owner_state, now)) is not None:
+        refuse_waiting(owner_state, queued, reason, now, effects)
--- a/packages/bendwind-core/src/bendwind_core/attempts/run_ends.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/run_ends.py
@@ -14,12 +14,12 @@
 from bendwind_core.attempts.owner_state import OwnerState
 from bendwind_core.attempts.refusals import refuse
 from bendwind_core.attempts.runs import end_running, mark_sent
-from bendwind_core.attempts.service_time import note_result, note_time
+from bendwind_core.attempts.service_time import record_result, record_time
 from bendwind_core.attempts.slots import load_sample
 from bendwind_core.attempts.suspects import note_upstream_end
 from bendwind_core.attempts.upstream_end import note_alive, note_reset, note_unanswered
 from bendwind_core.attempts.upstream_state import hold_down
-from bendwind_core.attempts.usual_times import note_route_time
+from bendwind_core.attempts.usual_times import record_route_time
 from bendwind_core.core import Seconds
 
 _FAILED_STATUS = 500
@@ -35,7 +35,7 @@
     note_alive(owner_state.ends, now)
     # Health may be good while every request is reset: only an answer to one counts.
     owner_state.ends.resets = 0
-    note_time(owner_state.times, event.upstream_ms)
+    record_time(owner_state.times, event.upstream_ms)
     running = owner_state.running.get(event.attempt)
     if running is None:
         return
@@ -51,7 +51,7 @@
         is_error=is_error,
     )
     if not is_error:
-        note_route_time(owner_state, running, event.upstream_ms)
+        record_route_time(owner_state, running, event.upstream_ms)
 
 
 def take_not_run(
@@ -62,7 +62,7 @@
         mark_sent(owner_state, event.attempt, now)
     running = end_running(owner_state, event.attempt, Fate.NEVER_STARTED)
     if running is not None:
-        note_result(owner_state.times, is_error=True)
+        record_result(owner_state.times, is_error=True)
         if event.reason is NotRunReason.CONNECT_FAILED:
             hold_down(owner_state, now, effects)
             if not event.is_timed_out:
@@ -79,7 +79,7 @@
     if running is None:
         return
     if event.reason is not CutReason.CANCELLED:
-        note_result(owner_state.times, is_error=True)
+        record_result(owner_state.times, is_error=True)
     if not running.is_under_end:
         note_unanswered(owner_state.ends, running.hand_over, event.reason, now)
     is_reset = event.reason is CutReason.UPSTREAM_RESET
--- a/packages/bendwind-core/src/bendwind_core/attempts/runs.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/runs.py
@@ -5,7 +5,7 @@
 from bendwind_core.attempts.messages import AttemptId
 from bendwind_core.attempts.owner_events import Dispatch, OwnerEffect
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt, RunningAttempt
-from bendwind_core.attempts.pace import find_factor, is_known
+from bendwind_core.attempts.pace import find_factor, is_report_current
 from bendwind_core.attempts.usual_times import find_usual_ms
 from bendwind_core.core import Seconds
 from bendwind_core.limits.turns import note_work
@@ -47,7 +47,7 @@
         now,
         hand_over,
         find_factor(owner_state.pace, now),
-        owner_state.pace.reported_at is not None and is_known(owner_state.pace, now),
+        owner_state.pace.reported_at is not None and is_report_current(owner_state.pace, now),
         signature=queued.signature,
         is_suspect=queued.is_suspect,
         own_rank=queued.own_rank,
--- a/packages/bendwind-core/src/bendwind_core/attempts/service_time.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/service_time.py
@@ -15,7 +15,7 @@
     error_rate: float = 0.0
 
 
-def note_time(times: ServiceTime, upstream_ms: Milliseconds) -> None:
+def record_time(times: ServiceTime, upstream_ms: Milliseconds) -> None:
     """Add the time one answer took to its first byte."""
     if times.average_ms == 0.0:
         times.average_ms = upstream_ms
@@ -23,6 +23,6 @@
         times.average_ms += TIME_WEIGHT * (upstream_ms - times.average_ms)
 
 
-def note_result(times: ServiceTime, *, is_error: bool) -> None:
+def record_result(times: ServiceTime, *, is_error: bool) -> None:
     """Add one answer or failure."""
     times.error_rate += ERROR_WEIGHT * ((1.0 if is_error else 0.0) - times.error_rate)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/room_load.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/overload_simulation.py
@@ -24,7 +24,7 @@
         self.target_ms = target_ms
 
 
-class RoomLoad:
+class OverloadSimulation:
     """Send requests to an upstream of two slots and end their runs when their work is done."""
 
     def __init__(self, kinds, seed=1, customers=None):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
@@ -4,7 +4,7 @@
 from bendwind_core.admission.origins import MOST_SEEN
 from bendwind_core.attempts import AttemptId, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.attempts.pace import TYPICAL_PHASE
+from bendwind_core.attempts.pace import DEFAULT_PHASE_LENGTH
 from bendwind_core.world import Repeat, UpstreamState
 
 
@@ -95,7 +95,7 @@
         self.step(ov.LoadReported(4.0))
         polite = {"target_ms": 150.0, "insist": False}
         self.assertIs(self.reason(self.hand_over(**polite)), NotRunReason.STALLED)
-        self.now += TYPICAL_PHASE
+        self.now += DEFAULT_PHASE_LENGTH
         self.assertEqual(self.hand_over(**polite), [ov.AskLoad()])
         started = self.step(ov.LoadReported(1.0))
         self.assertIsInstance(started[0], ov.Dispatch)
@@ -153,7 +153,7 @@
         self.step(ov.Tick())
         self.now += 0.02
         self.assertEqual(self.step(ov.LoadReported(4.0)), [])
-        self.assertAlmostEqual(self.owner_state.pace.began_at, TYPICAL_PHASE)
+        self.assertAlmostEqual(self.owner_state.pace.phase_began_at, DEFAULT_PHASE_LENGTH)
 
     def test_request_starts_blindly_where_the_upstream_does_not_tell_its_load(self):
         self.step(ov.LoadReported(1.0))
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
@@ -12,7 +12,7 @@
 from bendwind_core.attempts import HandOver, NotRunReason, entry, owner, tries
 from bendwind_core.attempts import events as ev
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.attempts.admission import has_place_at_once
+from bendwind_core.attempts.admission import can_start_immediately
 from bendwind_core.attempts.attempt_ids import AttemptIds
 from bendwind_core.attempts.call import create_call
 from bendwind_core.attempts.owner_state import QueuedAttempt
@@ -154,7 +154,8 @@
 
     def _is_free(self, place, queued):
         return (
-            has_place_at_once(place.owner_state, queued, self.now) and self.now >= place.slow_until
+            can_start_immediately(place.owner_state, queued, self.now)
+            and self.now >= place.slow_until
         )
 
     def step(self, place, event):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
@@ -12,7 +12,7 @@
 
 from bendwind_core.attempts import AttemptId, HandOver, owner
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.attempts.tests.limited_upstream import LimitOracle
+from bendwind_core.attempts.tests.limit_oracle import LimitOracle
 from bendwind_core.routing import create_table, find_limit, note_answered, set_upstreams
 from bendwind_core.world import Instance, Repeat, Upstream, UpstreamState
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
@@ -17,7 +17,7 @@
     HandOver,
     NotRunReason,
 )
-from bendwind_core.attempts.pace import TYPICAL_PHASE
+from bendwind_core.attempts.pace import DEFAULT_PHASE_LENGTH
 from bendwind_core.world import Repeat, UpstreamState
 
 INCARNATION = 5
@@ -232,7 +232,7 @@
             due = owner.next_due(owner_state, self.now)
             assert due is not None, "an attempt is held back and nothing will start it"
             # What is held back is so for a slow phase, or for the moment that a question takes.
-            assert due <= self.now + TYPICAL_PHASE or owner_state.pace.lengths
+            assert due <= self.now + DEFAULT_PHASE_LENGTH or owner_state.pace.phase_lengths
 
 
 TestOwner = Owner.TestCase
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_room.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_precedence.py
@@ -12,8 +12,8 @@
 from bendwind_core.admission.reserve import ARRIVAL_HALF_TIME
 from bendwind_core.attempts import AttemptId, CutReason, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.attempts.pace import TYPICAL_PHASE, is_known, is_slow
-from bendwind_core.attempts.precedence import find_slot_kept_until, find_slots
+from bendwind_core.attempts.pace import DEFAULT_PHASE_LENGTH, is_report_current, is_slow
+from bendwind_core.attempts.precedence import find_slot_limit, find_slot_reserved_until
 from bendwind_core.world import Repeat, UpstreamState
 
 RUN_MS = 500.0
@@ -88,7 +88,7 @@
         self.waiting[attempt] = message
         self.step(ov.HandOverArrived(message, 1))
         # A question after the pace is the moment that starting takes.
-        is_asked = not is_known(self.owner_state.pace, self.now)
+        is_asked = not is_report_current(self.owner_state.pace, self.now)
         assert may_wait or is_asked or attempt not in self.waiting, "waits though it may not"
 
     @rule(count=st.sampled_from([10, 20]))
@@ -122,13 +122,13 @@
         if len(most_urgent) != 1:
             return None
         queued = self.owner_state.waiting[most_urgent[0]]
-        is_kept = self.now < find_slot_kept_until(self.owner_state, queued)
+        is_kept = self.now < find_slot_reserved_until(self.owner_state, queued)
         return None if is_kept else most_urgent[0]
 
     @property
     def is_held(self):
         """Tell whether what waits may do so for the upstream's pace."""
-        return is_slow(self.owner_state.pace, self.now) or not is_known(
+        return is_slow(self.owner_state.pace, self.now) or not is_report_current(
             self.owner_state.pace, self.now
         )
 
@@ -161,17 +161,19 @@
         assert len(owner_state.waiting) <= QUEUE
         due = owner.next_due(owner_state, self.now)
         for queued in owner_state.waiting.values():
-            slots = find_slots(owner_state, queued, self.now)
+            slots = find_slot_limit(owner_state, queued, self.now)
             if self.is_held and len(owner_state.running) < slots:
-                assert due <= self.now + TYPICAL_PHASE or owner_state.pace.lengths, "held for ever"
+                assert (
+                    due <= self.now + DEFAULT_PHASE_LENGTH or owner_state.pace.phase_lengths
+                ), "held for ever"
                 continue
-            kept_until = find_slot_kept_until(owner_state, queued)
+            kept_until = find_slot_reserved_until(owner_state, queued)
             if len(owner_state.running) < USED and kept_until > self.now:
                 assert due <= kept_until, "a slot that is kept will not be lent in time"
-            is_kept = self.now < find_slot_kept_until(owner_state, queued)
+            is_kept = self.now < find_slot_reserved_until(owner_state, queued)
             is_full = len(owner_state.running) >= USED
             assert is_full or is_kept, "a slot is idle while something waits that may run"
-            assert find_slot_kept_until(owner_state, queued) <= self.now + LONGEST_KEPT
+            assert find_slot_reserved_until(owner_state, queued) <= self.now + LONGEST_KEPT
             if queued.is_inner and len(owner_state.running) < SLOTS:
                 held = (*owner_state.running.values(), *owner_state.waiting.values())
                 has_more_urgent = any(one.own_rank < queued.own_rank for one in held)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_pace.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_pace.py
@@ -1,48 +1,48 @@
 import unittest
 
 from bendwind_core.attempts.pace import (
-    TYPICAL_PHASE,
+    DEFAULT_PHASE_LENGTH,
     Pace,
     find_factor,
     find_phase_length,
-    find_rest_ms,
-    is_known,
+    find_remaining_phase_ms,
+    is_report_current,
     is_slow,
-    note_report,
+    record_report,
 )
 
 
 class PaceTest(unittest.TestCase):
     def report(self, pace, *reports):
         for at, factor in reports:
-            note_report(pace, factor, at)
+            record_report(pace, factor, at)
 
     def test_length_of_a_phase_is_learnt_where_both_edges_were_seen(self):
         pace = Pace()
         self.report(pace, (0.0, 1.0), (0.02, 4.0), (0.10, 4.0), (0.12, 1.0))
         self.assertAlmostEqual(find_phase_length(pace), 0.10)
         self.report(pace, (1.0, 1.0), (1.5, 4.0), (1.6, 1.0))
-        self.assertEqual(len(pace.lengths), 1)
+        self.assertEqual(len(pace.phase_lengths), 1)
 
     def test_rest_of_a_phase_shrinks_to_its_end(self):
         pace = Pace()
         self.report(pace, (0.0, 1.0), (0.02, 4.0))
-        self.assertAlmostEqual(find_rest_ms(pace, 0.11), 200.0)
+        self.assertAlmostEqual(find_remaining_phase_ms(pace, 0.11), 200.0)
         self.assertTrue(is_slow(pace, 0.11))
-        self.assertFalse(is_slow(pace, 0.01 + TYPICAL_PHASE))
+        self.assertFalse(is_slow(pace, 0.01 + DEFAULT_PHASE_LENGTH))
 
     def test_phase_seen_late_is_not_taken_to_be_older_than_usual(self):
         pace = Pace()
         self.report(pace, (0.0, 1.0), (10.0, 4.0))
-        self.assertTrue(is_known(pace, 9.9))
-        self.assertGreaterEqual(pace.began_at, 10.0 - TYPICAL_PHASE)
+        self.assertTrue(is_report_current(pace, 9.9))
+        self.assertGreaterEqual(pace.phase_began_at, 10.0 - DEFAULT_PHASE_LENGTH)
 
     def test_report_of_the_usual_pace_is_believed_for_a_while(self):
         pace = Pace()
         self.report(pace, (0.0, 1.0))
-        self.assertTrue(is_known(pace, 0.015))
-        self.assertFalse(is_known(pace, 0.025))
-        self.assertFalse(is_known(pace, 0.5))
+        self.assertTrue(is_report_current(pace, 0.015))
+        self.assertFalse(is_report_current(pace, 0.025))
+        self.assertFalse(is_report_current(pace, 0.5))
 
     def test_upstream_that_stays_slowed_has_that_as_its_usual_pace(self):
         # The seconds after a start were taken for one slow phase after the other, so that waiting
@@ -50,7 +50,7 @@
         pace = Pace()
         self.report(pace, *[(0.1 * number, 2.0) for number in range(6)])
         self.assertFalse(is_slow(pace, 0.51))
-        self.assertTrue(is_known(pace, 0.51))
+        self.assertTrue(is_report_current(pace, 0.51))
         self.assertEqual(find_factor(pace, 0.51), 2.0)
         self.report(pace, (0.6, 8.0))
         self.assertTrue(is_slow(pace, 0.61))
@@ -78,7 +78,7 @@
         self.assertTrue(is_slow(pace, 0.71))
 
     def test_nothing_is_waited_for_where_no_load_was_ever_told(self):
-        self.assertTrue(is_known(Pace(), 5.0))
+        self.assertTrue(is_report_current(Pace(), 5.0))
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_room.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_precedence.py
@@ -7,7 +7,7 @@
 from bendwind_core.admission.origins import MOST_SEEN
 from bendwind_core.attempts import AttemptId, HandOver, owner
 from bendwind_core.attempts import owner_events as ov
-from bendwind_core.attempts.tests.room_load import Kind, RoomLoad
+from bendwind_core.attempts.tests.overload_simulation import Kind, OverloadSimulation
 from bendwind_core.limits import urgency_queue
 from bendwind_core.world import Repeat, UpstreamState
 
@@ -34,7 +34,7 @@
             Kind("deposit", 1, 5.0, 210.0, 800.0),
             Kind("history", 2, 6.0, 400.0, 2000.0),
         ]
-        load = RoomLoad(kinds, seed)
+        load = OverloadSimulation(kinds, seed)
         load.play(40.0)
         return load
 
@@ -61,7 +61,7 @@
     """Seventy-one customers, few of them large, ask an upstream of two slots."""
 
     def play(self, seed, customers, per_second):
-        load = RoomLoad([Kind("check", 0, per_second, 160.0, 500.0)], seed, customers)
+        load = OverloadSimulation([Kind("check", 0, per_second, 160.0, 500.0)], seed, customers)
         load.play(40.0)
         return load
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_state.py
@@ -2,7 +2,6 @@
 
 from bendwind_core.admission import assume_cold, forget
 from bendwind_core.attempts.fencing import cancel_running
-from bendwind_core.attempts.limits import take_change
 from bendwind_core.attempts.messages import CutReason, NotRunReason
 from bendwind_core.attempts.owner_events import (
     OwnerEffect,
@@ -11,9 +10,10 @@
 )
 from bendwind_core.attempts.owner_state import OwnerState
 from bendwind_core.attempts.pace import Pace
-from bendwind_core.attempts.refusals import bounce_queue
+from bendwind_core.attempts.refusals import refuse_all_waiting
 from bendwind_core.attempts.suspects import note_upstream_end
 from bendwind_core.attempts.upstream_end import note_unanswered
+from bendwind_core.attempts.upstream_limit import apply_limit_change
 from bendwind_core.core import Seconds
 from bendwind_core.world import UpstreamState
 
@@ -30,7 +30,7 @@
     owner_state.state = event.state
     match event.state:
         case UpstreamState.GONE:
-            bounce_queue(owner_state, NotRunReason.NO_UPSTREAM, now, effects)
+            refuse_all_waiting(owner_state, NotRunReason.NO_UPSTREAM, now, effects)
         case UpstreamState.DRAINING:
             _start_draining(owner_state, now)
         case UpstreamState.READY if not owner_state.is_stopping:
@@ -55,7 +55,7 @@
     """Take nothing more for the present run of an upstream, and give back what waits."""
     owner_state.is_leaving = True
     owner_state.is_drained = False
-    bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
+    refuse_all_waiting(owner_state, NotRunReason.DRAINING, now, effects)
 
 
 def hold_down(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
@@ -67,7 +67,7 @@
     if not owner_state.is_unreachable:
         owner_state.is_unreachable = True
         effects.append(UpstreamUnreachable())
-    bounce_queue(owner_state, NotRunReason.NO_UPSTREAM, now, effects)
+    refuse_all_waiting(owner_state, NotRunReason.NO_UPSTREAM, now, effects)
 
 
 def take_check(
@@ -84,7 +84,7 @@
     """Turn to another run of the upstream, which knows nothing of the one before."""
     owner_state.is_unreachable = False
     owner_state.pace = Pace()
-    take_change(owner_state, forget(owner_state.rate_limit), now, effects)
+    apply_limit_change(owner_state, forget(owner_state.rate_limit), now, effects)
     owner_state.is_leaving = False
     assume_cold(owner_state.warm_up, now)
     _give_up_running(owner_state, now, effects)
@@ -98,7 +98,7 @@
         _give_up_running(owner_state, now, effects)
     owner_state.state = UpstreamState.GONE
     owner_state.is_unreachable = False
-    bounce_queue(owner_state, NotRunReason.NO_UPSTREAM, now, effects)
+    refuse_all_waiting(owner_state, NotRunReason.NO_UPSTREAM, now, effects)
 
 
 def _give_up_running(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
--- a/packages/bendwind-core/src/bendwind_core/attempts/usual_times.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/usual_times.py
@@ -9,14 +9,14 @@
 
 # Objectives are usually stated at three times what the work takes; a route without answers yet is
 # expected to take this share of its objective, until the first answer tells.
-FIRST_GUESS_SHARE = 0.3
+INITIAL_TIME_SHARE = 0.3
 
 # An answer counts for at most this many times the expected time where the pace at its start was
 # known: a slow phase that began unseen makes one in twenty four times as long.
-PACED_STEP = 2.0
+MAX_STEP_AT_KNOWN_PACE = 2.0
 
 # The same where the pace was not known: any of those answers may be of a slow phase.
-UNPACED_STEP = 1.2
+MAX_STEP_AT_UNKNOWN_PACE = 1.2
 
 # Routes that lead to one service; of more, those noted first are forgotten.
 MAX_ROUTE_TIMES = 512
@@ -25,7 +25,7 @@
 OVERDUE_SHARE = 0.25
 
 
-def guess_route_time(owner_state: OwnerState, hand_over: HandOver) -> None:
+def set_initial_route_time(owner_state: OwnerState, hand_over: HandOver) -> None:
     """Expect a time of a route that has had no answer yet, by its objective.
 
     An upstream that has just started would otherwise take whatever comes and answer it all late.
@@ -34,7 +34,7 @@
         return
     if len(owner_state.guessed_times) < MAX_ROUTE_TIMES:
         owner_state.guessed_times.setdefault(
-            hand_over.route, FIRST_GUESS_SHARE * hand_over.target_ms
+            hand_over.route, INITIAL_TIME_SHARE * hand_over.target_ms
         )
 
 
@@ -46,7 +46,7 @@
     return owner_state.times.average_ms if usual_ms is None else usual_ms
 
 
-def find_run_rest_ms(
+def estimate_remaining_run_ms(
     owner_state: OwnerState, running: RunningAttempt, now: Seconds
 ) -> Milliseconds:
     """Estimate how much longer a running attempt takes."""
@@ -55,7 +55,7 @@
     return max(expected_ms - elapsed_ms, OVERDUE_SHARE * expected_ms)
 
 
-def note_route_time(
+def record_route_time(
     owner_state: OwnerState, running: RunningAttempt, upstream_ms: Milliseconds
 ) -> None:
     """Add the time that an answer to one of a route's requests took.
@@ -69,7 +69,10 @@
     taken_ms = upstream_ms / max(1.0, running.slow_factor)
     if expected_ms is not None:
         is_paced = running.is_paced or owner_state.pace.reported_at is None
-        taken_ms = min(taken_ms, expected_ms * (PACED_STEP if is_paced else UNPACED_STEP))
+        taken_ms = min(
+            taken_ms,
+            expected_ms * (MAX_STEP_AT_KNOWN_PACE if is_paced else MAX_STEP_AT_UNKNOWN_PACE),
+        )
     if known_ms is None:
         if len(owner_state.route_times) >= MAX_ROUTE_TIMES:
             owner_state.route_times.pop(next(iter(owner_state.route_times)))
