--- a/packages/bendwind-core/src/bendwind_core/attempts/admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/admission.py
@@ -1,12 +1,12 @@
 """Decide whether an attempt with a latency objective may wait at its upstream, and when it starts.
 
-An upstream that answers late earns its caller little and takes a slot from one that could be
-answered in time. What cannot start in time is therefore refused on arrival, while there is time to
-try elsewhere, rather than when its time is up.
+A late answer is of little use to its caller, and its run occupies a slot that another attempt could
+have used to be answered in time. An attempt that cannot start in time is therefore refused on
+arrival, while there is time to try another upstream, and not when its time has run out.
 
-What starts while the upstream is slowed stays slow to its end, so that a long request had better
-wait for the end of the phase. Reports come with answers, and are asked for where the last one is
-too old to go by.
+An attempt that starts during a slow phase of the upstream stays slow until it ends, so a long
+request should wait for the end of the phase. Load reports arrive with answers; the owner queries
+the upstream for one if the last report is too old to rely on.
 """
 
 from bendwind_core.attempts import pace as paces
@@ -17,34 +17,35 @@
     find_slot_limit,
     find_slot_reserved_until,
     list_ahead,
-    list_in_turn,
+    list_in_start_order,
 )
 from bendwind_core.attempts.slots import find_rate_wait_ms, has_capacity
 from bendwind_core.attempts.usual_times import estimate_remaining_run_ms, find_usual_ms
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.limits import urgency_queue
 
-# An upstream is asked again this often while attempts wait for a phase that outlasts the usual.
+# Interval of load queries while attempts wait for a slow phase that lasts longer than usual.
 LOAD_QUERY_INTERVAL: Seconds = 0.025
-# A report is a round trip within the instance; without one by then, it is done without.
+# A load report takes one round trip within the instance. If none arrives within this time, attempts
+# start without it.
 LOAD_QUERY_TIMEOUT: Seconds = 0.010
-# A request that would lose no more than this by a slow start is not worth a question.
+# A load query is not worthwhile if a start in a slow phase would delay the request by at most this.
 MAX_RISK_WITHOUT_QUERY_MS: Milliseconds = 60.0
-# An attempt that can still go elsewhere is taken only if it should be answered within this share of
-# its time: estimates are means, and work scatters around them by some 30%.
+# An attempt that can still go to another upstream is accepted only if the estimated answer time is
+# within this share of its time limit: estimates are means, and run times vary by about 30%.
 REROUTABLE_TARGET_SHARE = 0.85
-# With less time left than this share of what an attempt usually takes, no other upstream is so much
-# faster that it could still answer in time.
+# If the time left is less than this share of the usual run time of an attempt, no other upstream is
+# fast enough to answer it in time.
 MIN_FEASIBLE_TIME_SHARE = 0.5
 
 
 def can_start_immediately(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    """Tell whether an attempt that came now would start at once, at the usual pace."""
+    """Return whether an attempt that arrives now would start immediately, at the usual pace."""
     return is_next_to_start(owner_state, queued, now) and not paces.is_slow(owner_state.pace, now)
 
 
 def is_next_to_start(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    """Tell whether there is room for an attempt that came now, and nothing as urgent waits."""
+    """Return whether there is capacity for a new attempt and nothing as urgent waits."""
     if not has_capacity(owner_state, now, find_slot_limit(owner_state, queued, now)):
         return False
     return not owner_state.queue.size and not urgency_queue.has_as_urgent(
@@ -55,21 +56,21 @@
 def query_load_after_refusal(
     owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Ask the upstream for its load after a refusal as slow, so that the next one goes by it."""
-    # Until the length of its slow phases is learnt, the upstream may be fast again long before the
-    # assumed end.
-    is_old = now - (owner_state.pace.reported_at or 0.0) >= LOAD_QUERY_INTERVAL
-    if _may_query_load(owner_state) and is_old and paces.is_slow(owner_state.pace, now):
+    """Query the upstream's load after a refusal as slow, for the decision on the next attempt."""
+    # Until the length of its slow phases has been learnt, the upstream may be fast again long
+    # before the assumed end.
+    is_report_old = now - (owner_state.pace.reported_at or 0.0) >= LOAD_QUERY_INTERVAL
+    if _may_query_load(owner_state) and is_report_old and paces.is_slow(owner_state.pace, now):
         _query_load(owner_state, now, effects)
 
 
 def _may_query_load(owner_state: OwnerState) -> bool:
-    """Tell whether the upstream may be asked for its load: a question counts for its limit too."""
+    """Return whether the upstream's load may be queried: a query counts towards its rate limit."""
     return owner_state.may_ask and owner_state.rate_limit.per_second is None
 
 
 def _query_load(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    """Ask the upstream for its load, unless it was asked a moment ago."""
+    """Query the upstream's load, unless the last query was too recent."""
     if owner_state.asked_at is not None and now < owner_state.asked_at + LOAD_QUERY_INTERVAL:
         return
     owner_state.asked_at = now
@@ -79,7 +80,7 @@
 def estimate_start_wait_ms(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
 ) -> Milliseconds:
-    """Estimate how long an attempt that came now would wait until it starts at the usual pace."""
+    """Estimate how long an attempt that arrives now would wait to start at the usual pace."""
     phase_ms = (
         paces.find_remaining_phase_ms(owner_state.pace, now)
         if paces.is_slow(owner_state.pace, now)
@@ -91,9 +92,10 @@
 def find_refusal(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
 ) -> NotRunReason | None:
-    """Return why an attempt with a latency objective had better not be taken, or None.
+    """Return why an attempt with a latency objective should not be accepted, or None.
 
-    An attempt that does not insist is also refused where it could start at once but would be late.
+    An attempt that can still go to another upstream is also refused if it could start immediately
+    but would be answered late.
     """
     hand_over = queued.hand_over
     is_free = has_capacity(owner_state, now, find_slot_limit(owner_state, queued, now))
@@ -106,7 +108,7 @@
     is_slow = paces.is_slow(owner_state.pace, now)
     limit_ms = _find_time_limit_ms(queued)
     if is_slow and not hand_over.insist:
-        # Others may be at their usual pace.
+        # Other upstreams may be at their usual pace.
         limit_ms = hand_over.target_ms
     if wait_ms + expected_ms <= share * limit_ms:
         return None
@@ -114,9 +116,9 @@
 
 
 def _is_target_unreachable(owner_state: OwnerState, hand_over: HandOver, now: Seconds) -> bool:
-    """Tell whether an attempt is late wherever it runs, as those of callers that came back are.
+    """Return whether an attempt would be late at any upstream, as attempts of caller retries are.
 
-    It takes what nobody else has a use for; it waits for nothing.
+    It may use a free slot that no other attempt needs, but it does not wait for one.
     """
     is_late = hand_over.target_ms < MIN_FEASIBLE_TIME_SHARE * _estimate_base_run_ms(
         owner_state, hand_over.route
@@ -125,22 +127,22 @@
 
 
 def _find_time_limit_ms(queued: QueuedAttempt) -> Milliseconds:
-    """Return the time within which an attempt has to be answered to be worth taking."""
+    """Return the time within which an attempt must be answered to be worth accepting."""
     hand_over = queued.hand_over
     if not queued.is_inner:
         return hand_over.target_ms
-    # The run that waits for it would have been for nothing: failed requests under overload fell
-    # from 9.5% to 3.7% (one run each).
+    # The run that waits for an inner call is wasted if the call is refused. With this longer limit,
+    # failed requests under overload fell from 9.5% to 3.7% (one run each).
     return max(hand_over.remaining_ms, hand_over.target_ms)
 
 
 def is_delayed_by_next_slow_phase(
     owner_state: OwnerState, queued: QueuedAttempt, now: Seconds
 ) -> bool:
-    """Tell whether an attempt that waited for a slow phase to end had better go elsewhere.
+    """Return whether an attempt that waited for a slow phase to end should go to another upstream.
 
-    Phases follow each other by chance: what waits through a second one is late for sure, while
-    another upstream may be at its usual pace.
+    Slow phases follow each other at random: an attempt that waits for the end of a second one is
+    certainly late, while another upstream may be at its usual pace.
     """
     if queued.hand_over.insist or queued.hand_over.target_ms is None:
         return False
@@ -154,8 +156,8 @@
     return estimate_completion_ms(owner_state, queued.hand_over.route, now) > left_ms
 
 
-def find_rejection_time(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> Seconds:
-    """Return the time at which an attempt that still waits for a slot is given back."""
+def find_refuse_at(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> Seconds:
+    """Return the time at which an attempt that still waits for a slot is refused."""
     slack_ms = _find_time_limit_ms(queued) - _estimate_base_run_ms(
         owner_state, queued.hand_over.route
     )
@@ -163,14 +165,17 @@
 
 
 def find_latest_start(owner_state: OwnerState, hand_over: HandOver, now: Seconds) -> Seconds:
-    """Return the time by which an attempt has to start for its answer to be in time."""
+    """Return the time by which an attempt must start to be answered in time."""
     target_ms = hand_over.target_ms or 0.0
     slack_ms = target_ms - _estimate_base_run_ms(owner_state, hand_over.route)
     return now + slack_ms / MILLISECONDS_PER_SECOND
 
 
 def estimate_completion_ms(owner_state: OwnerState, route: str, now: Seconds) -> Milliseconds:
-    """Return how long an attempt of a route takes from now on, started now or after the phase."""
+    """Estimate how long an attempt takes from now to its answer.
+
+    It starts now or after the slow phase, whichever gives the earlier answer.
+    """
     if not paces.is_slow(owner_state.pace, now):
         return _estimate_base_run_ms(owner_state, route)
     return min(
@@ -179,29 +184,29 @@
 
 
 def _estimate_slow_run_ms(owner_state: OwnerState, route: str) -> Milliseconds:
-    """Return how long an attempt takes that starts at the pace reported last."""
+    """Estimate how long an attempt takes that starts at the last reported pace."""
     return owner_state.pace.factor * find_usual_ms(owner_state, route)
 
 
 def _estimate_held_run_ms(owner_state: OwnerState, route: str, now: Seconds) -> Milliseconds:
-    """Return how long an attempt takes that is held to the end of the present slow phase."""
+    """Estimate how long an attempt takes that is held until the end of the present slow phase."""
     return paces.find_remaining_phase_ms(owner_state.pace, now) + _estimate_base_run_ms(
         owner_state, route
     )
 
 
 def _estimate_base_run_ms(owner_state: OwnerState, route: str) -> Milliseconds:
-    """Return how long an attempt takes outside of slow phases."""
+    """Estimate how long an attempt takes outside slow phases."""
     return owner_state.pace.base * find_usual_ms(owner_state, route)
 
 
 def should_start_now(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    """Tell whether an attempt is better started now than after a slow phase or a fresh report."""
+    """Return whether an attempt should start now rather than after a slow phase or a new report."""
     pace = owner_state.pace
     route = queued.hand_over.route
     usual_ms = _estimate_base_run_ms(owner_state, route)
     if now >= queued.due_at:
-        # It is late whatever comes: waiting on could hold it back to its deadline.
+        # The attempt is late in any case; waiting longer could hold it until its deadline.
         return True
     if paces.is_slow(pace, now):
         slow_ms = _estimate_slow_run_ms(owner_state, route)
@@ -220,17 +225,17 @@
 
 
 def pop_startable(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
-    """Take the most urgent attempt that may start now out of its queue, or None."""
-    for queued in list_in_turn(owner_state, now):
-        has_place = has_capacity(owner_state, now, find_slot_limit(owner_state, queued, now))
-        if has_place and should_start_now(owner_state, queued, now):
+    """Remove the most urgent attempt that may start now from its queue and return it, or None."""
+    for queued in list_in_start_order(owner_state, now):
+        has_slot = has_capacity(owner_state, now, find_slot_limit(owner_state, queued, now))
+        if has_slot and should_start_now(owner_state, queued, now):
             urgency_queue.remove(owner_state.timed, queued)
             return queued
     return None
 
 
 def query_load_if_held(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    """Ask the upstream for its load while an attempt waits for nothing else."""
+    """Query the upstream's load while an attempt waits for nothing else."""
     if not _may_query_load(owner_state) or not _list_held(owner_state, now):
         return
     if not paces.is_report_current(owner_state.pace, now):
@@ -238,7 +243,7 @@
 
 
 def _list_held(owner_state: OwnerState, now: Seconds) -> list[QueuedAttempt]:
-    """List what waits though it has a slot."""
+    """List the attempts that wait although a slot is free for them."""
     return [
         entry.item
         for entry in owner_state.timed.entries
@@ -247,13 +252,13 @@
 
 
 def next_recheck(owner_state: OwnerState, now: Seconds) -> Seconds | None:
-    """Return when the attempts that are held back have to be looked at again, or None."""
-    looks = _find_next_pace_check(owner_state, now), _find_next_slot_release(owner_state, now)
-    return min((look for look in looks if look is not None), default=None)
+    """Return when the attempts that are held must be checked again, or None."""
+    checks = _find_next_pace_check(owner_state, now), _find_next_slot_release(owner_state, now)
+    return min((check for check in checks if check is not None), default=None)
 
 
 def _find_next_pace_check(owner_state: OwnerState, now: Seconds) -> Seconds | None:
-    """Return when what waits for the upstream's pace alone has to be looked at again, or None."""
+    """Return when to recheck the attempts that wait only for the upstream's pace, or None."""
     held = _list_held(owner_state, now)
     if not held:
         return None
@@ -261,24 +266,24 @@
         return min(paces.find_phase_end(owner_state.pace), *(queued.due_at for queued in held))
     if owner_state.asked_at is None:
         return now
-    is_waiting = now < owner_state.asked_at + LOAD_QUERY_TIMEOUT
-    return owner_state.asked_at + (LOAD_QUERY_TIMEOUT if is_waiting else LOAD_QUERY_INTERVAL)
+    is_query_pending = now < owner_state.asked_at + LOAD_QUERY_TIMEOUT
+    return owner_state.asked_at + (LOAD_QUERY_TIMEOUT if is_query_pending else LOAD_QUERY_INTERVAL)
 
 
 def _find_next_slot_release(owner_state: OwnerState, now: Seconds) -> Seconds | None:
-    """Return when the last slot is lent to a less urgent attempt that waits, or None."""
+    """Return when the reserved last slot is released to a less urgent waiting attempt, or None."""
     if not has_capacity(owner_state, now):
         return None
-    kept_until = [
+    reserved_until = [
         find_slot_reserved_until(owner_state, entry.item) for entry in owner_state.timed.entries
     ]
-    return min((until for until in kept_until if until > now), default=None)
+    return min((until for until in reserved_until if until > now), default=None)
 
 
 def estimate_wait_ms(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> Milliseconds:
-    """Estimate how long an attempt that came now waits for a slot, and for a cold upstream.
+    """Estimate how long an attempt that arrives now waits for a slot, warm-up and the rate limit.
 
-    Only what goes before it counts.
+    Only the attempts that start before it count.
     """
     ahead = list_ahead(owner_state, queued, now)
     return _estimate_wait_behind_ms(
@@ -287,22 +292,24 @@
 
 
 def list_unstartable(
-    owner_state: OwnerState, newcomer: QueuedAttempt, now: Seconds
+    owner_state: OwnerState, new_attempt: QueuedAttempt, now: Seconds
 ) -> list[QueuedAttempt]:
-    """List what waits behind a newcomer and will not start any more before it is given back.
+    """List the attempts behind a new one that can no longer start before they would be refused.
 
-    It is better given back at once, while there is time to try elsewhere.
+    They should be refused immediately, while there is time to try another upstream.
     """
-    if not urgency_queue.has_less_urgent(owner_state.timed, newcomer.rank):
+    if not urgency_queue.has_less_urgent(owner_state.timed, new_attempt.rank):
         return []
-    hopeless: list[QueuedAttempt] = []
+    unstartable: list[QueuedAttempt] = []
     ahead: list[QueuedAttempt] = []
-    for queued in list_in_turn(owner_state, now):
-        if queued.rank > newcomer.rank and _cannot_start_in_time(owner_state, queued, ahead, now):
-            hopeless.append(queued)
+    for queued in list_in_start_order(owner_state, now):
+        if queued.rank > new_attempt.rank and _cannot_start_in_time(
+            owner_state, queued, ahead, now
+        ):
+            unstartable.append(queued)
         else:
             ahead.append(queued)
-    return hopeless
+    return unstartable
 
 
 def _cannot_start_in_time(
@@ -319,11 +326,11 @@
 ) -> Milliseconds:
     ahead_ms = sum(_estimate_base_run_ms(owner_state, queued.hand_over.route) for queued in ahead)
     ahead_ms += owner_state.queue.size * owner_state.times.average_ms
-    rests = [
+    remaining_runs_ms = [
         estimate_remaining_run_ms(owner_state, running, now)
         for running in owner_state.running.values()
     ]
-    first_free_ms = min(rests, default=0.0) if len(rests) >= slots else 0.0
+    first_free_ms = min(remaining_runs_ms, default=0.0) if len(remaining_runs_ms) >= slots else 0.0
     slot_wait_ms = first_free_ms + ahead_ms / slots
     return max(
         slot_wait_ms, find_rate_wait_ms(owner_state, len(ahead) + owner_state.queue.size, now)
--- a/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
@@ -6,7 +6,7 @@
     estimate_start_wait_ms,
     find_latest_start,
     find_refusal,
-    find_rejection_time,
+    find_refuse_at,
     list_unstartable,
     query_load_after_refusal,
     should_start_now,
@@ -50,7 +50,7 @@
     set_precedence(owner_state, queued, now)
     if hand_over.target_ms is not None:
         queued.due_at = find_latest_start(owner_state, hand_over, now)
-        queued.leaves_at = find_rejection_time(owner_state, queued, now)
+        queued.leaves_at = find_refuse_at(owner_state, queued, now)
     return queued
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/pace.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/pace.py
@@ -1,7 +1,8 @@
-"""Follow how fast an upstream works, by its own reports.
+"""Track how fast an upstream works, according to its own load reports.
 
-Upstreams share their instances with others and slow down for a phase at a time. A report says only
-how it is now; how long a phase lasts is learnt from the reports around its beginning and end.
+Upstreams share their instances with other processes and slow down for a phase at a time. A report
+states only the present pace; the length of a phase is learnt from the reports around its beginning
+and end.
 """
 
 import collections
@@ -11,32 +12,34 @@
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 
-# Below this a report is taken for the usual scatter.
+# A reported factor below this counts as usual variation.
 SLOW_FACTOR = 1.5
-# What to reckon with where nothing is known: the risk of starting blindly.
+# Factor that is assumed where the pace is not known, for the risk of a start without a report.
 DEFAULT_SLOW_FACTOR = 4.0
-# After a report of the usual pace, 1 in 20 was slow 25 to 75 ms later and 1 in 10 after 100 ms;
-# docs/design/admission.md has the figures. A run that starts in a phase takes some times as long, a
-# question a round trip within the instance.
+# After a report of the usual pace, upstreams were slow in 1 of 20 cases 25 to 75 ms later, and in 1
+# of 10 after 100 ms; docs/design/admission.md has the figures. A run that starts in a slow phase
+# takes several times as long, whereas a load query takes one round trip within the instance.
 USUAL_REPORT_VALIDITY: Seconds = 0.02
-# A slow phase whose length is not known yet is taken to last this long: the same page.
+# Length that is assumed for slow phases until some have been observed; the same page has the
+# figures.
 DEFAULT_PHASE_LENGTH: Seconds = 0.3
-# An upstream that reported nothing better for this many phases is slow for longer than a phase, as
-# one that has just started is: that is then its usual pace.
+# An upstream that reports nothing faster for this many phase lengths is slow for longer than a
+# phase, as after its start. The slow pace then counts as its usual pace.
 BASE_CHANGE_PHASES = 1.5
-# A phase is measured where reports stood this close around its beginning and its end.
+# A phase is measured only if the reports around its beginning and its end are at most this far
+# apart.
 MAX_EDGE_GAP: Seconds = 0.06
-# So many phases are remembered; their median bears a few that ran into each other.
+# Number of phase lengths that are kept; their median tolerates a few phases that merged into one.
 REMEMBERED_PHASES = 9
 
 
 class Pace(msgspec.Struct):
     """Hold what an upstream reported: 1.0 is its usual pace, 4.0 four times the usual time.
 
-    `began_at` is when the present slow phase began, as far as is known; `is_sharp` says that this
-    is known closely. `lengths` are those of the last phases that were seen closely. `least` is the
-    least factor reported since `since`, from when on no report told the usual pace, and `base` the
-    factor that has lasted.
+    `phase_began_at` is the estimated beginning of the present slow phase; `is_start_exact` says
+    that the reports around it were close together. `phase_lengths` are the lengths of the last
+    phases that were measured. `slow_since` is the time since which no report stated the usual pace,
+    `least_factor` the least factor reported since then, and `base` the factor that has lasted.
     """
 
     factor: float = 1.0
@@ -52,19 +55,19 @@
 
 
 def record_report(pace: Pace, factor: float, now: Seconds) -> None:
-    """Take over a report."""
+    """Update the pace with a reported factor."""
     _update_base(pace, factor, now)
     was_slow = _is_slow_factor(pace, pace.factor)
     is_slow = _is_slow_factor(pace, factor)
-    since = now if pace.reported_at is None else pace.reported_at
-    is_close = now - since <= MAX_EDGE_GAP
+    previous_at = now if pace.reported_at is None else pace.reported_at
+    is_close = now - previous_at <= MAX_EDGE_GAP
     if is_slow and not was_slow:
-        pace.phase_began_at = max((since + now) / 2, now - find_phase_length(pace))
+        pace.phase_began_at = max((previous_at + now) / 2, now - find_phase_length(pace))
         pace.is_start_exact = is_close and pace.reported_at is not None
     elif was_slow and not is_slow and pace.is_start_exact and is_close:
-        pace.phase_lengths.append((since + now) / 2 - pace.phase_began_at)
+        pace.phase_lengths.append((previous_at + now) / 2 - pace.phase_began_at)
     elif is_slow and now >= find_phase_end(pace):
-        # It goes on beyond the usual: another phase has begun.
+        # The phase lasts longer than usual, so another one has begun.
         pace.phase_began_at = find_phase_end(pace)
         pace.is_start_exact = False
     pace.factor = factor
@@ -86,11 +89,11 @@
 
 
 def _has_report_gap(pace: Pace, now: Seconds) -> bool:
-    """Tell whether a phase may have ended and another begun since the last report."""
-    # Two phases seen as one would pass for what lasts, and what then starts in a phase would be
-    # thought to run at the usual pace.
-    since = now if pace.reported_at is None else pace.reported_at
-    return now - since > find_phase_length(pace) / 2
+    """Return whether a phase may have ended and another begun since the last report."""
+    # Two phases that count as one would be mistaken for a lasting pace, and an attempt that starts
+    # in a phase would be expected to run at the usual pace.
+    previous_at = now if pace.reported_at is None else pace.reported_at
+    return now - previous_at > find_phase_length(pace) / 2
 
 
 def _is_slow_factor(pace: Pace, factor: float) -> bool:
@@ -98,7 +101,7 @@
 
 
 def find_phase_length(pace: Pace) -> Seconds:
-    """Return how long a slow phase usually lasts."""
+    """Return the usual length of a slow phase."""
     return statistics.median(pace.phase_lengths) if pace.phase_lengths else DEFAULT_PHASE_LENGTH
 
 
@@ -108,15 +111,15 @@
 
 
 def is_slow(pace: Pace, now: Seconds) -> bool:
-    """Tell whether the upstream reported a slow phase that should not have ended yet."""
+    """Return whether the upstream reported a slow phase that should not have ended yet."""
     return _is_slow_factor(pace, pace.factor) and now < find_phase_end(pace)
 
 
 def is_report_current(pace: Pace, now: Seconds) -> bool:
-    """Tell whether the last report still says how fast the upstream works.
+    """Return whether the last report still describes how fast the upstream works.
 
-    One that never told its load cannot be asked for it either, so that there is nothing to wait
-    for.
+    An upstream that never reported its load cannot be queried for it either, so there is no report
+    to wait for.
     """
     if pace.reported_at is None or is_slow(pace, now):
         return True
@@ -124,7 +127,7 @@
 
 
 def find_factor(pace: Pace, now: Seconds) -> float:
-    """Return how many times the usual an attempt takes that starts now."""
+    """Return how many times the usual time an attempt takes that starts now."""
     return pace.factor if is_slow(pace, now) else pace.base
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
@@ -1,8 +1,9 @@
-"""Decide which attempts go before which at an upstream, and how many slots each may take.
+"""Decide the order in which attempts start at an upstream, and how many slots each may use.
 
-A call that an upstream makes goes before new requests of the rank of the run that makes it, and of
-the next more urgent one: that run fails without it, and its work was for nothing. It may also
-take a slot above the share that is used, unless something more urgent runs or waits.
+An inner call, which an upstream makes while it runs a request, starts before new requests of the
+rank of that run and of the next more urgent rank: the run fails without the call, and its work is
+wasted. An inner call may also use a slot above the share of slots that requests use, unless
+something more urgent runs or waits.
 """
 
 import math
@@ -13,17 +14,17 @@
 from bendwind_core.core import Seconds
 from bendwind_core.limits import urgency_queue
 
-# An inner call goes before new requests of the next more urgent rank too: its run holds a slot and
-# is lost without it, they hold nothing yet. With half a rank 0.018 fewer requests were in time in
-# full-with-inner-calls.
+# An inner call also starts before new requests of the next more urgent rank: its run holds a slot
+# and is lost without it, while those requests hold nothing yet. With a step of half a rank, the
+# share of requests in time was 0.018 lower in the scenario full-with-inner-calls.
 INNER_CALL_RANK_STEP = 1.5
-# Where the request of a starved rank waits: before every rank and every inner call, of which the
-# most urgent stands at minus one and a half.
+# Queue rank of a request of a starved rank: before every rank and every inner call, of which the
+# most urgent has the queue rank -1.5.
 _STARVED_RANK = -2.0
 
 
 def set_precedence(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> None:
-    """Note how urgent an attempt is, and where it waits."""
+    """Set how urgent an attempt is, and its rank in the queue."""
     hand_over = queued.hand_over
     queued.is_inner = is_inner_call(owner_state.origins, hand_over.route)
     queued.own_rank = hand_over.rank
@@ -37,25 +38,27 @@
         return queued.own_rank - INNER_CALL_RANK_STEP
     if queued.own_rank == 0 or find_starved_rank(owner_state.rank_counts, now) != queued.own_rank:
         return queued.own_rank
-    # One at a time, so that the starved rank does not keep out the more urgent ones in its turn.
-    waits = any(entry.rank == _STARVED_RANK for entry in owner_state.timed.entries)
-    return queued.own_rank if waits else _STARVED_RANK
+    # Only one such request waits at a time, so that the starved rank does not starve the more
+    # urgent ones.
+    is_one_waiting = any(entry.rank == _STARVED_RANK for entry in owner_state.timed.entries)
+    return queued.own_rank if is_one_waiting else _STARVED_RANK
 
 
 def find_slot_limit(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> int:
-    """Return how many attempts may run in all if one more of this kind is started."""
+    """Return the total number of attempts that may run if one more of this kind starts."""
     if not queued.is_inner:
-        is_kept = now < find_slot_reserved_until(owner_state, queued)
-        return owner_state.run_limit - 1 if is_kept else owner_state.run_limit
-    held = (*owner_state.running.values(), *owner_state.waiting.values())
-    # Above its knee an upstream is slow for all: only what is more urgent is spared that.
-    if any(other.own_rank < queued.own_rank for other in held):
+        is_reserved = now < find_slot_reserved_until(owner_state, queued)
+        return owner_state.run_limit - 1 if is_reserved else owner_state.run_limit
+    others = (*owner_state.running.values(), *owner_state.waiting.values())
+    # Above its knee, the load from which response times rise, an upstream is slow for all attempts.
+    # Only more urgent attempts are protected from that.
+    if any(other.own_rank < queued.own_rank for other in others):
         return owner_state.run_limit
     return min(owner_state.slots, owner_state.connections)
 
 
 def find_slot_reserved_until(owner_state: OwnerState, queued: QueuedAttempt) -> Seconds:
-    """Return until when the last slot is kept from an attempt for more urgent ones."""
+    """Return until when the last slot is reserved for attempts more urgent than this one."""
     if queued.is_inner or queued.rank <= 0 or owner_state.run_limit < 2:
         return -math.inf
     run_ms = find_usual_ms(owner_state, queued.hand_over.route)
@@ -63,10 +66,10 @@
 
 
 def list_ahead(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> list[QueuedAttempt]:
-    """List what waits and goes before an attempt that does not wait yet."""
+    """List the waiting attempts that start before an attempt that does not wait yet."""
     hand_over = queued.hand_over
     work_ms = find_usual_ms(owner_state, hand_over.route)
-    newcomer = urgency_queue.Waiting(
+    new_entry = urgency_queue.Waiting(
         queued,
         queued.due_at,
         owner_state.timed.next_number,
@@ -74,11 +77,11 @@
         hand_over.customer,
         work_ms,
     )
-    return urgency_queue.list_ahead(owner_state.timed, newcomer, now, owner_state.turns)
+    return urgency_queue.list_ahead(owner_state.timed, new_entry, now, owner_state.turns)
 
 
 def push_timed(owner_state: OwnerState, queued: QueuedAttempt) -> QueuedAttempt | None:
-    """Have an attempt with an objective wait; return the one that gives way to it, if any."""
+    """Enqueue an attempt with a latency objective; return the attempt that it displaces, if any."""
     hand_over = queued.hand_over
     work_ms = find_usual_ms(owner_state, hand_over.route)
     return urgency_queue.push(
@@ -86,6 +89,6 @@
     )
 
 
-def list_in_turn(owner_state: OwnerState, now: Seconds) -> list[QueuedAttempt]:
-    """List what waits with an objective in the order in which it should start."""
+def list_in_start_order(owner_state: OwnerState, now: Seconds) -> list[QueuedAttempt]:
+    """List the waiting attempts with a latency objective in the order of their start."""
     return urgency_queue.list_in_turn(owner_state.timed, now, owner_state.turns)
--- a/packages/bendwind-core/src/bendwind_core/attempts/refusals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/refusals.py
@@ -1,4 +1,4 @@
-"""Refuse attempts that never start, and find when those that wait do."""
+"""Refuse attempts that never start, and find when waiting attempts are refused."""
 
 from bendwind_core.attempts.attempt_log import Fate, record_ended
 from bendwind_core.attempts.messages import AttemptId, HandOver, NotRunReason
@@ -10,7 +10,7 @@
 
 
 def find_expiry(queued: QueuedAttempt) -> Seconds:
-    """Return when a waiting attempt that has not started is refused."""
+    """Return when a waiting attempt is refused if it has not started."""
     if queued.hand_over.target_ms is None:
         return queued.expires_at
     return min(queued.expires_at, queued.leaves_at)
@@ -35,11 +35,11 @@
     effects: list[OwnerEffect],
     hand_over: HandOver | None = None,
     wait_ms: Milliseconds | None = None,
-    waited: Seconds | None = None,
+    queue_time: Seconds | None = None,
 ) -> None:
-    """Reply that an attempt did not run; it must be known never to start."""
+    """Reply that an attempt did not run; it must be certain that it never starts."""
     sample = load_sample(owner_state, now)
-    effects.append(ReplyNotRun(attempt, epoch, reason, sample, hand_over, wait_ms, waited))
+    effects.append(ReplyNotRun(attempt, epoch, reason, sample, hand_over, wait_ms, queue_time))
 
 
 def refuse_waiting(
@@ -50,10 +50,10 @@
     effects: list[OwnerEffect],
     wait_ms: Milliseconds | None = None,
 ) -> None:
-    """Take an attempt, already out of the queue, off the owner's state and refuse it."""
+    """Remove an attempt that is no longer in a queue from the owner's state, and refuse it."""
     _remove_waiting(owner_state, queued)
     hand_over = queued.hand_over
-    waited = now - queued.queued_at
+    queue_time = now - queued.queued_at
     refuse(
         owner_state,
         hand_over.attempt,
@@ -63,18 +63,18 @@
         effects,
         hand_over,
         wait_ms,
-        waited,
+        queue_time,
     )
 
 
 def fence_waiting(owner_state: OwnerState, queued: QueuedAttempt) -> None:
-    """Take a queued attempt off the owner's state without a reply."""
+    """Remove a queued attempt from the owner's state without a reply."""
     remove_from_queue(owner_state, queued)
     _remove_waiting(owner_state, queued)
 
 
 def remove_from_queue(owner_state: OwnerState, queued: QueuedAttempt) -> None:
-    """Take an attempt out of the queue that it waits in."""
+    """Remove an attempt from the queue in which it waits."""
     if queued.hand_over.target_ms is None:
         fair_queue.remove(owner_state.queue, queued.hand_over.attempt.entry, queued)
     else:
@@ -82,7 +82,7 @@
 
 
 def pop_any(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
-    """Take the next attempt out of its queue, whether it may start or not, or None."""
+    """Remove the next attempt from its queue, whether it may start or not; return it, or None."""
     timed = urgency_queue.pop(owner_state.timed, now)
     return fair_queue.pop(owner_state.queue) if timed is None else timed
 
@@ -96,6 +96,6 @@
 def refuse_all_waiting(
     owner_state: OwnerState, reason: NotRunReason, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Refuse everything that waits."""
+    """Refuse all waiting attempts."""
     while (queued := pop_any(owner_state, now)) is not None:
         refuse_waiting(owner_state, queued, reason, now, effects)
--- a/packages/bendwind-core/src/bendwind_core/attempts/service_time.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/service_time.py
@@ -1,4 +1,4 @@
-"""Average an upstream's service time and error rate as its owner node sees them."""
+"""Average an upstream's service time and error rate as observed by its owner node."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 def record_time(times: ServiceTime, upstream_ms: Milliseconds) -> None:
-    """Add the time one answer took to its first byte."""
+    """Add the time to the first byte of one answer."""
     if times.average_ms == 0.0:
         times.average_ms = upstream_ms
     else:
@@ -24,5 +24,5 @@
 
 
 def record_result(times: ServiceTime, *, is_error: bool) -> None:
-    """Add one answer or failure."""
+    """Add one answer or failure to the error rate."""
     times.error_rate += ERROR_WEIGHT * ((1.0 if is_error else 0.0) - times.error_rate)
--- a/packages/bendwind-core/src/bendwind_core/attempts/slots.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/slots.py
@@ -1,4 +1,4 @@
-"""Decide whether an upstream bears one more attempt, and tell its load."""
+"""Decide whether an upstream has capacity for one more attempt, and report its load."""
 
 from bendwind_core.admission import find_room_at, find_told_limit, find_turn_at, is_cold, is_limited
 from bendwind_core.attempts.owner_state import OwnerState, is_open
@@ -7,15 +7,17 @@
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.world import LoadSample
 
-# Attempts that must be running for an upstream to count as stalled: one alone may just be long.
+# An upstream counts as stalled only if at least this many attempts run: a single one may just be
+# long.
 STALL_MIN_RUNNING = 2
 
-# It has stalled when so many should have ended at the usual pace since the last one did.
+# An upstream has stalled when this many attempts should have ended at the usual pace since the last
+# one ended.
 STALL_EXPECTED_ENDS = 3.0
 
 
 def load_sample(owner_state: OwnerState, now: Seconds) -> LoadSample:
-    """Count the load as of now."""
+    """Return the current load of the upstream."""
     return LoadSample(
         in_flight=len(owner_state.running),
         queued=len(owner_state.waiting),
@@ -31,64 +33,66 @@
 
 
 def estimate_new_attempt_wait_ms(owner_state: OwnerState, now: Seconds) -> Milliseconds:
-    """Estimate how long an attempt that came now would wait until it starts at the usual pace."""
+    """Estimate how long an average new attempt would wait to start at the usual pace."""
     phase_ms = (
         find_remaining_phase_ms(owner_state.pace, now) if is_slow(owner_state.pace, now) else 0.0
     )
     slots = max(1, owner_state.run_limit)
     if len(owner_state.running) + len(owner_state.waiting) < slots:
         return max(phase_ms, find_rate_wait_ms(owner_state, len(owner_state.waiting), now))
-    rests = [
+    remaining_runs_ms = [
         estimate_remaining_run_ms(owner_state, running, now)
         for running in owner_state.running.values()
     ]
     ahead_ms = len(owner_state.waiting) * owner_state.times.average_ms / slots
-    slot_wait_ms = min(rests, default=0.0) + ahead_ms
+    slot_wait_ms = min(remaining_runs_ms, default=0.0) + ahead_ms
     return max(
         phase_ms, slot_wait_ms, find_rate_wait_ms(owner_state, len(owner_state.waiting), now)
     )
 
 
 def has_capacity(owner_state: OwnerState, now: Seconds, slots: int | None = None) -> bool:
-    """Tell whether the upstream may be sent one more attempt now; `slots` is how many it may run.
+    """Return whether the upstream may be sent one more attempt now; `slots` is how many it may run.
 
-    Without `slots` the share holds that is used for requests.
+    Without `slots`, the share of slots that requests use is the limit.
     """
     if len(owner_state.running) >= (owner_state.run_limit if slots is None else slots):
         return False
-    # Asked some thirty times for each attempt, at upstreams of which nearly all need no turns.
+    # This function is called about thirty times for each attempt, and nearly all upstreams need no
+    # spacing of requests.
     if owner_state.rate_limit.per_second is None and not is_cold(owner_state.warm_up, now):
         return True
     return _find_permitted_send_time(owner_state, 0, now) <= now
 
 
 def find_rate_wait_ms(owner_state: OwnerState, ahead: int, now: Seconds) -> Milliseconds:
-    """Return how long an attempt with so many ahead of it waits for a turn, slots left aside.
+    """Return how long an attempt waits for warm-up or the rate limit, regardless of free slots.
 
-    A cold upstream, and one that has named a limit, is sent one request at a time.
+    `ahead` is the number of attempts that start before it. A cold upstream, and one that has named
+    a rate limit, is sent one request at a time.
     """
     return (_find_permitted_send_time(owner_state, ahead, now) - now) * MILLISECONDS_PER_SECOND
 
 
 def _find_permitted_send_time(owner_state: OwnerState, ahead: int, now: Seconds) -> Seconds:
-    turn_at = find_turn_at(owner_state.rate_limit, ahead, now)
+    limited_at = find_turn_at(owner_state.rate_limit, ahead, now)
     if not is_cold(owner_state.warm_up, now):
-        return turn_at
+        return limited_at
     has_unsent = any(not running.is_sent for running in owner_state.running.values())
-    return max(turn_at, find_room_at(owner_state.warm_up, ahead, now, has_unsent=has_unsent))
+    return max(limited_at, find_room_at(owner_state.warm_up, ahead, now, has_unsent=has_unsent))
 
 
 def next_permitted_send(owner_state: OwnerState, now: Seconds) -> Seconds | None:
-    """Return when the next waiting attempt that has a slot gets its turn, or None."""
+    """Return when the next waiting attempt that has a slot may be sent, or None."""
     has_slot = len(owner_state.running) < min(owner_state.slots, owner_state.connections)
     if not owner_state.waiting or not has_slot:
         return None
-    room_at = _find_permitted_send_time(owner_state, 0, now)
-    return room_at if room_at > now else None
+    send_at = _find_permitted_send_time(owner_state, 0, now)
+    return send_at if send_at > now else None
 
 
 def is_blocked_by_rate_limit(owner_state: OwnerState, now: Seconds) -> bool:
-    """Tell whether the upstream has a slot for one more attempt, but its limit does not."""
+    """Return whether a slot is free for one more attempt but the rate limit does not allow it."""
     if not is_limited(owner_state.rate_limit):
         return False
     ahead = len(owner_state.waiting)
@@ -97,9 +101,10 @@
 
 
 def is_stalled(owner_state: OwnerState, now: Seconds) -> bool:
-    """Tell whether the running attempts take much longer than usual."""
-    # At the usual pace, this many of the running attempts would have ended since the last one did.
+    """Return whether the running attempts take much longer than usual."""
     if len(owner_state.running) < STALL_MIN_RUNNING:
         return False
+    # Divided by the average time, this is the number of running attempts that would have ended at
+    # the usual pace since the last one did.
     expected = len(owner_state.running) * (now - owner_state.progress_at) * MILLISECONDS_PER_SECOND
     return expected > STALL_EXPECTED_ENDS * owner_state.times.average_ms > 0.0
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_limit.py
@@ -1,4 +1,4 @@
-"""Follow the rate limit of an owner's upstream, and judge what waits by it."""
+"""Apply changes of an upstream's rate limit, and refuse attempts that it delays for too long."""
 
 from bendwind_core.admission import (
     LimitChange,
@@ -10,20 +10,20 @@
 from bendwind_core.attempts.messages import HandOver, NotRunReason
 from bendwind_core.attempts.owner_events import LimitChanged, OwnerEffect
 from bendwind_core.attempts.owner_state import OwnerState
-from bendwind_core.attempts.precedence import list_in_turn
+from bendwind_core.attempts.precedence import list_in_start_order
 from bendwind_core.attempts.refusals import find_expiry, refuse_waiting, remove_from_queue
 from bendwind_core.attempts.retry_after import LONGEST_MS
 from bendwind_core.attempts.slots import is_blocked_by_rate_limit
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 
-# The reasons that say "no room now", where it may be the limit that leaves none.
+# Refusal reasons that state a lack of capacity, which may be due to the rate limit.
 _CAPACITY_REASONS = frozenset({NotRunReason.BUSY, NotRunReason.QUEUE_FULL})
 
 
 def apply_limit_change(
     owner_state: OwnerState, change: LimitChange | None, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Report a change of the limit, if there was one, and give back what waits too long by it."""
+    """Report a change of the limit, if any, and refuse attempts that would wait too long for it."""
     if change is None:
         return
     effects.append(LimitChanged(change, owner_state.rate_limit.per_second))
@@ -34,15 +34,15 @@
 def apply_carried_limit(
     owner_state: OwnerState, hand_over: HandOver, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
-    """Take over the limit that an entry node had heard of before this owner did."""
+    """Apply the limit that an entry node received before this owner did."""
     if hand_over.limit_per_s is not None and not owner_state.rate_limit.is_heard:
         change = note_carried(owner_state.rate_limit, hand_over.limit_per_s, now)
         apply_limit_change(owner_state, change, now, effects)
 
 
 def _refuse_late(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    """Give back what gets no turn in time any more, while it can go elsewhere."""
-    timed = list_in_turn(owner_state, now)
+    """Refuse attempts that the limit delays beyond their expiry while they can go elsewhere."""
+    timed = list_in_start_order(owner_state, now)
     is_timed = {id(queued) for queued in timed}
     others = [one for one in owner_state.waiting.values() if id(one) not in is_timed]
     ahead = 0
@@ -58,12 +58,12 @@
 def resolve_refusal_reason(
     owner_state: OwnerState, reason: NotRunReason, now: Seconds
 ) -> NotRunReason:
-    """Return why an attempt is refused: its upstream's limit, where that leaves no room."""
+    """Return why an attempt is refused: the rate limit if it leaves no capacity, else `reason`."""
     is_limit = reason in _CAPACITY_REASONS and is_blocked_by_rate_limit(owner_state, now)
     return NotRunReason.LIMITED if is_limit else reason
 
 
 def assign_retry_wait_ms(owner_state: OwnerState, now: Seconds) -> Milliseconds:
-    """Return in how long the caller of an attempt that the limit leaves no room should be back."""
+    """Return after how long the caller of an attempt that the rate limit excludes should retry."""
     longest = LONGEST_MS / MILLISECONDS_PER_SECOND
     return (tell_return_at(owner_state.rate_limit, now, longest) - now) * MILLISECONDS_PER_SECOND
