--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/limit_oracle.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/limit_oracle.py
@@ -1,59 +1,62 @@
-"""Judge what an upstream that names a limit was sent, by what upstreams are promised."""
+"""Check what an upstream that names a rate limit is sent against the promise to upstreams."""
 
 import math
 
-# From so long after an upstream first named its limit, no window holds more than one and a half
-# times what the limit allows and five requests; counted are those of nodes that had passed such an
-# answer on half a second before or earlier, and have not been restarted since.
-CONTACT_S = 3.0
-TOLD_S = 0.5
+# Starting this long after an upstream first named its limit, no window holds more than one and a
+# half times what the limit allows plus five requests. A request counts only if its node had passed
+# on an answer with the limit at least half a second before and has not been restarted since.
+BOUND_AFTER_S = 3.0
+NODE_BOUND_AFTER_S = 0.5
 WINDOW_S = 4.0
 OVERAGE = 1.5
 SLACK = 5
 
 
 class LimitOracle:
-    """Hold which limit an upstream named when, to whom, and what it was sent."""
+    """Hold which limits an upstream named, when and to which nodes, and what it was sent."""
 
     def __init__(self):
         self.named = [(-math.inf, None)]
-        self.told_at = {}
-        self.counted = []
+        self.informed_at = {}
+        self.counted_requests = []
 
     @property
     def per_second(self):
-        """The limit that the upstream names now, None without one."""
+        """Return the limit that the upstream names now, None without one."""
         return self.named[-1][1]
 
-    def name(self, per_second, now):
+    def name_limit(self, per_second, now):
         if per_second != self.per_second:
             self.named.append((now, per_second))
 
-    def tell(self, node, now):
-        """Note that a node passed on an answer that named a limit."""
-        self.told_at.setdefault(node, now)
+    def record_passed_on(self, node, now):
+        """Record that a node passed on an answer that named a limit."""
+        self.informed_at.setdefault(node, now)
 
-    def restart(self, node):
-        self.told_at.pop(node, None)
-        self.counted = [(at, whose) for at, whose in self.counted if whose != node]
+    def record_restart(self, node):
+        self.informed_at.pop(node, None)
+        self.counted_requests = [
+            (at, sender) for at, sender in self.counted_requests if sender != node
+        ]
 
-    def arrive(self, node, now):
+    def record_request(self, node, now):
         if self.per_second is None:
-            # What comes while it names none counts in no window, and nobody is bound any more.
-            self.counted.clear()
-            self.told_at.clear()
-        elif now >= self.told_at.get(node, math.inf) + TOLD_S:
-            self.counted.append((now, node))
-        return self.is_kept(now)
+            # Requests that arrive while no limit is named count in no window, and no node is bound
+            # by a limit any more.
+            self.counted_requests.clear()
+            self.informed_at.clear()
+        elif now >= self.informed_at.get(node, math.inf) + NODE_BOUND_AFTER_S:
+            self.counted_requests.append((now, node))
+        return self.is_bound_kept(now)
 
-    def is_kept(self, now):
-        """Tell whether the window that ends now holds no more than is allowed."""
+    def is_bound_kept(self, now):
+        """Return whether the window that ends now holds no more than is allowed."""
         first_at = self._find_first()
-        if self.per_second is None or now < first_at + CONTACT_S:
+        if self.per_second is None or now < first_at + BOUND_AFTER_S:
             return True
         begin = now - WINDOW_S
         most = max(limit for limit in self._list_since(begin) if limit is not None)
-        count = sum(at > begin for at, _ in self.counted)
+        count = sum(at > begin for at, _ in self.counted_requests)
         return count <= OVERAGE * most * WINDOW_S + SLACK
 
     def _find_first(self):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
@@ -1,3 +1,5 @@
+"""Test which attempts an owner refuses, holds and starts by their latency objectives."""
+
 import unittest
 
 from bendwind_core.admission import note_origin
@@ -32,27 +34,28 @@
         message = HandOver(*parts, insist=insist, route=route, target_ms=target_ms)
         return self.step(ov.HandOverArrived(message, 1))
 
-    def fill(self):
+    def fill_slots(self):
         return [self.hand_over()[0].hand_over.attempt for _ in range(2)]
 
-    def reason(self, effects):
+    def find_reason(self, effects):
         return effects[0].reason if isinstance(effects[0], ov.ReplyNotRun) else None
 
-    def test_what_cannot_be_in_time_is_refused_on_arrival(self):
-        self.fill()
+    def test_attempt_that_cannot_be_in_time_is_refused_on_arrival(self):
+        self.fill_slots()
         refused = self.hand_over(target_ms=150.0, remaining_ms=150.0)
-        self.assertIs(self.reason(refused), NotRunReason.QUEUE_FULL)
+        self.assertIs(self.find_reason(refused), NotRunReason.QUEUE_FULL)
         self.assertEqual(self.hand_over(target_ms=400.0), [])
 
     def test_route_without_an_answer_yet_is_expected_to_take_a_share_of_its_objective(self):
-        # An upstream that had just started took all that came, and answered most of it late.
+        # Without this estimate, an upstream that has just started would accept every attempt and
+        # answer most of them late.
         self.owner_state = owner.create_owner_state("u", 1, 16)
         self.step(ov.UpstreamAnnounced(2, 2, UpstreamState.READY))
-        answers = [self.hand_over("new", 300.0, 300.0) for _ in range(12)]
-        refused = [effects for effects in answers if effects and self.reason(effects)]
+        results = [self.hand_over("new", 300.0, 300.0) for _ in range(12)]
+        refused = [effects for effects in results if effects and self.find_reason(effects)]
         self.assertEqual(len(refused), 7)
 
-    def run_slow(self, factor, upstream_ms, times, report_age=0.0):
+    def run_attempts(self, factor, upstream_ms, times, report_age=0.0):
         for _ in range(times):
             self.step(ov.LoadReported(factor))
             self.now += report_age
@@ -65,38 +68,38 @@
             self.step(ov.DispatchDone(attempt))
 
     def test_usual_time_of_a_route_is_learnt_at_the_usual_pace(self):
-        # Runs that began in a slow phase were taken for usual ones; upstreams then refused for
-        # seconds what they had free slots for.
-        self.run_slow(4.0, 400.0, 20)
+        # If runs that begin in a slow phase counted as usual ones, upstreams would refuse attempts
+        # for seconds although they have free slots.
+        self.run_attempts(4.0, 400.0, 20)
         self.assertAlmostEqual(self.owner_state.route_times["slow"], 100.0, delta=1.0)
 
-    def test_a_phase_that_began_unseen_does_not_stretch_the_usual_time(self):
-        self.run_slow(1.0, 400.0, 2, report_age=1.0)
+    def test_unnoticed_slow_phase_does_not_lengthen_the_usual_time(self):
+        self.run_attempts(1.0, 400.0, 2, report_age=1.0)
         self.assertLess(self.owner_state.route_times["slow"], 110.0)
 
-    def test_a_route_that_takes_longer_than_before_is_followed(self):
-        self.run_slow(1.0, 300.0, 40)
+    def test_usual_time_follows_a_route_that_becomes_slower(self):
+        self.run_attempts(1.0, 300.0, 40)
         self.assertGreater(self.owner_state.route_times["slow"], 250.0)
 
-    def test_most_urgent_starts_first(self):
-        first = self.fill()[0]
+    def test_attempt_that_is_due_first_starts_first(self):
+        first = self.fill_slots()[0]
         self.hand_over(target_ms=900.0)
         self.hand_over("quick", target_ms=300.0)
         started = self.step(ov.DispatchDone(first))
         self.assertEqual(started[0].hand_over.route, "quick")
 
-    def test_late_one_is_taken_where_a_slot_is_free_unless_it_can_go_elsewhere(self):
+    def test_late_attempt_uses_a_free_slot_unless_it_can_go_elsewhere(self):
         self.assertIs(
-            self.reason(self.hand_over(target_ms=50.0, insist=False)), NotRunReason.STALLED
+            self.find_reason(self.hand_over(target_ms=50.0, insist=False)), NotRunReason.STALLED
         )
         self.assertIsInstance(self.hand_over(target_ms=50.0)[0], ov.Dispatch)
 
-    def test_slowed_upstream_is_avoided_until_its_phase_should_be_over(self):
+    def test_slow_upstream_is_avoided_until_its_phase_should_have_ended(self):
         self.step(ov.LoadReported(4.0))
-        polite = {"target_ms": 150.0, "insist": False}
-        self.assertIs(self.reason(self.hand_over(**polite)), NotRunReason.STALLED)
+        reroutable = {"target_ms": 150.0, "insist": False}
+        self.assertIs(self.find_reason(self.hand_over(**reroutable)), NotRunReason.STALLED)
         self.now += DEFAULT_PHASE_LENGTH
-        self.assertEqual(self.hand_over(**polite), [ov.AskLoad()])
+        self.assertEqual(self.hand_over(**reroutable), [ov.AskLoad()])
         started = self.step(ov.LoadReported(1.0))
         self.assertIsInstance(started[0], ov.Dispatch)
 
@@ -110,9 +113,10 @@
         started = self.step(ov.LoadReported(1.0))
         self.assertEqual(started[0].hand_over.route, "slow")
 
-    def test_request_that_waited_goes_elsewhere_when_another_slow_phase_follows(self):
-        # It was held on to its deadline, though another upstream could have answered in time.
-        answers = {}
+    def test_waiting_request_goes_elsewhere_when_another_slow_phase_follows(self):
+        # The request would otherwise be held until its deadline, although another upstream could
+        # answer it in time.
+        results = {}
         for insist in (False, True):
             self.setUp()
             self.step(ov.LoadReported(4.0))
@@ -120,16 +124,16 @@
             self.assertEqual(self.hand_over(target_ms=350.0, insist=insist), [])
             self.now = owner.next_due(self.owner_state, self.now)
             self.step(ov.Tick())
-            answers[insist] = self.step(ov.LoadReported(4.0))
-        self.assertIs(self.reason(answers[False]), NotRunReason.STALLED)
-        self.assertIsInstance(answers[True][0], ov.Dispatch)
+            results[insist] = self.step(ov.LoadReported(4.0))
+        self.assertIs(self.find_reason(results[False]), NotRunReason.STALLED)
+        self.assertIsInstance(results[True][0], ov.Dispatch)
 
-    def test_request_that_may_go_elsewhere_is_taken_with_room_for_scatter(self):
-        for target_ms, is_taken in ((100.0, False), (130.0, True)):
+    def test_request_that_can_go_elsewhere_is_accepted_only_with_a_margin_for_variation(self):
+        for target_ms, is_accepted in ((100.0, False), (130.0, True)):
             effects = self.hand_over(target_ms=target_ms, insist=False)
-            self.assertEqual(isinstance(effects[0], ov.Dispatch), is_taken, target_ms)
+            self.assertEqual(isinstance(effects[0], ov.Dispatch), is_accepted, target_ms)
 
-    def test_request_that_is_in_time_also_when_slowed_starts(self):
+    def test_request_that_is_in_time_even_at_the_slow_pace_starts(self):
         self.step(ov.LoadReported(4.0))
         self.assertIsInstance(self.hand_over(target_ms=500.0)[0], ov.Dispatch)
 
@@ -145,7 +149,7 @@
         self.assertAlmostEqual(self.now, 0.1 + 0.22)
         self.assertIsInstance(self.step(ov.Tick())[0], ov.Dispatch)
 
-    def test_phase_that_goes_on_is_taken_for_another(self):
+    def test_phase_that_exceeds_its_expected_length_counts_as_another(self):
         self.step(ov.LoadReported(4.0))
         self.now += 0.1
         self.hand_over(target_ms=350.0)
@@ -155,7 +159,7 @@
         self.assertEqual(self.step(ov.LoadReported(4.0)), [])
         self.assertAlmostEqual(self.owner_state.pace.phase_began_at, DEFAULT_PHASE_LENGTH)
 
-    def test_request_starts_blindly_where_the_upstream_does_not_tell_its_load(self):
+    def test_request_starts_without_a_report_if_the_upstream_does_not_report_its_load(self):
         self.step(ov.LoadReported(1.0))
         self.now += 1.0
         self.assertEqual(self.hand_over(), [ov.AskLoad()])
@@ -164,7 +168,7 @@
         self.now += 1.0
         self.assertIsInstance(self.hand_over()[0], ov.Dispatch)
 
-    def test_question_that_was_answered_once_is_asked_again(self):
+    def test_load_is_queried_again_after_an_answered_query(self):
         self.step(ov.LoadReported(1.0))
         self.now += 1.0
         self.hand_over()
@@ -172,60 +176,60 @@
         self.now += 1.0
         self.assertEqual(self.hand_over(), [ov.AskLoad()])
 
-    def test_request_starts_when_a_question_stays_unanswered(self):
+    def test_request_starts_when_a_load_query_stays_unanswered(self):
         self.step(ov.LoadReported(1.0))
         self.now += 1.0
         self.hand_over()
         self.now = owner.next_due(self.owner_state, self.now)
         self.assertIsInstance(self.step(ov.Tick())[0], ov.Dispatch)
 
-    def tell_origins(self):
-        """Show the owner that `quick` is a call of one service's upstreams, unlike `slow`."""
+    def record_origins(self):
+        """Record origins by which `quick` is an inner call of one service, unlike `slow`."""
         for number in range(2 * MOST_SEEN):
             note_origin(self.owner_state.origins, "quick", "till")
             note_origin(self.owner_state.origins, "slow", ("till", "ledger", "portal")[number % 3])
 
-    def test_call_of_an_upstream_may_wait_to_its_deadline(self):
-        # Refused at its objective, it made the run that waited for it fail.
-        self.fill()
-        self.tell_origins()
+    def test_inner_call_may_wait_until_its_deadline(self):
+        # If it were refused at its objective, the run that waits for it would fail.
+        self.fill_slots()
+        self.record_origins()
         for insist in (False, True):
             waiting = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, insist=insist)
             self.assertEqual(waiting, [])
 
     def test_short_request_of_a_caller_may_not_wait_beyond_its_objective(self):
-        # A caller's request was held to its deadline and then refused.
-        self.fill()
+        # The request would otherwise be held until its deadline and then be refused.
+        self.fill_slots()
         refused = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0)
-        self.assertIs(self.reason(refused), NotRunReason.QUEUE_FULL)
+        self.assertIs(self.find_reason(refused), NotRunReason.QUEUE_FULL)
 
-    def test_call_of_an_upstream_goes_elsewhere_while_this_one_is_slowed(self):
-        self.fill()
-        self.tell_origins()
+    def test_inner_call_goes_elsewhere_while_the_upstream_is_slow(self):
+        self.fill_slots()
+        self.record_origins()
         self.step(ov.LoadReported(4.0))
         refused = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, insist=False)
-        self.assertIs(self.reason(refused), NotRunReason.QUEUE_FULL)
+        self.assertIs(self.find_reason(refused), NotRunReason.QUEUE_FULL)
 
-    def test_request_of_a_caller_that_came_back_late_takes_a_free_slot_and_waits_for_none(self):
+    def test_late_caller_retry_uses_a_free_slot_but_does_not_wait_for_one(self):
         self.assertIsInstance(self.hand_over(target_ms=0.0, insist=False)[0], ov.Dispatch)
         self.hand_over()
         refused = self.hand_over(target_ms=0.0)
-        self.assertIs(self.reason(refused), NotRunReason.QUEUE_FULL)
+        self.assertIs(self.find_reason(refused), NotRunReason.QUEUE_FULL)
 
-    def test_long_requests_wait_beside_many_short_ones_that_came_later(self):
-        # A queue of a fixed length dropped them for each short one that came.
-        self.fill()
+    def test_long_requests_stay_queued_beside_many_later_short_ones(self):
+        # A queue of a fixed length displaced a long request for each short one that arrived.
+        self.fill_slots()
         self.assertEqual(self.hand_over(target_ms=900.0), [])
         for _ in range(20):
             self.hand_over("quick", target_ms=800.0)
         self.assertEqual(len(self.owner_state.waiting), 21)
 
-    def test_what_got_no_slot_in_time_is_given_back_before_its_deadline(self):
-        self.fill()
+    def test_attempt_without_a_slot_in_time_is_refused_before_its_deadline(self):
+        self.fill_slots()
         self.assertEqual(self.hand_over(target_ms=400.0, remaining_ms=2000.0), [])
         self.now = owner.next_due(self.owner_state, self.now)
         self.assertAlmostEqual(self.now, 0.3)
-        self.assertIs(self.reason(self.step(ov.Tick())), NotRunReason.QUEUE_FULL)
+        self.assertIs(self.find_reason(self.step(ov.Tick())), NotRunReason.QUEUE_FULL)
 
     def test_share_of_the_slots_stays_unused(self):
         owner_state = owner.create_owner_state("u", 1, 16, slot_share=0.8)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_dependency_full.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_dependency_full.py
@@ -1,4 +1,4 @@
-"""Test that an owner turns requests away whose runs would fail for want of room elsewhere."""
+"""Test that an owner refuses requests whose runs would fail since a called service is full."""
 
 import unittest
 
@@ -36,7 +36,7 @@
         self.sequence = 0
 
     def run_one(self, now, status, *, is_call_refused):
-        """Hand one request over and return why it was refused, None if it ran."""
+        """Hand over one request and return why it was refused, or None if it ran."""
         self.sequence += 1
         hand_over = make_hand_over(self.sequence)
         effects = step(self.owner_state, ev.HandOverArrived(hand_over, 1), now)
@@ -56,15 +56,15 @@
             reasons.append(self.run_one(now, status, is_call_refused=is_call_refused))
         return reasons
 
-    def test_requests_are_turned_away_once_runs_fail_for_a_refused_call(self):
+    def test_requests_are_refused_after_runs_fail_because_of_refused_calls(self):
         reasons = self.run_many(500, is_call_refused=True)
         self.assertGreater(reasons.count(NotRunReason.DEPENDENCY_FULL), 40)
         self.assertLess(reasons.count(NotRunReason.DEPENDENCY_FULL), 110)
 
-    def test_errors_without_a_refused_call_turn_nothing_away(self):
+    def test_errors_without_refused_calls_cause_no_refusals(self):
         self.assertEqual(set(self.run_many(500, is_call_refused=False)), {None})
 
-    def test_refused_calls_of_runs_that_succeed_turn_nothing_away(self):
+    def test_refused_calls_of_successful_runs_cause_no_refusals(self):
         self.assertEqual(set(self.run_many(200, is_call_refused=True)), {None})
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_precedence.py
@@ -1,4 +1,4 @@
-"""Check that an owner never runs too much, leaves no slot idle, and keeps the order of ranks."""
+"""Check that an owner respects slot limits, leaves no slot idle and keeps the order of ranks."""
 
 import unittest
 
@@ -18,28 +18,29 @@
 
 RUN_MS = 500.0
 SLOTS = 3
-USED = 2
-QUEUE = 4
-# Ranks that the machine hands over; what is kept for them is lent within some half times.
+USED_SLOTS = 2
+QUEUE_CAPACITY = 4
+# Ranks of the attempts that the machine hands over; a slot that is reserved for them is released
+# within a few half-lives.
 RANKS = (0, 1, 2)
-LONGEST_KEPT = 6 * ARRIVAL_HALF_TIME
+MAX_RESERVATION = 6 * ARRIVAL_HALF_TIME
 
 
-class Room(RuleBasedStateMachine):
-    """Hand over requests of ranks and customers, and calls of upstreams, in runs of 0.5 s."""
+class PrecedenceMachine(RuleBasedStateMachine):
+    """Hand over requests of several ranks and customers, and inner calls, with runs of 0.5 s."""
 
     def __init__(self):
         super().__init__()
         self.now = 0.0
         self.sequence = 0
         self.running = []
-        self.settled = set()
+        self.decided = set()
         self.waiting = {}
 
     @initialize()
     def create(self):
         self.owner_state = owner.create_owner_state(
-            "u", 1, QUEUE, timed_queue=QUEUE, slot_share=0.8
+            "u", 1, QUEUE_CAPACITY, timed_queue=QUEUE_CAPACITY, slot_share=0.8
         )
         self.step(ov.UpstreamAnnounced(SLOTS, 9, UpstreamState.READY))
         for number in range(MOST_SEEN - 1):
@@ -50,15 +51,15 @@
         for effect in owner.step(self.owner_state, event, self.now):
             match effect:
                 case ov.Dispatch(hand_over=hand_over):
-                    self.settle(hand_over.attempt)
+                    self.record_decision(hand_over.attempt)
                     self.running.append(hand_over.attempt)
                 case ov.ReplyNotRun(attempt=attempt, reason=reason):
                     assert attempt not in self.running or reason is NotRunReason.SHED
-                    self.settle(attempt)
+                    self.record_decision(attempt)
 
-    def settle(self, attempt):
-        assert attempt not in self.settled, "started or refused twice"
-        self.settled.add(attempt)
+    def record_decision(self, attempt):
+        assert attempt not in self.decided, "started or refused twice"
+        self.decided.add(attempt)
         self.waiting.pop(attempt, None)
 
     @rule(
@@ -87,47 +88,56 @@
         )
         self.waiting[attempt] = message
         self.step(ov.HandOverArrived(message, 1))
-        # A question after the pace is the moment that starting takes.
-        is_asked = not is_report_current(self.owner_state.pace, self.now)
-        assert may_wait or is_asked or attempt not in self.waiting, "waits though it may not"
+        # An attempt that may not wait is still held for the moment of a load query; this counts as
+        # part of its start.
+        is_query_pending = not is_report_current(self.owner_state.pace, self.now)
+        assert (
+            may_wait or is_query_pending or attempt not in self.waiting
+        ), "an attempt waits although it may not"
 
     @rule(count=st.sampled_from([10, 20]))
-    def rush(self, count):
-        """Have so many of the most urgent come that what starts at once does, and no other."""
+    def hand_over_burst(self, count):
+        """Hand over many of the most urgent attempts; only those start that can do so at once."""
         for _ in range(count):
             self.hand_over(0, "", 4000.0, "check", None, False, True)
 
     @rule(factor=st.sampled_from([1.0, 1.0, 4.0]))
-    def hear_load(self, factor):
+    def report_load(self, factor):
         self.step(ov.LoadReported(factor))
 
     @precondition(lambda self: self.running)
     @rule(pick=st.integers(0, 3), is_lost=st.sampled_from([False, False, False, True]))
-    def end(self, pick, is_lost):
+    def end_run(self, pick, is_lost):
         attempt = self.running.pop(pick % len(self.running))
-        before = self.find_next()
+        expected = self.find_next_start()
         if is_lost:
             self.step(ov.DispatchUnknown(attempt, CutReason.UPSTREAM_TIMEOUT))
         else:
             self.step(ov.DispatchHead(attempt, 200, RUN_MS))
             self.step(ov.DispatchDone(attempt))
-        assert before is None or before not in self.waiting, "the next in turn was passed over"
-
-    def find_next(self):
-        """Return what has to start once a run ends: the most urgent, if a slot will be free."""
-        if self.is_held or len(self.running) != USED - 1 or len(self.owner_state.running) != USED:
+        assert (
+            expected is None or expected not in self.waiting
+        ), "the next attempt in order was skipped"
+
+    def find_next_start(self):
+        """Return what must start after a run ends: the most urgent attempt, if a slot is free."""
+        if (
+            self.is_held
+            or len(self.running) != USED_SLOTS - 1
+            or len(self.owner_state.running) != USED_SLOTS
+        ):
             return None
         ranks = {attempt: queued.rank for attempt, queued in self.owner_state.waiting.items()}
         most_urgent = [attempt for attempt, rank in ranks.items() if rank == min(ranks.values())]
         if len(most_urgent) != 1:
             return None
         queued = self.owner_state.waiting[most_urgent[0]]
-        is_kept = self.now < find_slot_reserved_until(self.owner_state, queued)
-        return None if is_kept else most_urgent[0]
+        is_reserved = self.now < find_slot_reserved_until(self.owner_state, queued)
+        return None if is_reserved else most_urgent[0]
 
     @property
     def is_held(self):
-        """Tell whether what waits may do so for the upstream's pace."""
+        """Return whether attempts may wait because of the upstream's pace."""
         return is_slow(self.owner_state.pace, self.now) or not is_report_current(
             self.owner_state.pace, self.now
         )
@@ -142,46 +152,48 @@
     def advance(self, dt):
         until = self.now + dt
         while (due := owner.next_due(self.owner_state, self.now)) is not None and due <= until:
-            assert due > self.now or due == self.now, "looks back"
+            assert due > self.now or due == self.now, "a check is due in the past"
             self.now = max(self.now, due)
             self.step(ov.Tick())
-            again = owner.next_due(self.owner_state, self.now)
-            assert again is None or again > self.now, "would look again at once, for ever"
+            next_due = owner.next_due(self.owner_state, self.now)
+            assert (
+                next_due is None or next_due > self.now
+            ), "the next check is due at once, for ever"
         self.now = until
 
     @invariant()
-    def room_is_used_and_not_exceeded(self):
+    def capacity_is_used_and_not_exceeded(self):
         if not hasattr(self, "owner_state"):
             return
         owner_state = self.owner_state
         requests = [run for run in owner_state.running.values() if run.hand_over.route != "call"]
-        assert len(owner_state.running) <= SLOTS, "more than the upstream bears"
-        assert len(requests) <= USED, "a request took a slot that only calls may use"
+        assert len(owner_state.running) <= SLOTS, "more attempts run than the upstream has slots"
+        assert len(requests) <= USED_SLOTS, "a request uses a slot that only inner calls may use"
         assert set(owner_state.waiting) == set(self.waiting)
-        assert len(owner_state.waiting) <= QUEUE
+        assert len(owner_state.waiting) <= QUEUE_CAPACITY
         due = owner.next_due(owner_state, self.now)
         for queued in owner_state.waiting.values():
             slots = find_slot_limit(owner_state, queued, self.now)
             if self.is_held and len(owner_state.running) < slots:
                 assert (
                     due <= self.now + DEFAULT_PHASE_LENGTH or owner_state.pace.phase_lengths
-                ), "held for ever"
+                ), "an attempt is held for ever"
                 continue
-            kept_until = find_slot_reserved_until(owner_state, queued)
-            if len(owner_state.running) < USED and kept_until > self.now:
-                assert due <= kept_until, "a slot that is kept will not be lent in time"
-            is_kept = self.now < find_slot_reserved_until(owner_state, queued)
-            is_full = len(owner_state.running) >= USED
-            assert is_full or is_kept, "a slot is idle while something waits that may run"
-            assert find_slot_reserved_until(owner_state, queued) <= self.now + LONGEST_KEPT
+            reserved_until = find_slot_reserved_until(owner_state, queued)
+            if len(owner_state.running) < USED_SLOTS and reserved_until > self.now:
+                assert due <= reserved_until, "a reserved slot is not released in time"
+            is_reserved = self.now < find_slot_reserved_until(owner_state, queued)
+            is_full = len(owner_state.running) >= USED_SLOTS
+            assert is_full or is_reserved, "a slot is idle while an attempt waits that may run"
+            assert find_slot_reserved_until(owner_state, queued) <= self.now + MAX_RESERVATION
             if queued.is_inner and len(owner_state.running) < SLOTS:
                 held = (*owner_state.running.values(), *owner_state.waiting.values())
                 has_more_urgent = any(one.own_rank < queued.own_rank for one in held)
-                assert has_more_urgent, "a call waits beside an idle slot"
+                assert has_more_urgent, "an inner call waits while a slot is idle"
 
 
-TestRoom = Room.TestCase
-TestRoom.settings = settings(max_examples=max(300, settings().max_examples))
+TestPrecedence = PrecedenceMachine.TestCase
+TestPrecedence.settings = settings(max_examples=max(300, settings().max_examples))
 
 if __name__ == "__main__":
     unittest.main()
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_limit.py
@@ -1,3 +1,5 @@
+"""Test that an owner keeps the rate limit that its upstream names."""
+
 import unittest
 
 from bendwind_core.attempts import AttemptId, HandOver, NotRunReason, owner
@@ -5,8 +7,8 @@
 from bendwind_core.world import Repeat, UpstreamState
 
 
-class LimitedUpstreamTest(unittest.TestCase):
-    """Drive one owner whose upstream has twelve slots, works for 120 ms and names a limit."""
+class UpstreamLimitTest(unittest.TestCase):
+    """Drive one owner whose upstream has twelve slots, takes 120 ms a request and names a limit."""
 
     def setUp(self):
         self.now = 100.0
@@ -32,11 +34,11 @@
         message = HandOver(*parts, route="r", target_ms=target_ms, rank=rank, **more)
         return self.step(ov.HandOverArrived(message, 1))
 
-    def name(self, per_second):
+    def name_limit(self, per_second):
         self.step(ov.LimitNamed(per_second, self.now))
 
     def run_for(self, span_s, offered_per_s, **more):
-        """Offer requests evenly, answer what runs, and return the ranks of what was started."""
+        """Offer requests evenly, answer those that run, and return the ones that were served."""
         served = []
         for number in range(round(span_s * 1000)):
             self.now += 0.001
@@ -56,66 +58,66 @@
     def list_refusals(self):
         return [one for one in self.effects if isinstance(one, ov.ReplyNotRun)]
 
-    def test_close_to_all_that_the_limit_allows_is_served(self):
-        self.name(6.2)
+    def test_nearly_all_requests_that_the_limit_allows_are_served(self):
+        self.name_limit(6.2)
         served = self.run_for(20.0, 21)
         self.assertGreaterEqual(len(served), 0.95 * 6.2 * 20.0)
         self.assertLessEqual(len(served), 6.2 * 20.0 + 2)
 
-    def test_what_is_urgent_goes_first(self):
-        self.name(6.2)
+    def test_urgent_requests_start_first(self):
+        self.name_limit(6.2)
         served = self.run_for(20.0, 21)
         urgent = sum(hand_over.rank == 0.0 for hand_over in served)
         self.assertGreater(urgent, 0.65 * len(served))
 
-    def test_the_rest_is_refused_at_once_and_told_when_to_come_back(self):
-        self.name(6.2)
+    def test_other_requests_are_refused_immediately_with_a_time_to_retry(self):
+        self.name_limit(6.2)
         self.run_for(5.0, 42)
         refusals = [one for one in self.list_refusals() if one.reason is NotRunReason.LIMITED]
         self.assertGreater(len(refusals), 100)
-        at_once = [one for one in refusals if not one.waited]
-        self.assertGreater(len(at_once), 0.5 * len(refusals))
-        self.assertTrue(all(one.wait_ms > 0.0 for one in at_once))
+        immediate = [one for one in refusals if not one.waited]
+        self.assertGreater(len(immediate), 0.5 * len(refusals))
+        self.assertTrue(all(one.wait_ms > 0.0 for one in immediate))
 
-    def test_fall_gives_back_what_gets_no_turn_in_time(self):
-        self.name(60.0)
+    def test_lowered_limit_refuses_waiting_attempts_that_it_delays_too_long(self):
+        self.name_limit(60.0)
         for _ in range(30):
             self.hand_over(target_ms=900.0, remaining_ms=2000.0)
         self.assertGreater(len(self.owner_state.waiting), 20)
         self.effects.clear()
-        self.name(6.0)
+        self.name_limit(6.0)
         refused = [one.reason for one in self.list_refusals()]
         self.assertGreater(len(refused), 10)
         self.assertEqual(set(refused), {NotRunReason.LIMITED})
 
-    def test_request_without_an_objective_that_gets_no_turn_is_not_kept_waiting(self):
-        self.name(0.5)
+    def test_request_without_an_objective_is_refused_if_the_limit_delays_it_too_long(self):
+        self.name_limit(0.5)
         self.hand_over(target_ms=None)
         self.assertIs(self.list_refusals()[-1].reason, NotRunReason.LIMITED)
 
-    def test_owner_that_starts_goes_by_what_the_hand_over_says(self):
+    def test_new_owner_applies_the_limit_that_a_hand_over_carries(self):
         for _ in range(6):
             self.hand_over(limit_per_s=0.5)
         self.assertLessEqual(len(self.running), 1)
-        self.assertIn(0.5, [one.per_second for one in self.effects if is_change(one)])
+        self.assertIn(0.5, [one.per_second for one in self.effects if is_limit_change(one)])
 
     def test_request_that_is_sent_again_counts_twice(self):
-        self.name(2.0)
+        self.name_limit(2.0)
         self.now += 1.0
         self.hand_over()
         self.step(ov.DispatchSent(self.running[0][1].attempt))
         self.hand_over()
         self.assertEqual(len(self.running), 1)
 
-    def test_no_question_is_asked_of_an_upstream_at_its_limit(self):
+    def test_load_of_a_limited_upstream_is_not_queried(self):
         self.step(ov.LoadReported(4.0))
-        self.name(6.2)
+        self.name_limit(6.2)
         self.effects.clear()
         self.run_for(3.0, 21)
         self.assertFalse([one for one in self.effects if isinstance(one, ov.AskLoad)])
 
-    def test_upstream_that_says_it_leaves_gets_nothing_whatever_it_announces(self):
-        self.name(0.5)
+    def test_leaving_upstream_gets_no_attempts_whatever_it_announces(self):
+        self.name_limit(0.5)
         self.hand_over(target_ms=9000.0, remaining_ms=9500.0)
         self.effects.clear()
         self.step(ov.LeavingSaid())
@@ -128,7 +130,7 @@
         self.assertEqual(len(self.running), 1)
 
 
-def is_change(effect):
+def is_limit_change(effect):
     return isinstance(effect, ov.LimitChanged)
 
 
