--- a/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
@@ -14,12 +14,12 @@
 from bendwind_core.attempts.owner_state import OwnerState
 from bendwind_core.attempts.refusals import refuse
 from bendwind_core.attempts.running_attempts import end_attempt, mark_sent
-from bendwind_core.attempts.service_time import note_result, note_time
+from bendwind_core.attempts.service_time import record_result, record_time
 from bendwind_core.attempts.slots import load_sample
 from bendwind_core.attempts.suspects import record_upstream_end
 from bendwind_core.attempts.upstream_end import record_reset, record_sign_of_life, record_unanswered
 from bendwind_core.attempts.upstream_lifecycle import mark_unreachable
-from bendwind_core.attempts.usual_times import note_route_time
+from bendwind_core.attempts.usual_times import record_route_time
 from bendwind_core.core import Seconds
 
 _FAILED_STATUS = 500
@@ -36,7 +36,7 @@
     # Only an answer to a request ends a series of resets: health checks may succeed while the
     # upstream resets every request.
     owner_state.end_detector.consecutive_resets = 0
-    note_time(owner_state.service_times, event.upstream_ms)
+    record_time(owner_state.service_times, event.upstream_ms)
     running = owner_state.running.get(event.attempt)
     if running is None:
         return
@@ -52,7 +52,7 @@
         is_error=is_error,
     )
     if not is_error:
-        note_route_time(owner_state, running, event.upstream_ms)
+        record_route_time(owner_state, running, event.upstream_ms)
 
 
 def handle_dispatch_not_run(
@@ -63,7 +63,7 @@
         mark_sent(owner_state, event.attempt, now)
     running = end_attempt(owner_state, event.attempt, ExecutionState.NEVER_STARTED)
     if running is not None:
-        note_result(owner_state.service_times, is_error=True)
+        record_result(owner_state.service_times, is_error=True)
         if event.reason is NotRunReason.CONNECT_FAILED:
             mark_unreachable(owner_state, now, effects)
             if not event.is_timed_out:
@@ -80,7 +80,7 @@
     if running is None:
         return
     if event.reason is not CutReason.CANCELLED:
-        note_result(owner_state.service_times, is_error=True)
+        record_result(owner_state.service_times, is_error=True)
     if not running.is_upstream_ended:
         record_unanswered(owner_state.end_detector, running.hand_over, event.reason, now)
     is_reset = event.reason is CutReason.UPSTREAM_RESET
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -16,10 +16,10 @@
     note_told,
 )
 from bendwind_core.attempts.admission import (
-    ask_if_held,
-    is_stalled_again,
-    next_look,
-    take_startable,
+    is_delayed_by_next_slow_phase,
+    next_recheck,
+    pop_startable,
+    query_load_if_held,
 )
 from bendwind_core.attempts.attempt_log import ExecutionState
 from bendwind_core.attempts.dispatch_results import (
@@ -35,7 +35,6 @@
     handle_link_opened,
 )
 from bendwind_core.attempts.hand_overs import find_early_refusal, handle_hand_over
-from bendwind_core.attempts.limits import name_reason, take_change
 from bendwind_core.attempts.messages import NotRunReason
 from bendwind_core.attempts.owner_events import (
     CancelArrived,
@@ -76,14 +75,14 @@
     create_owner_state,
     is_accepting,
 )
-from bendwind_core.attempts.pace import is_slow, note_report
-from bendwind_core.attempts.precedence import find_slots
+from bendwind_core.attempts.pace import is_slow, record_report
+from bendwind_core.attempts.precedence import find_slot_limit
 from bendwind_core.attempts.refusals import (
-    bounce_queue,
-    drop_waiting,
-    find_end,
+    find_expiry,
     next_expiry,
-    take_off_queue,
+    refuse_all_waiting,
+    refuse_waiting,
+    remove_from_queue,
 )
 from bendwind_core.attempts.running_attempts import (
     end_attempt,
@@ -91,8 +90,8 @@
     record_resend,
     start_attempt,
 )
-from bendwind_core.attempts.service_time import note_result
-from bendwind_core.attempts.slots import has_room, load_sample, next_room
+from bendwind_core.attempts.service_time import record_result
+from bendwind_core.attempts.slots import has_capacity, load_sample, next_permitted_send
 from bendwind_core.attempts.suspects import is_now_quarantined, record_success
 from bendwind_core.attempts.upstream_end import record_sign_of_life
 from bendwind_core.attempts.upstream_lifecycle import (
@@ -103,6 +102,7 @@
     handle_upstream_lost,
     handle_upstream_restart,
 )
+from bendwind_core.attempts.upstream_limit import apply_limit_change, resolve_refusal_reason
 from bendwind_core.core import Seconds
 from bendwind_core.limits import fair_queue
 
@@ -118,7 +118,11 @@
 
 def next_due(owner_state: OwnerState, now: Seconds) -> Seconds | None:
     """Return when the next Tick is due, or None if no Tick is needed."""
-    due_times = next_expiry(owner_state), next_look(owner_state, now), next_room(owner_state, now)
+    due_times = (
+        next_expiry(owner_state),
+        next_recheck(owner_state, now),
+        next_permitted_send(owner_state, now),
+    )
     return min((due for due in due_times if due is not None), default=None)
 
 
@@ -134,7 +138,7 @@
         case DispatchHead():
             mark_sent(owner_state, event.attempt, now)
             handle_answer_head(owner_state, event, now)
-            note_result(owner_state.service_times, is_error=is_failure(event.status))
+            record_result(owner_state.service_times, is_error=is_failure(event.status))
         case DispatchDone():
             owner_state.last_progress_at = now
             running = end_attempt(owner_state, event.attempt, ExecutionState.ENDED)
@@ -143,16 +147,16 @@
         case UpstreamCallRefused():
             note_call_refused(owner_state.dependency_overload, now)
         case LoadReported(slow_factor=slow_factor):
-            note_report(owner_state.pace, slow_factor, now)
+            record_report(owner_state.pace, slow_factor, now)
             record_sign_of_life(owner_state.end_detector, now)
         case LoadNotReported(has_load_endpoint=has_load_endpoint):
             owner_state.has_load_endpoint = has_load_endpoint
         case RateLimitReported(per_second=per_second, sent_at=sent_at):
             change = note_named(owner_state.rate_limit, per_second, sent_at, now)
-            take_change(owner_state, change, now, effects)
+            apply_limit_change(owner_state, change, now, effects)
         case RateLimitNotReported(sent_at=sent_at):
             change = note_not_named(owner_state.rate_limit, sent_at, now)
-            take_change(owner_state, change, now, effects)
+            apply_limit_change(owner_state, change, now, effects)
         case LeavingReported():
             handle_leaving(owner_state, now, effects)
         case UpstreamQueried():
@@ -172,7 +176,7 @@
         case UpstreamRestarted():
             handle_upstream_restart(owner_state, now, effects)
         case QueueWithdrawn():
-            bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
+            refuse_all_waiting(owner_state, NotRunReason.DRAINING, now, effects)
         case DispatchNotRun():
             handle_dispatch_not_run(owner_state, event, now, effects)
         case DispatchUnknown():
@@ -195,12 +199,12 @@
             pass
     _expire_queue(owner_state, now, effects)
     _refuse_matching(owner_state, _cannot_start_immediately, NotRunReason.BUSY, now, effects)
-    _refuse_matching(owner_state, is_stalled_again, NotRunReason.STALLED, now, effects)
+    _refuse_matching(owner_state, is_delayed_by_next_slow_phase, NotRunReason.STALLED, now, effects)
     _dispatch_waiting(owner_state, now, effects)
     _refuse_matching(owner_state, _is_past_refusal_time, NotRunReason.QUEUE_FULL, now, effects)
     # A refused attempt may have kept an inner call from a slot above the share that is used.
     _dispatch_waiting(owner_state, now, effects)
-    ask_if_held(owner_state, now, effects)
+    query_load_if_held(owner_state, now, effects)
     _report_drained(owner_state, effects)
     return effects
 
@@ -211,8 +215,8 @@
     attempt = event.attempt
     queued = owner_state.waiting.get(attempt)
     if queued is not None:
-        take_off_queue(owner_state, queued)
-        drop_waiting(owner_state, queued, NotRunReason.CANCELLED, now, effects)
+        remove_from_queue(owner_state, queued)
+        refuse_waiting(owner_state, queued, NotRunReason.CANCELLED, now, effects)
         return
     cancel_running(owner_state, attempt, effects)
 
@@ -221,25 +225,25 @@
     if not owner_state.waiting:
         return
     if owner_state.refuse_queue_at is not None and now >= owner_state.refuse_queue_at:
-        bounce_queue(owner_state, NotRunReason.DRAINING, now, effects)
+        refuse_all_waiting(owner_state, NotRunReason.DRAINING, now, effects)
         return
     for queued in list(owner_state.waiting.values()):
         if now >= queued.expires_at:
-            take_off_queue(owner_state, queued)
-            drop_waiting(owner_state, queued, NotRunReason.DEADLINE, now, effects)
+            remove_from_queue(owner_state, queued)
+            refuse_waiting(owner_state, queued, NotRunReason.DEADLINE, now, effects)
 
 
 def _cannot_start_immediately(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
     """Return whether an attempt that may not wait cannot start, by the newest reports."""
     if queued.hand_over.may_wait:
         return False
-    return is_slow(owner_state.pace, now) or not has_room(
-        owner_state, now, find_slots(owner_state, queued, now)
+    return is_slow(owner_state.pace, now) or not has_capacity(
+        owner_state, now, find_slot_limit(owner_state, queued, now)
     )
 
 
 def _is_past_refusal_time(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> bool:
-    return now >= find_end(queued)
+    return now >= find_expiry(queued)
 
 
 def _refuse_matching(
@@ -252,24 +256,24 @@
     """Refuse attempts that would be late here while another upstream can still be tried."""
     for queued in list(owner_state.waiting.values()):
         if should_refuse(owner_state, queued, now):
-            take_off_queue(owner_state, queued)
-            reported_reason = name_reason(owner_state, reason, now)
-            drop_waiting(owner_state, queued, reported_reason, now, effects)
+            remove_from_queue(owner_state, queued)
+            reported_reason = resolve_refusal_reason(owner_state, reason, now)
+            refuse_waiting(owner_state, queued, reported_reason, now, effects)
 
 
 def _dispatch_waiting(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
     while (queued := _pop_next(owner_state, now)) is not None:
         if is_now_quarantined(owner_state, queued, now):
             # Other upstreams ended while they ran this request, after it had been queued here.
-            drop_waiting(owner_state, queued, NotRunReason.QUARANTINED, now, effects)
+            refuse_waiting(owner_state, queued, NotRunReason.QUARANTINED, now, effects)
             continue
         del owner_state.waiting[queued.hand_over.attempt]
         start_attempt(owner_state, queued, now, effects)
 
 
 def _pop_next(owner_state: OwnerState, now: Seconds) -> QueuedAttempt | None:
-    queued = take_startable(owner_state, now) if len(owner_state.timed_queue) else None
-    if queued is None and has_room(owner_state, now):
+    queued = pop_startable(owner_state, now) if len(owner_state.timed_queue) else None
+    if queued is None and has_capacity(owner_state, now):
         return fair_queue.pop(owner_state.queue)
     return queued
 
