--- a/packages/bendwind-bench/src/bendwind_bench/slopes_quotas.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_quotas.py
@@ -14,29 +14,29 @@
 from bendwind_core.core import Record
 from bendwind_core.quotas import (
     NodeQuotas,
-    QuotaAsk,
-    QuotaBack,
     QuotaBounds,
+    QuotaDemand,
     QuotaGrant,
     QuotaLoan,
-    QuotaPull,
+    QuotaLoanRequest,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     QuotaUnused,
-    QuotaWant,
     VoterQuotas,
     create_node_quotas,
     create_voter_quotas,
-    flush_asks,
-    hear_ask,
-    hear_loan,
-    hear_pull,
-    hear_reply,
-    note_configuration,
-    note_confirmed,
-    note_voters,
+    flush_quota_requests,
+    handle_quota_loan,
+    handle_quota_loan_request,
+    handle_quota_reply,
+    handle_quota_request,
+    record_confirmation,
     request_token,
     return_token,
     tick_node,
+    update_configuration,
+    update_voters,
 )
 from bendwind_core.world import Configuration, Customer
 
@@ -58,12 +58,12 @@
 def make_voter(name: str, customers: int, burst: float = AMPLE) -> VoterQuotas:
     """Make one of two voters; each customer is new, so that its bucket is full."""
     quotas = create_voter_quotas(name, RUN, BOUNDS, 2, FOREVER)
-    note_voters(quotas, 1, ("v2",) if name == "v1" else ("v1",), 0.0)
-    note_confirmed(quotas, 0.0)
+    update_voters(quotas, 1, ("v2",) if name == "v1" else ("v1",), 0.0)
+    record_confirmation(quotas, 0.0)
     listed = tuple(
         Customer(name_customer(number), rate_per_s=1.0, burst=burst) for number in range(customers)
     )
-    note_configuration(quotas, Configuration(1, customers=listed), 0.0)
+    update_configuration(quotas, Configuration(1, customers=listed), 0.0)
     return quotas
 
 
@@ -72,12 +72,12 @@
     points = []
     for size in WANTS:
         voter = make_voter("v1", size)
-        wants = tuple(QuotaWant(name_customer(number), 1, 2) for number in range(size))
-        data = encode(QuotaAsk(RUN << 20, wants))
+        wants = tuple(QuotaDemand(name_customer(number), 1, 2) for number in range(size))
+        data = encode(QuotaRequest(RUN << 20, wants))
 
         def work(voter=voter, data=data) -> int:
             for _ in range(ROUNDS):
-                for effect in hear_ask(voter, "n1", decode(data), 0.0):
+                for effect in handle_quota_request(voter, "n1", decode(data), 0.0):
                     encode(effect.message)
             return ROUNDS
 
@@ -92,15 +92,15 @@
     """
     lender = make_voter("v2", 1)
     name = name_customer(0)
-    ask = encode(QuotaAsk(RUN << 20, (QuotaWant(name, 1),)))
+    ask = encode(QuotaRequest(RUN << 20, (QuotaDemand(name, 1),)))
 
     def work() -> int:
         borrower = make_voter("v1", 1, burst=0.0)
         borrower.accounts[name].bucket.level = 0.0
         for _ in range(ROUNDS):
-            (pull,) = hear_ask(borrower, "n1", decode(ask), 0.0)
-            (loan,) = hear_pull(lender, "v1", decode(encode(pull.message)), 0.0)
-            for effect in hear_loan(borrower, "v2", decode(encode(loan.message)), 0.0):
+            (pull,) = handle_quota_request(borrower, "n1", decode(ask), 0.0)
+            (loan,) = handle_quota_loan_request(lender, "v1", decode(encode(pull.message)), 0.0)
+            for effect in handle_quota_loan(borrower, "v2", decode(encode(loan.message)), 0.0):
                 encode(effect.message)
             borrower.accounts[name].borrowed.clear()
         return ROUNDS
@@ -123,10 +123,10 @@
             # A request a second asks for nothing ahead.
             now += 1.0
             request_token(node, name, now + 0.25, now)
-            (effect,) = flush_asks(node, ("v1",), now)
+            (effect,) = flush_quota_requests(node, ("v1",), now)
             encode(effect.message)
             reply = QuotaReply(effect.message.number, RUN, (QuotaGrant(name, 1, 1),))
-            hear_reply(node, "v1", decode(encode(reply)), now)
+            handle_quota_reply(node, "v1", decode(encode(reply)), now)
             node.settled.clear()
         return ROUNDS
 
@@ -142,8 +142,8 @@
         stock_node(node, name, 0.0, ROUNDS)
         for _ in range(ROUNDS):
             assert request_token(node, name, 0.25, 0.0).is_ok()
-        node.stocks.clear()
-        node.wanting.clear()
+        node.accounts.clear()
+        node.to_request.clear()
         return ROUNDS
 
     return time_median(work)
@@ -152,10 +152,10 @@
 def stock_node(node: NodeQuotas, name: str, now: float, tokens: int) -> None:
     """Have a node hold so many tokens of a customer."""
     request_token(node, name, now + 0.25, now)
-    node.ask_from = now
-    (effect,) = flush_asks(node, ("v1",), now)
+    node.next_request_at = now
+    (effect,) = flush_quota_requests(node, ("v1",), now)
     reply = QuotaReply(effect.message.number, RUN, (QuotaGrant(name, 1, tokens + 1),))
-    hear_reply(node, "v1", reply, now)
+    handle_quota_reply(node, "v1", reply, now)
     node.settled.clear()
 
 
@@ -206,7 +206,9 @@
 
 def _ask_each(voter: VoterQuotas, number: int) -> None:
     for index in range(number):
-        hear_ask(voter, "n1", QuotaAsk(index, (QuotaWant(name_customer(index), 1),)), 60.0)
+        handle_quota_request(
+            voter, "n1", QuotaRequest(index, (QuotaDemand(name_customer(index), 1),)), 60.0
+        )
 
 
 def _stock_each(node: NodeQuotas, number: int) -> None:
@@ -218,10 +220,10 @@
     """Measure each message in a frame of its own, with one customer."""
     name = name_customer(0)
     messages: tuple[Record, ...] = (
-        QuotaAsk(RUN << 20, (QuotaWant(name, 1, 2),)),
+        QuotaRequest(RUN << 20, (QuotaDemand(name, 1, 2),)),
         QuotaReply(RUN << 20, RUN, (QuotaGrant(name, 123_456, 3),)),
-        QuotaBack(RUN, (QuotaUnused(123_456, 1),)),
-        QuotaPull(RUN << 20, name, 1.25),
+        QuotaReturn(RUN, (QuotaUnused(123_456, 1),)),
+        QuotaLoanRequest(RUN << 20, name, 1.25),
         QuotaLoan(RUN << 20, RUN, name, 123_456, 1.25, 7.5),
     )
     return {type(message).__name__: len(encode(message)) for message in messages}
--- a/packages/bendwind-core/src/bendwind_core/messages/codec.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/codec.py
@@ -36,7 +36,13 @@
     WatchUpdate,
 )
 from bendwind_core.messages.hello import Goodbye, Hello, IncarnationKnown, IncarnationQuestion
-from bendwind_core.quotas.messages import QuotaAsk, QuotaBack, QuotaLoan, QuotaPull, QuotaReply
+from bendwind_core.quotas.messages import (
+    QuotaLoan,
+    QuotaLoanRequest,
+    QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
+)
 from bendwind_core.routing import LoadProbe, LoadReport
 
 PeerMessage = (
@@ -68,10 +74,10 @@
     | StatusRequest
     | StatusReply
     | SuspectsTold
-    | QuotaAsk
+    | QuotaRequest
     | QuotaReply
-    | QuotaBack
-    | QuotaPull
+    | QuotaReturn
+    | QuotaLoanRequest
     | QuotaLoan
     | ClaimMessage
     | ConsensusMessage
--- a/packages/bendwind-core/src/bendwind_core/quotas/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/__init__.py
@@ -1,21 +1,21 @@
 """Offer the quotas of customers over all nodes: what a node and a voter decide about them."""
 
-from bendwind_core.quotas.bounds import QuotaBounds, Share, create_share, find_most
+from bendwind_core.quotas.bounds import QuotaBounds, Share, create_share, find_max_requests
 from bendwind_core.quotas.messages import (
-    QuotaAsk,
-    QuotaBack,
+    QuotaDemand,
     QuotaGrant,
     QuotaLoan,
-    QuotaPull,
+    QuotaLoanRequest,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     QuotaUnused,
-    QuotaWant,
 )
 from bendwind_core.quotas.node import (
     cancel_wait,
-    flush_asks,
+    flush_quota_requests,
+    handle_quota_reply,
     has_work,
-    hear_reply,
     request_token,
     return_token,
     tick_node,
@@ -29,29 +29,33 @@
 )
 from bendwind_core.quotas.voter import (
     QuotaSend,
-    hear_ask,
-    hear_back,
-    hear_loan,
-    hear_pull,
+    handle_quota_loan,
+    handle_quota_loan_request,
+    handle_quota_request,
+    handle_quota_return,
     tick_voter,
 )
-from bendwind_core.quotas.voter_changes import note_configuration, note_confirmed, note_voters
+from bendwind_core.quotas.voter_changes import (
+    record_confirmation,
+    update_configuration,
+    update_voters,
+)
 from bendwind_core.quotas.voter_state import VoterQuotas, create_voter_quotas
 
 __all__ = [
     "Grant",
     "NodeQuotas",
-    "QuotaAsk",
-    "QuotaBack",
     "QuotaBounds",
+    "QuotaDemand",
     "QuotaGrant",
     "QuotaLoan",
-    "QuotaPull",
+    "QuotaLoanRequest",
     "QuotaRefusal",
     "QuotaReply",
+    "QuotaRequest",
+    "QuotaReturn",
     "QuotaSend",
     "QuotaUnused",
-    "QuotaWant",
     "Share",
     "VoterQuotas",
     "Waiter",
@@ -59,19 +63,19 @@
     "create_node_quotas",
     "create_share",
     "create_voter_quotas",
-    "find_most",
-    "flush_asks",
+    "find_max_requests",
+    "flush_quota_requests",
+    "handle_quota_loan",
+    "handle_quota_loan_request",
+    "handle_quota_reply",
+    "handle_quota_request",
+    "handle_quota_return",
     "has_work",
-    "hear_ask",
-    "hear_back",
-    "hear_loan",
-    "hear_pull",
-    "hear_reply",
-    "note_configuration",
-    "note_confirmed",
-    "note_voters",
+    "record_confirmation",
     "request_token",
     "return_token",
     "tick_node",
     "tick_voter",
+    "update_configuration",
+    "update_voters",
 ]
--- a/packages/bendwind-core/src/bendwind_core/quotas/bounds.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/bounds.py
@@ -40,19 +40,19 @@
     slack: float = DEFAULT_SLACK
 
     @property
-    def age(self) -> Seconds:
+    def max_token_age(self) -> Seconds:
         """Return how old a token may be when it goes to a request that came after its ask."""
         return self.overage * self.window / 2 * (1 - CLOCK_RATE_BOUND)
 
     @property
     def node_validity(self) -> Seconds:
         """Return for how long a node may keep a token, from when it asked for it."""
-        return self.age * _NODE_SHARE
+        return self.max_token_age * _NODE_SHARE
 
     @property
     def loan_validity(self) -> Seconds:
         """Return for how long a voter may grant what another lent it, from when it asked."""
-        return self.age * (1 - _NODE_SHARE)
+        return self.max_token_age * (1 - _NODE_SHARE)
 
 
 class Share(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
     return Share(rate, (held + lacking) / voters, (spare - lacking) / voters)
 
 
-def find_most(customer: Customer, bounds: QuotaBounds, window: Seconds) -> float:
+def find_max_requests(customer: Customer, bounds: QuotaBounds, window: Seconds) -> float:
     """Return how many requests of a customer may run in a window of this length."""
     due = customer.rate_per_s * window + customer.burst
     # The age of tokens is fixed by the settings: in a shorter window as many old ones may be used.
--- a/packages/bendwind-core/src/bendwind_core/quotas/bucket.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/bucket.py
@@ -39,7 +39,7 @@
     peaks: collections.deque[Peak] = msgspec.field(default_factory=collections.deque)
 
 
-def fill(bucket: Bucket, now: Seconds) -> None:
+def refill(bucket: Bucket, now: Seconds) -> None:
     """Add what came by time."""
     passed = max(0.0, now - bucket.filled_at)
     bucket.filled_at = max(bucket.filled_at, now)
@@ -48,7 +48,7 @@
 
 def set_share(bucket: Bucket, share: Share, next_number: int, now: Seconds) -> None:
     """Go on by a new quota; what is more than it permits is lost."""
-    fill(bucket, now)
+    refill(bucket, now)
     bucket.share = share
     bucket.level = min(bucket.level, share.cap)
     # What an earlier cap would have cut cannot be told from the peaks.
@@ -58,7 +58,7 @@
 
 def take(bucket: Bucket, amount: float, number: int, now: Seconds) -> None:
     """Take tokens, at most those that are there."""
-    fill(bucket, now)
+    refill(bucket, now)
     _note_peak(bucket, number)
     bucket.level = max(0.0, bucket.level - amount)
 
@@ -75,7 +75,7 @@
 
 def put_back(bucket: Bucket, amount: float, number: int, now: Seconds) -> float:
     """Undo a taking or a part of it; return how many tokens came back."""
-    fill(bucket, now)
+    refill(bucket, now)
     if number < bucket.known_from:
         return 0.0
     # Only peaks after the taking count: what would have flowed over since then stays lost.
@@ -102,5 +102,5 @@
 
 def find_wait(bucket: Bucket, amount: float, now: Seconds) -> Seconds:
     """Return how long it takes until so many tokens are there, if nobody takes any."""
-    fill(bucket, now)
+    refill(bucket, now)
     return max(0.0, amount - bucket.level) / bucket.share.rate
--- a/packages/bendwind-core/src/bendwind_core/quotas/lenders.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/lenders.py
@@ -6,9 +6,9 @@
 from bendwind_core.quotas.voter_state import (
     MAX_PULLS,
     UNDONE_FOR,
-    Account,
     Lender,
     Pulling,
+    VoterAccount,
     VoterQuotas,
 )
 
@@ -20,7 +20,7 @@
 LONGEST_PAUSE: Seconds = 1.0
 
 
-def choose_lender(quotas: VoterQuotas, account: Account, now: Seconds) -> str | None:
+def choose_lender(quotas: VoterQuotas, account: VoterAccount, now: Seconds) -> str | None:
     """Return the voter that had most by its last word, None if all are left alone."""
     free = [name for name in quotas.peers if _may_ask(account, name, now)]
     unheard = account.bucket.share.cap
@@ -31,9 +31,9 @@
     )
 
 
-def _may_ask(account: Account, name: str, now: Seconds) -> bool:
+def _may_ask(account: VoterAccount, name: str, now: Seconds) -> bool:
     lender = account.lenders.get(name)
-    return lender is None or now >= lender.ask_from
+    return lender is None or now >= lender.available_at
 
 
 def remember_pull(quotas: VoterQuotas, pulling: Pulling) -> None:
@@ -43,16 +43,16 @@
         quotas.pulls.popitem(last=False)
 
 
-def note_lender(account: Account, voter: str, loan: QuotaLoan, now: Seconds) -> None:
+def note_lender(account: VoterAccount, voter: str, loan: QuotaLoan, now: Seconds) -> None:
     """Take over a voter's word about what it could still lend."""
-    ask_from = now
+    available_at = now
     if loan.left <= ROUNDING:
         until_token = 1.0 / account.bucket.share.rate
-        ask_from = now + min(LONGEST_PAUSE, max(SHORTEST_PAUSE, until_token))
-    account.lenders[voter] = Lender(loan.left, ask_from)
+        available_at = now + min(LONGEST_PAUSE, max(SHORTEST_PAUSE, until_token))
+    account.lenders[voter] = Lender(loan.left, available_at)
 
 
-def give_up_pull(account: Account, now: Seconds) -> None:
+def give_up_pull(account: VoterAccount, now: Seconds) -> None:
     """Wait no longer for a voter's answer; one that comes late is still heard."""
     # A voter that is lost or cut off should not be waited for by every request.
     account.lenders[account.pulling.lender] = Lender(0.0, now + LONGEST_PAUSE)
--- a/packages/bendwind-core/src/bendwind_core/quotas/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/messages.py
@@ -7,7 +7,7 @@
 from bendwind_core.core import Milliseconds, Record
 
 
-class QuotaWant(Record, frozen=True, array_like=True):
+class QuotaDemand(Record, frozen=True, array_like=True):
     """Say how many tokens of a customer are waited for, and how many more are soon needed.
 
     `reserve` is how many more the node would like to reserve for when no voter answers, and `kept`
@@ -21,11 +21,11 @@
     kept: tuple[int, ...] = ()
 
 
-class QuotaAsk(Record, frozen=True, array_like=True, tag="quota?"):
+class QuotaRequest(Record, frozen=True, array_like=True, tag="quota?"):
     """Ask a voter for tokens; `number` is new with each ask of one run of a node."""
 
     number: int
-    wants: tuple[QuotaWant, ...]
+    demands: tuple[QuotaDemand, ...]
 
 
 class QuotaGrant(Record, frozen=True, array_like=True):
@@ -58,14 +58,14 @@
     tokens: float
 
 
-class QuotaBack(Record, frozen=True, array_like=True, tag="quota-back"):
+class QuotaReturn(Record, frozen=True, array_like=True, tag="quota-back"):
     """Give tokens back to the run of a voter that granted or lent them."""
 
     run: int
     unused: tuple[QuotaUnused, ...]
 
 
-class QuotaPull(Record, frozen=True, array_like=True, tag="quota-pull"):
+class QuotaLoanRequest(Record, frozen=True, array_like=True, tag="quota-pull"):
     """Ask another voter to lend tokens of a customer; `number` is new in the voter's run."""
 
     number: int
--- a/packages/bendwind-core/src/bendwind_core/quotas/node.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/node.py
@@ -11,20 +11,20 @@
 from bendwind_core.attempts.messages import NotRunReason
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.quotas.messages import (
-    QuotaAsk,
-    QuotaBack,
+    QuotaDemand,
     QuotaGrant,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     QuotaUnused,
-    QuotaWant,
 )
 from bendwind_core.quotas.node_state import (
     Ask,
     Batch,
     Grant,
+    NodeAccount,
     NodeQuotas,
     QuotaRefusal,
-    Stock,
     Waiter,
 )
 from bendwind_core.quotas.reserve import (
@@ -78,15 +78,15 @@
     quotas: NodeQuotas, customer: str, until: Seconds, now: Seconds
 ) -> Result[Grant, QuotaRefusal] | Waiter:
     """Take a token for a request, refuse it, or have it wait, at most until a time."""
-    stock = quotas.stocks.get(customer)
+    stock = quotas.accounts.get(customer)
     if stock is None:
-        stock = quotas.stocks[customer] = Stock(used_at=now)
+        stock = quotas.accounts[customer] = NodeAccount(used_at=now)
     note_use(stock, 1, now)
     grant = _take_from_stock(quotas, stock, now)
     if grant is not None:
         quotas.totals.taken += 1
         if _count_ahead(quotas, stock, now) > 0:
-            quotas.wanting[customer] = None
+            quotas.to_request[customer] = None
         return Ok(grant)
     if now < stock.refused_until:
         return Error(_refuse_over(quotas, stock, now))
@@ -95,11 +95,11 @@
     waiter = Waiter(customer, now, until)
     stock.waiting.append(waiter)
     quotas.waiting += 1
-    quotas.wanting[customer] = None
+    quotas.to_request[customer] = None
     return waiter
 
 
-def _take_from_stock(quotas: NodeQuotas, stock: Stock, now: Seconds) -> Grant | None:
+def _take_from_stock(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> Grant | None:
     _drop_old(quotas, stock, now)
     if not stock.batches:
         return None
@@ -110,7 +110,7 @@
     return batch.grant
 
 
-def _drop_old(quotas: NodeQuotas, stock: Stock, now: Seconds) -> None:
+def _drop_old(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> None:
     """Give back the tokens that are too old."""
     while stock.batches and stock.batches[0].expires_at <= now:
         batch = stock.batches.popleft()
@@ -133,7 +133,7 @@
 
 def cancel_wait(quotas: NodeQuotas, waiter: Waiter) -> None:
     """Forget a request that waits no longer; its token goes to another one."""
-    stock = quotas.stocks.get(waiter.customer)
+    stock = quotas.accounts.get(waiter.customer)
     if waiter.outcome is None and stock is not None and waiter in stock.waiting:
         stock.waiting.remove(waiter)
         quotas.waiting -= 1
@@ -141,7 +141,7 @@
         return_token(quotas, waiter.outcome.ok)
 
 
-def _count_ahead(quotas: NodeQuotas, stock: Stock, now: Seconds) -> int:
+def _count_ahead(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> int:
     """Return how many tokens to ask for beside those that are waited for."""
     ahead_for = min(AHEAD_FOR, AHEAD_SHARE * quotas.bounds.node_validity)
     needed = int(find_use(stock, now) * ahead_for)
@@ -151,7 +151,7 @@
     return 0 if 2 * has > needed else needed - has
 
 
-def _refuse_over(quotas: NodeQuotas, stock: Stock, now: Seconds) -> QuotaRefusal:
+def _refuse_over(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> QuotaRefusal:
     quotas.totals.refused += 1
     wait_ms = max(0.0, stock.refused_until - now) * MILLISECONDS_PER_SECOND
     return QuotaRefusal(NotRunReason.OVER_QUOTA, wait_ms, stock.refused_by)
@@ -162,33 +162,33 @@
     return QuotaRefusal(NotRunReason.QUOTA_UNKNOWN, UNKNOWN_RETRY_MS)
 
 
-def flush_asks(quotas: NodeQuotas, voters: tuple[str, ...], now: Seconds) -> Effects:
+def flush_quota_requests(quotas: NodeQuotas, voters: tuple[str, ...], now: Seconds) -> Effects:
     """Ask for all that is wanted; `voters` are in the order in which this node uses them."""
-    if not quotas.wanting or now < quotas.ask_from or not voters:
+    if not quotas.to_request or now < quotas.next_request_at or not voters:
         return []
     if len(quotas.asks) >= MAX_ASKS:
         return []
     voter = _choose_voter(quotas, voters, now)
-    wants = []
-    for customer in tuple(quotas.wanting)[:MAX_WANTS]:
-        del quotas.wanting[customer]
+    demands = []
+    for customer in tuple(quotas.to_request)[:MAX_WANTS]:
+        del quotas.to_request[customer]
         want = _make_want(quotas, customer, voter, now)
         if want is not None:
-            wants.append(want)
-    if not wants:
+            demands.append(want)
+    if not demands:
         return []
-    quotas.ask_from = now + ASK_GAP
+    quotas.next_request_at = now + ASK_GAP
     number = quotas.next_ask
     quotas.next_ask += 1
-    asked = {want.customer: want.waiting + want.ahead for want in wants}
-    kept = {want.customer: want.kept for want in wants if want.kept}
+    asked = {want.customer: want.waiting + want.ahead for want in demands}
+    kept = {want.customer: want.kept for want in demands if want.kept}
     quotas.asks[number] = Ask(number, voter, now, asked, kept)
     quotas.totals.asks += 1
-    return [QuotaSend(voter, QuotaAsk(number, tuple(wants)))]
+    return [QuotaSend(voter, QuotaRequest(number, tuple(demands)))]
 
 
-def _make_want(quotas: NodeQuotas, customer: str, voter: str, now: Seconds) -> QuotaWant | None:
-    stock = quotas.stocks.get(customer)
+def _make_want(quotas: NodeQuotas, customer: str, voter: str, now: Seconds) -> QuotaDemand | None:
+    stock = quotas.accounts.get(customer)
     if stock is None:
         return None
     waiting = max(0, len(stock.waiting) - stock.asked)
@@ -197,12 +197,12 @@
         return None
     stock.asked += waiting + ahead
     if now < stock.reserve_at:
-        return QuotaWant(customer, waiting, ahead)
+        return QuotaDemand(customer, waiting, ahead)
     stock.reserve_at = now + RENEWED_EACH
     stock.reserve = drop_ended(stock.reserve, now)
     wished = max(0, min(MOST_HELD, round(stock.use)) - len(stock.reserve))
     kept = tuple(token.number for token in stock.reserve if token.voter == voter)
-    return QuotaWant(customer, waiting, ahead, wished, kept)
+    return QuotaDemand(customer, waiting, ahead, wished, kept)
 
 
 def _choose_voter(quotas: NodeQuotas, voters: tuple[str, ...], now: Seconds) -> str:
@@ -212,17 +212,17 @@
     return min(voters, key=lambda voter: quotas.silent[voter])
 
 
-def hear_reply(quotas: NodeQuotas, voter: str, reply: QuotaReply, now: Seconds) -> None:
+def handle_quota_reply(quotas: NodeQuotas, voter: str, reply: QuotaReply, now: Seconds) -> None:
     """Give the granted tokens to those who wait, and refuse those for whom there are none."""
     ask = quotas.asks.get(reply.number)
     if ask is None or ask.voter != voter:
         return
     quotas.silent.pop(voter, None)
     for grant in reply.grants:
-        asked = ask.wants.pop(grant.customer, None)
+        asked = ask.demands.pop(grant.customer, None)
         if asked is None:
             continue
-        stock = quotas.stocks.get(grant.customer)
+        stock = quotas.accounts.get(grant.customer)
         granted = Grant(voter, reply.run, grant.number)
         if stock is None:
             _put_back(quotas, granted, grant.tokens)
@@ -230,12 +230,12 @@
         if not ask.is_late:
             stock.asked -= asked
         _take_over(quotas, stock, granted, grant, ask, now)
-    if not ask.wants:
+    if not ask.demands:
         del quotas.asks[reply.number]
 
 
 def _take_over(
-    quotas: NodeQuotas, stock: Stock, grant: Grant, told: QuotaGrant, ask: Ask, now: Seconds
+    quotas: NodeQuotas, stock: NodeAccount, grant: Grant, told: QuotaGrant, ask: Ask, now: Seconds
 ) -> None:
     if told.reserve:
         kept = ask.kept.get(told.customer, ())
@@ -268,18 +268,18 @@
 def tick_node(quotas: NodeQuotas, now: Seconds) -> Effects:
     """Turn from a voter that is silent, refuse who waited too long, give back what is too old."""
     _drop_late(quotas, now)
-    for customer, stock in quotas.stocks.items():
+    for customer, stock in quotas.accounts.items():
         _refuse_waiting_long(quotas, stock, now)
         _drop_old(quotas, stock, now)
         if len(stock.waiting) > stock.asked:
-            quotas.wanting[customer] = None
+            quotas.to_request[customer] = None
     if now >= quotas.forget_at:
         quotas.forget_at = now + FORGET_AFTER / 2
         _forget(quotas, now)
     return _flush_back(quotas, now)
 
 
-def _refuse_waiting_long(quotas: NodeQuotas, stock: Stock, now: Seconds) -> None:
+def _refuse_waiting_long(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> None:
     # Requests with short objectives may have come after others that can wait longer.
     over = [waiter for waiter in stock.waiting if now >= waiter.until]
     for waiter in over:
@@ -287,7 +287,9 @@
         _settle(quotas, waiter, _take_reserve(quotas, stock, now))
 
 
-def _take_reserve(quotas: NodeQuotas, stock: Stock, now: Seconds) -> Result[Grant, QuotaRefusal]:
+def _take_reserve(
+    quotas: NodeQuotas, stock: NodeAccount, now: Seconds
+) -> Result[Grant, QuotaRefusal]:
     """Take a token for a request that no voter answered in time, else refuse it."""
     stock.reserve = drop_ended(stock.reserve, now)
     if not stock.reserve:
@@ -304,9 +306,9 @@
         if not ask.is_late and now - ask.sent_at >= ANSWER_WAIT:
             ask.is_late = True
             quotas.silent[ask.voter] = now + SILENT_FOR
-            for customer, asked in ask.wants.items():
-                if customer in quotas.stocks:
-                    quotas.stocks[customer].asked -= asked
+            for customer, asked in ask.demands.items():
+                if customer in quotas.accounts:
+                    quotas.accounts[customer].asked -= asked
         elif ask.is_late and now - ask.sent_at >= LATE_FOR:
             over.append(ask.number)
     for number in over:
@@ -316,14 +318,14 @@
 def _forget(quotas: NodeQuotas, now: Seconds) -> None:
     idle = [
         customer
-        for customer, stock in quotas.stocks.items()
+        for customer, stock in quotas.accounts.items()
         if now - stock.used_at > FORGET_AFTER
         and not stock.waiting
         and not stock.batches
         and not stock.asked
     ]
     for customer in idle:
-        del quotas.stocks[customer]
+        del quotas.accounts[customer]
     for voter in [voter for voter, until in quotas.silent.items() if until <= now]:
         del quotas.silent[voter]
 
@@ -338,11 +340,13 @@
             row = QuotaUnused(grant.number, grant.back)
             unused.setdefault((grant.voter, grant.run), []).append(row)
     quotas.back.clear()
-    return [QuotaSend(voter, QuotaBack(run, tuple(rows))) for (voter, run), rows in unused.items()]
+    return [
+        QuotaSend(voter, QuotaReturn(run, tuple(rows))) for (voter, run), rows in unused.items()
+    ]
 
 
 def has_work(quotas: NodeQuotas) -> bool:
     """Tell whether time changes anything soon: someone waits, or there is something to give."""
-    return bool(quotas.asks or quotas.wanting or quotas.back or quotas.waiting) or any(
-        stock.batches for stock in quotas.stocks.values()
+    return bool(quotas.asks or quotas.to_request or quotas.back or quotas.waiting) or any(
+        stock.batches for stock in quotas.accounts.values()
     )
--- a/packages/bendwind-core/src/bendwind_core/quotas/node_state.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/node_state.py
@@ -56,12 +56,12 @@
     number: int
     voter: str
     sent_at: Seconds
-    wants: dict[str, int]
+    demands: dict[str, int]
     kept: dict[str, tuple[int, ...]]
     is_late: bool = False
 
 
-class Stock(msgspec.Struct, eq=False):
+class NodeAccount(msgspec.Struct, eq=False):
     """Hold what a node keeps of a customer that it served lately.
 
     `asked` are the tokens in asks that are not late. `reserve` is for when no voter answers, and is
@@ -98,14 +98,14 @@
     """
 
     bounds: QuotaBounds
-    stocks: dict[str, Stock] = msgspec.field(default_factory=dict)
+    accounts: dict[str, NodeAccount] = msgspec.field(default_factory=dict)
     asks: dict[int, Ask] = msgspec.field(default_factory=dict)
-    wanting: dict[str, None] = msgspec.field(default_factory=dict)
+    to_request: dict[str, None] = msgspec.field(default_factory=dict)
     settled: list[Waiter] = msgspec.field(default_factory=list)
     back: dict[tuple[str, int, int], Grant] = msgspec.field(default_factory=dict)
     silent: dict[str, Seconds] = msgspec.field(default_factory=dict)
     next_ask: int = 0
-    ask_from: Seconds = -math.inf
+    next_request_at: Seconds = -math.inf
     back_at: Seconds = -math.inf
     forget_at: Seconds = -math.inf
     waiting: int = 0
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_world.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_world.py
@@ -18,15 +18,15 @@
     create_node_quotas,
     create_share,
     create_voter_quotas,
-    flush_asks,
-    hear_reply,
-    note_configuration,
-    note_confirmed,
-    note_voters,
+    flush_quota_requests,
+    handle_quota_reply,
+    record_confirmation,
     request_token,
     return_token,
     tick_node,
     tick_voter,
+    update_configuration,
+    update_voters,
 )
 from bendwind_core.quotas.reserve import KEPT_FOR
 from bendwind_core.quotas.tests.quota_world import hear_as_voter
@@ -129,7 +129,7 @@
         process.voter_id = run
         process.is_voting = True
         process.promoted_at = self.now
-        note_voters(quotas, None, (), self.read_clock(process))
+        update_voters(quotas, None, (), self.read_clock(process))
         return process
 
     def restart_voter(self, process: Process) -> None:
@@ -140,8 +140,8 @@
         started.voter_id = process.voter_id
         started.is_voting = process.is_voting
         started.promoted_at = process.promoted_at
-        note_voters(quotas, started.voter_id, self._list_peers(started), self.read_clock(started))
-        note_configuration(quotas, self.configuration, self.read_clock(started))
+        update_voters(quotas, started.voter_id, self._list_peers(started), self.read_clock(started))
+        update_configuration(quotas, self.configuration, self.read_clock(started))
 
     def replace_voter(self, process: Process) -> None:
         """Take a voter out, which goes on and does not know, and make another one a voter."""
@@ -159,9 +159,9 @@
         if not process.is_voting:
             return
         now = self.read_clock(process)
-        note_voters(process.quotas, process.voter_id, self._list_peers(process), now)
-        note_configuration(process.quotas, self.configuration, now)
-        note_confirmed(process.quotas, now)
+        update_voters(process.quotas, process.voter_id, self._list_peers(process), now)
+        update_configuration(process.quotas, self.configuration, now)
+        record_confirmation(process.quotas, now)
 
     def confirm_all(self) -> None:
         for process in self.list_voters():
@@ -192,7 +192,7 @@
             )
             return
         if isinstance(message.message, QuotaReply):
-            hear_reply(process.quotas, message.sender, message.message, now)
+            handle_quota_reply(process.quotas, message.sender, message.message, now)
             self.flush(process)
 
     def flush(self, node: Process) -> None:
@@ -204,7 +204,7 @@
         names = [process.name for process in self.list_voters()]
         self.rng.shuffle(names)
         now = self.read_clock(node)
-        self.send_all(node.name, flush_asks(node.quotas, tuple(names), now))
+        self.send_all(node.name, flush_quota_requests(node.quotas, tuple(names), now))
 
     def request(self, node: Process) -> None:
         now = self.read_clock(node)
@@ -266,7 +266,7 @@
 
     def _find_most(self, first: Seconds, length: Seconds) -> float:
         """Return what the highest limit permits that any voter may still have gone by."""
-        since = first - CONFIRMED_FOR - max(BOUNDS.age, KEPT_FOR) - ROUNDING
+        since = first - CONFIRMED_FOR - max(BOUNDS.max_token_age, KEPT_FOR) - ROUNDING
         until = first + length
         most = 0.0
         for index, (at, customer) in enumerate(self.limits):
@@ -283,6 +283,6 @@
     share = create_share(customer, BOUNDS, VOTERS)
     # Processes' clocks are faster by less than what shares and ages are cut by.
     rate = customer.rate_per_s / VOTERS
-    age = BOUNDS.overage * BOUNDS.window / 2
+    max_token_age = BOUNDS.overage * BOUNDS.window / 2
     places = int(share.reserve) * (1 + int(length / BOUNDS.window))
-    return VOTERS * (share.cap + rate * (length + age) + places)
+    return VOTERS * (share.cap + rate * (length + max_token_age) + places)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/quota_world.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/quota_world.py
@@ -13,30 +13,30 @@
 from bendwind_core.quotas import (
     Grant,
     NodeQuotas,
-    QuotaAsk,
-    QuotaBack,
     QuotaBounds,
     QuotaLoan,
-    QuotaPull,
+    QuotaLoanRequest,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     QuotaSend,
     VoterQuotas,
     Waiter,
     create_node_quotas,
     create_voter_quotas,
-    flush_asks,
-    hear_ask,
-    hear_back,
-    hear_loan,
-    hear_pull,
-    hear_reply,
-    note_configuration,
-    note_confirmed,
-    note_voters,
+    flush_quota_requests,
+    handle_quota_loan,
+    handle_quota_loan_request,
+    handle_quota_reply,
+    handle_quota_request,
+    handle_quota_return,
+    record_confirmation,
     request_token,
     return_token,
     tick_node,
     tick_voter,
+    update_configuration,
+    update_voters,
 )
 from bendwind_core.world import Configuration, Customer
 
@@ -49,14 +49,14 @@
 def hear_as_voter(quotas: VoterQuotas, sender: str, message: Record, now: Seconds):
     """Have a voter hear a message."""
     match message:
-        case QuotaAsk():
-            return hear_ask(quotas, sender, message, now)
-        case QuotaPull():
-            return hear_pull(quotas, sender, message, now)
+        case QuotaRequest():
+            return handle_quota_request(quotas, sender, message, now)
+        case QuotaLoanRequest():
+            return handle_quota_loan_request(quotas, sender, message, now)
         case QuotaLoan():
-            return hear_loan(quotas, sender, message, now)
-        case QuotaBack():
-            hear_back(quotas, message, now)
+            return handle_quota_loan(quotas, sender, message, now)
+        case QuotaReturn():
+            handle_quota_return(quotas, message, now)
     return []
 
 
@@ -108,8 +108,8 @@
             name: self.start_voter(name, names, index) for index, name in enumerate(names)
         }
         for quotas in self.voters.values():
-            note_confirmed(quotas, self.now)
-            note_configuration(quotas, self.configuration, self.now)
+            record_confirmation(quotas, self.now)
+            update_configuration(quotas, self.configuration, self.now)
         self.nodes = {}
         for index in range(nodes):
             home = index % voters
@@ -122,14 +122,14 @@
         """Start the process of a voter."""
         run = int(self.now * 1000) + 1
         quotas = create_voter_quotas(name, run, self.bounds, self.voter_count, CONFIRMED_FOR)
-        note_voters(quotas, voter_id, tuple(other for other in names if other != name), self.now)
+        update_voters(quotas, voter_id, tuple(other for other in names if other != name), self.now)
         return quotas
 
     def restart_voter(self, name: str) -> None:
         """Start a voter anew: all it knew is lost."""
         names = tuple(self.voters)
         self.voters[name] = self.start_voter(name, names, names.index(name))
-        note_configuration(self.voters[name], self.configuration, self.now)
+        update_configuration(self.voters[name], self.configuration, self.now)
         self.lost.discard(name)
 
     def at(self, time: Seconds, action: Callable[[], None]) -> None:
@@ -146,7 +146,7 @@
     def _confirm(self) -> None:
         for name, quotas in self.voters.items():
             if name not in self.lost:
-                note_confirmed(quotas, self.now)
+                record_confirmation(quotas, self.now)
         self.at(self.now + CONFIRM_EACH, self._confirm)
 
     def _tick(self) -> None:
@@ -176,14 +176,14 @@
             return
         node = self.nodes[effect.to]
         assert isinstance(effect.message, QuotaReply)
-        hear_reply(node.quotas, sender, effect.message, self.now)
+        handle_quota_reply(node.quotas, sender, effect.message, self.now)
         self._flush(node)
 
     def _flush(self, node: Node) -> None:
         for waiter in node.quotas.settled:
             self._note(node, waiter.customer, waiter.arrived_at, waiter.outcome)
         node.quotas.settled.clear()
-        self.send_all(node.name, flush_asks(node.quotas, node.voters, self.now))
+        self.send_all(node.name, flush_quota_requests(node.quotas, node.voters, self.now))
 
     def request(self, customer: str, node: str) -> None:
         """Have a request of a customer come to a node."""
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_bucket.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_bucket.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from bendwind_core.quotas.bounds import QuotaBounds, Share, create_share, find_most
+from bendwind_core.quotas.bounds import QuotaBounds, Share, create_share, find_max_requests
 from bendwind_core.quotas.bucket import (
     MAX_PEAKS,
     Bucket,
-    fill,
     find_wait,
     put_back,
+    refill,
     set_share,
     take,
 )
@@ -27,16 +27,16 @@
 
     def test_fills_with_time_up_to_its_cap(self):
         bucket = create_bucket(0.0)
-        fill(bucket, 1.5)
+        refill(bucket, 1.5)
         self.assertAlmostEqual(bucket.level, 15.0)
-        fill(bucket, 60.0)
+        refill(bucket, 60.0)
         self.assertEqual(bucket.level, 20.0)
 
     def test_a_time_that_went_back_fills_nothing(self):
         bucket = create_bucket(0.0)
-        fill(bucket, 1.0)
-        fill(bucket, 0.5)
-        fill(bucket, 1.0)
+        refill(bucket, 1.0)
+        refill(bucket, 0.5)
+        refill(bucket, 1.0)
         self.assertAlmostEqual(bucket.level, 10.0)
 
     def test_a_lower_limit_cuts_what_is_there(self):
@@ -47,7 +47,7 @@
     def test_a_higher_limit_adds_nothing_at_once_but_fills_faster(self):
         bucket = create_bucket(5.0)
         set_share(bucket, Share(100.0, 200.0, 0.0), 1, 0.0)
-        fill(bucket, 1.0)
+        refill(bucket, 1.0)
         self.assertAlmostEqual(bucket.level, 105.0)
 
     def test_tells_when_there_is_room(self):
@@ -110,8 +110,10 @@
     def _check(self, bounds: QuotaBounds, rate: float, burst: float) -> None:
         customer = Customer("a", rate_per_s=rate, burst=burst)
         share = create_share(customer, bounds, 5)
-        sums = 5 * (share.cap + share.reserve) + 5 * share.rate * (bounds.window + bounds.age)
-        self.assertLessEqual(sums, find_most(customer, bounds, bounds.window) + 1e-6)
+        sums = 5 * (share.cap + share.reserve) + 5 * share.rate * (
+            bounds.window + bounds.max_token_age
+        )
+        self.assertLessEqual(sums, find_max_requests(customer, bounds, bounds.window) + 1e-6)
 
     def test_a_bucket_holds_a_token_where_the_bound_permits(self):
         customer = Customer("a", rate_per_s=0.5, burst=0.5)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_fuzz_quotas.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_fuzz_quotas.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from bendwind_core.core.tests import profiles  # noqa: F401
-from bendwind_core.quotas import QuotaAsk, QuotaBack, QuotaLoan, QuotaPull, QuotaReply
+from bendwind_core.quotas import QuotaLoan, QuotaLoanRequest, QuotaReply, QuotaRequest, QuotaReturn
 from bendwind_core.quotas.tests import fuzz_actions as actions
 from bendwind_core.quotas.tests.fuzz_world import FuzzWorld
 
@@ -155,7 +155,7 @@
                 self.assertGreater(len(world.runs), 50)
 
     def test_no_more_runs_while_half_does_not_run_and_messages_come_twice(self):
-        for doubled in (QuotaBack, QuotaReply, QuotaLoan, QuotaAsk, QuotaPull):
+        for doubled in (QuotaReturn, QuotaReply, QuotaLoan, QuotaRequest, QuotaLoanRequest):
             with self.subTest(doubled=doubled.__name__):
                 world = FuzzWorld(burst=40.0)
                 world.doubled = (doubled,)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_messages.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_messages.py
@@ -4,23 +4,23 @@
 
 from bendwind_core.messages import decode_message, encode_message
 from bendwind_core.quotas import (
-    QuotaAsk,
-    QuotaBack,
+    QuotaDemand,
     QuotaGrant,
     QuotaLoan,
-    QuotaPull,
+    QuotaLoanRequest,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     QuotaUnused,
-    QuotaWant,
 )
 
 # Runs are milliseconds since 1970, and numbers of asks begin at 2^20 times that.
 RUN = 1_764_685_000_123
 MESSAGES = (
-    QuotaAsk(RUN << 20, (QuotaWant("maria", 3, 2, 1, (7, 8)), QuotaWant("ana", 1))),
+    QuotaRequest(RUN << 20, (QuotaDemand("maria", 3, 2, 1, (7, 8)), QuotaDemand("ana", 1))),
     QuotaReply(RUN << 20, RUN, (QuotaGrant("maria", 9, 3, 250.0, (7,)), QuotaGrant("ana", 0, 0))),
-    QuotaBack(RUN, (QuotaUnused(9, 1), QuotaUnused(10, 0.25))),
-    QuotaPull(RUN << 20, "maria", 1.75),
+    QuotaReturn(RUN, (QuotaUnused(9, 1), QuotaUnused(10, 0.25))),
+    QuotaLoanRequest(RUN << 20, "maria", 1.75),
     QuotaLoan(RUN << 20, RUN, "maria", 11, 1.5, 0.25),
 )
 
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_model.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_model.py
@@ -67,7 +67,7 @@
         self.assertGreaterEqual(model.count("c00", ""), 0.95 * 100.0 * 20.0)
         self.assertGreater(model.count("c00", OVER_QUOTA), 7000)
         # However much it asks, its nodes ask for it some times a second.
-        self.assertLess(model.messages["QuotaAsk"], 52 * 20 * 20)
+        self.assertLess(model.messages["QuotaRequest"], 52 * 20 * 20)
 
     def test_a_hot_customer_at_one_node_has_its_limit(self):
         model = Model(make_customers([62.5]), 52)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_node.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_node.py
@@ -4,16 +4,16 @@
 
 from bendwind_core.attempts import NotRunReason
 from bendwind_core.quotas import (
-    QuotaAsk,
-    QuotaBack,
     QuotaBounds,
     QuotaGrant,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     Waiter,
     cancel_wait,
     create_node_quotas,
-    flush_asks,
-    hear_reply,
+    flush_quota_requests,
+    handle_quota_reply,
     request_token,
     return_token,
     tick_node,
@@ -32,7 +32,7 @@
         return request_token(self.quotas, "maria", now + 0.25 if until is None else until, now)
 
     def flush(self, now):
-        return flush_asks(self.quotas, VOTERS, now)
+        return flush_quota_requests(self.quotas, VOTERS, now)
 
     def ask(self, now):
         """Have one request wait; return it and the ask that goes out for it."""
@@ -44,16 +44,16 @@
     def reply(self, effect, tokens, now, wait_ms=None, number=9):
         granted = QuotaGrant("maria", number, tokens, wait_ms)
         reply = QuotaReply(effect.message.number, 5, (granted,))
-        hear_reply(self.quotas, effect.to, reply, now)
+        handle_quota_reply(self.quotas, effect.to, reply, now)
 
     def test_requests_that_wait_share_an_ask_of_the_voter_in_use(self):
         self.request(0.0)
         self.request(0.0)
         (effect,) = self.flush(0.0)
-        self.assertEqual((effect.to, effect.message.wants[0].waiting), ("v1", 2))
+        self.assertEqual((effect.to, effect.message.demands[0].waiting), ("v1", 2))
         self.request(0.001)
         self.assertEqual(self.flush(0.001), [])
-        self.assertEqual(self.flush(0.01)[0].message.wants[0].waiting, 1)
+        self.assertEqual(self.flush(0.01)[0].message.demands[0].waiting, 1)
 
     def test_a_reply_that_comes_twice_grants_once(self):
         waiter, effect = self.ask(0.0)
@@ -66,7 +66,7 @@
     def test_a_reply_of_another_voter_grants_nothing(self):
         _, effect = self.ask(0.0)
         granted = QuotaReply(effect.message.number, 5, (QuotaGrant("maria", 1, 5),))
-        hear_reply(self.quotas, "v2", granted, 0.01)
+        handle_quota_reply(self.quotas, "v2", granted, 0.01)
         self.assertIsInstance(self.request(0.01), Waiter)
 
     def test_asks_of_two_runs_have_different_numbers(self):
@@ -85,7 +85,7 @@
     def test_what_was_kept_too_long_is_given_back(self):
         _, effect = self.ask(0.0)
         self.reply(effect, 3, 0.01)
-        (back,) = [e for e in tick_node(self.quotas, 1.0) if isinstance(e.message, QuotaBack)]
+        (back,) = [e for e in tick_node(self.quotas, 1.0) if isinstance(e.message, QuotaReturn)]
         self.assertEqual((back.to, back.message.run, back.message.unused[0].tokens), ("v1", 5, 2))
 
     def test_who_waited_since_before_the_ask_takes_a_token_however_late(self):
@@ -119,7 +119,7 @@
         tick_node(self.quotas, ANSWER_WAIT)
         (second,) = self.flush(ANSWER_WAIT)
         self.assertEqual((effect.to, second.to), ("v1", "v2"))
-        self.assertEqual(second.message.wants[0].waiting, 1)
+        self.assertEqual(second.message.demands[0].waiting, 1)
         self.request(0.5)
         self.assertEqual(self.flush(0.5)[0].to, "v2")
         later = ANSWER_WAIT + SILENT_FOR
@@ -158,19 +158,19 @@
         for number in range(100):
             self.request(0.01 * number)
         (effect,) = self.flush(1.0)
-        self.assertGreater(effect.message.wants[0].ahead, 0)
+        self.assertGreater(effect.message.demands[0].ahead, 0)
         self.setUp()
         for number in range(5):
             self.request(1.0 * number)
-        self.assertEqual(self.flush(5.0)[0].message.wants[0].ahead, 0)
+        self.assertEqual(self.flush(5.0)[0].message.demands[0].ahead, 0)
 
     def test_a_customer_that_is_silent_is_forgotten(self):
         _, effect = self.ask(0.0)
         self.reply(effect, 1, 0.01)
         tick_node(self.quotas, 0.02)
         tick_node(self.quotas, 2 * FORGET_AFTER)
-        self.assertFalse(self.quotas.stocks)
-        self.assertIsInstance(effect.message, QuotaAsk)
+        self.assertFalse(self.quotas.accounts)
+        self.assertIsInstance(effect.message, QuotaRequest)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_reserve.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_reserve.py
@@ -9,11 +9,11 @@
     QuotaReply,
     create_node_quotas,
     create_voter_quotas,
-    flush_asks,
-    hear_reply,
-    note_voters,
+    flush_quota_requests,
+    handle_quota_reply,
     request_token,
     tick_node,
+    update_voters,
 )
 from bendwind_core.quotas.bounds import Share
 from bendwind_core.quotas.reserve import (
@@ -67,7 +67,7 @@
     def test_nothing_is_handed_out_while_an_earlier_run_may_have_places_out(self):
         quotas = create_voter_quotas("v1", 1, QuotaBounds(WINDOW), 1, 1.0)
         self.assertEqual(quotas.reserve.opens_at, math.inf)
-        note_voters(quotas, 1, (), 5.0)
+        update_voters(quotas, 1, (), 5.0)
         self.reserve = quotas.reserve
         self.assertEqual(self.hand_out("n1", 2, 5.0 + KEPT_FOR + WINDOW), ())
         self.assertEqual(len(self.hand_out("n1", 2, 5.0 + find_pause(WINDOW))), 2)
@@ -108,11 +108,11 @@
 
     def ask(self, now, reserve=(), tokens=1):
         waiter = request_token(self.quotas, "maria", now + 0.25, now)
-        (effect,) = flush_asks(self.quotas, ("v1",), now)
+        (effect,) = flush_quota_requests(self.quotas, ("v1",), now)
         if tokens is not None:
             grants = (QuotaGrant("maria", 3, tokens, None, reserve),)
-            hear_reply(self.quotas, "v1", QuotaReply(effect.message.number, 1, grants), now)
-        return waiter, effect.message.wants[0]
+            handle_quota_reply(self.quotas, "v1", QuotaReply(effect.message.number, 1, grants), now)
+        return waiter, effect.message.demands[0]
 
     def test_a_request_that_no_voter_answered_takes_one_and_only_one(self):
         self.ask(0.0, reserve=(7,))
@@ -127,19 +127,19 @@
     def test_a_request_that_is_refused_for_want_takes_none(self):
         self.ask(0.0, reserve=(7,))
         waiter = request_token(self.quotas, "maria", 1.25, 1.0)
-        (effect,) = flush_asks(self.quotas, ("v1",), 1.0)
+        (effect,) = flush_quota_requests(self.quotas, ("v1",), 1.0)
         grants = (QuotaGrant("maria", 0, 0, 100.0),)
-        hear_reply(self.quotas, "v1", QuotaReply(effect.message.number, 1, grants), 1.0)
+        handle_quota_reply(self.quotas, "v1", QuotaReply(effect.message.number, 1, grants), 1.0)
         self.assertTrue(waiter.outcome.is_error())
         self.assertEqual(self.quotas.totals.reserve, 0)
 
     def test_what_a_late_answer_brings_ends_by_the_time_of_its_ask(self):
         waiter = request_token(self.quotas, "maria", 5.0, 0.0)
-        (effect,) = flush_asks(self.quotas, ("v1",), 0.0)
+        (effect,) = flush_quota_requests(self.quotas, ("v1",), 0.0)
         grants = (QuotaGrant("maria", 3, 1, None, (7,)),)
-        hear_reply(self.quotas, "v1", QuotaReply(effect.message.number, 1, grants), 1.5)
+        handle_quota_reply(self.quotas, "v1", QuotaReply(effect.message.number, 1, grants), 1.5)
         self.assertTrue(waiter.outcome.is_ok())
-        (held,) = self.quotas.stocks["maria"].reserve
+        (held,) = self.quotas.accounts["maria"].reserve
         self.assertLessEqual(held.expires_at, KEPT_FOR)
 
     def test_what_is_held_is_stated_some_times_before_it_ends(self):
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_voter.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_voter.py
@@ -3,24 +3,24 @@
 import unittest
 
 from bendwind_core.quotas import (
-    QuotaAsk,
-    QuotaBack,
     QuotaBounds,
+    QuotaDemand,
     QuotaLoan,
-    QuotaPull,
+    QuotaLoanRequest,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     QuotaUnused,
-    QuotaWant,
     Share,
     create_voter_quotas,
-    hear_ask,
-    hear_back,
-    hear_loan,
-    hear_pull,
-    note_configuration,
-    note_confirmed,
-    note_voters,
+    handle_quota_loan,
+    handle_quota_loan_request,
+    handle_quota_request,
+    handle_quota_return,
+    record_confirmation,
     tick_voter,
+    update_configuration,
+    update_voters,
 )
 from bendwind_core.quotas.voter import LENDER_WAIT
 from bendwind_core.quotas.voter_state import UNDONE_FOR
@@ -35,19 +35,21 @@
     """Make a voter that has been one for long, and a customer that is new."""
     quotas = create_voter_quotas("v1", run, BOUNDS, voters, CONFIRMED_FOR)
     peers = tuple(f"v{number}" for number in range(2, voters + 1))
-    note_voters(quotas, 1, peers, now)
-    note_confirmed(quotas, now)
+    update_voters(quotas, 1, peers, now)
+    record_confirmation(quotas, now)
     set_limit(quotas, rate, burst, now)
     return quotas
 
 
 def set_limit(quotas, rate, burst, now):
     listed = () if rate is None else (Customer("maria", rate_per_s=rate, burst=burst),)
-    note_configuration(quotas, Configuration(1, customers=listed), now)
+    update_configuration(quotas, Configuration(1, customers=listed), now)
 
 
 def ask(quotas, waiting, now, ahead=0, number=1):
-    effects = hear_ask(quotas, "n", QuotaAsk(number, (QuotaWant("maria", waiting, ahead),)), now)
+    effects = handle_quota_request(
+        quotas, "n", QuotaRequest(number, (QuotaDemand("maria", waiting, ahead),)), now
+    )
     return effects
 
 
@@ -81,43 +83,46 @@
     def test_without_a_young_confirmation_nothing_is_answered(self):
         quotas = create_voter()
         self.assertEqual(ask(quotas, 1, CONFIRMED_FOR), [])
-        note_confirmed(quotas, CONFIRMED_FOR)
+        record_confirmation(quotas, CONFIRMED_FOR)
         self.assertEqual(len(ask(quotas, 1, CONFIRMED_FOR)), 1)
 
     def test_nothing_is_lent_without_a_young_confirmation(self):
-        self.assertEqual(hear_pull(create_voter(), "v2", QuotaPull(1, "maria", 1.0), 5.0), [])
+        self.assertEqual(
+            handle_quota_loan_request(create_voter(), "v2", QuotaLoanRequest(1, "maria", 1.0), 5.0),
+            [],
+        )
 
     def test_a_voter_made_one_begins_empty_after_its_predecessor_stopped(self):
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
-        note_voters(quotas, None, (), 0.0)
+        update_voters(quotas, None, (), 0.0)
         set_limit(quotas, 10.0, 10.0, 0.0)
-        note_voters(quotas, 1, (), 5.0)
-        note_confirmed(quotas, 5.0)
+        update_voters(quotas, 1, (), 5.0)
+        record_confirmation(quotas, 5.0)
         self.assertEqual(ask(quotas, 1, 5.5), [])
-        note_confirmed(quotas, 6.5)
+        record_confirmation(quotas, 6.5)
         self.assertEqual(grant(quotas, 30, 6.52).tokens, 5)
 
     def test_a_process_that_hears_its_log_anew_waits_from_its_start(self):
         # Each process that came back after a loss of power granted nothing for a second more.
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
-        note_voters(quotas, None, (), 5.0)
-        note_voters(quotas, 1, (), 5.6)
+        update_voters(quotas, None, (), 5.0)
+        update_voters(quotas, 1, (), 5.6)
         set_limit(quotas, 10.0, 10.0, 5.6)
-        note_confirmed(quotas, 5.9)
+        record_confirmation(quotas, 5.9)
         self.assertEqual(ask(quotas, 1, 5.95), [])
         self.assertEqual(grant(quotas, 30, 6.52).tokens, 5)
 
     def test_a_voter_that_restarted_begins_empty(self):
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
-        note_voters(quotas, 1, (), 0.0)
+        update_voters(quotas, 1, (), 0.0)
         set_limit(quotas, 10.0, 10.0, 0.0)
-        note_confirmed(quotas, 0.0)
+        record_confirmation(quotas, 0.0)
         self.assertEqual(grant(quotas, 30, 0.52).tokens, 5)
 
     def test_a_voter_taken_out_and_in_again_begins_empty(self):
         quotas = create_voter()
-        note_voters(quotas, 2, (), 5.0)
-        note_confirmed(quotas, 6.0)
+        update_voters(quotas, 2, (), 5.0)
+        record_confirmation(quotas, 6.0)
         self.assertEqual(grant(quotas, 30, 6.52).tokens, 5)
 
 
@@ -157,8 +162,8 @@
 
     def test_a_customer_that_is_not_known_is_neither_granted_nor_refused(self):
         quotas = create_voter()
-        want = QuotaAsk(1, (QuotaWant("new", 1),))
-        (effect,) = hear_ask(quotas, "n", want, 0.0)
+        want = QuotaRequest(1, (QuotaDemand("new", 1),))
+        (effect,) = handle_quota_request(quotas, "n", want, 0.0)
         granted = effect.message.grants[0]
         self.assertEqual((granted.tokens, granted.wait_ms), (0, None))
 
@@ -173,9 +178,9 @@
 
     def test_a_customer_that_goes_while_buckets_fill_comes_back_with_what_it_had(self):
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
-        note_voters(quotas, 1, (), 0.0)
+        update_voters(quotas, 1, (), 0.0)
         set_limit(quotas, 10.0, 10.0, 0.0)
-        note_confirmed(quotas, 0.0)
+        record_confirmation(quotas, 0.0)
         set_limit(quotas, None, None, 0.3)
         set_limit(quotas, 10.0, 10.0, 0.3)
         self.assertEqual(grant(quotas, 30, 0.52).tokens, 5)
@@ -187,14 +192,14 @@
     def restart(self, *, version=3, is_known=False, confirmed_at=0.0):
         """Make a run that begins while the customer is not listed, or not limited."""
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
-        note_voters(quotas, 1, (), 0.0)
+        update_voters(quotas, 1, (), 0.0)
         listed = (Customer("maria"),) if is_known else None
-        note_configuration(quotas, Configuration(version, customers=listed), 0.0)
-        note_confirmed(quotas, confirmed_at)
+        update_configuration(quotas, Configuration(version, customers=listed), 0.0)
+        record_confirmation(quotas, confirmed_at)
         return quotas
 
     def count(self, quotas, now):
-        note_confirmed(quotas, now)
+        record_confirmation(quotas, now)
         return grant(quotas, 30, now).tokens
 
     def test_a_customer_put_back_after_a_restart_has_what_it_would_have_had(self):
@@ -206,8 +211,8 @@
 
     def test_one_put_back_after_another_place_was_taken_has_no_more(self):
         quotas = self.restart()
-        note_voters(quotas, 2, (), 2.0)
-        note_confirmed(quotas, 3.0)
+        update_voters(quotas, 2, (), 2.0)
+        record_confirmation(quotas, 3.0)
         set_limit(quotas, 10.0, 10.0, 3.0)
         self.assertEqual(self.count(quotas, 3.52), 5)
 
@@ -218,14 +223,14 @@
 
     def test_a_run_that_knows_all_customers_there_were_gives_a_new_one_its_burst(self):
         quotas = self.restart(version=0)
-        note_configuration(quotas, Configuration(1), 0.1)
+        update_configuration(quotas, Configuration(1), 0.1)
         set_limit(quotas, 10.0, 10.0, 0.2)
         self.assertEqual(self.count(quotas, 0.2), 11)
 
 
 class TestReturns(unittest.TestCase):
     def give_back(self, quotas, number, tokens, now=0.0, run=RUN):
-        hear_back(quotas, QuotaBack(run, (QuotaUnused(number, tokens),)), now)
+        handle_quota_return(quotas, QuotaReturn(run, (QuotaUnused(number, tokens),)), now)
 
     def test_what_comes_back_is_granted_again_once(self):
         quotas = create_voter()
@@ -253,7 +258,7 @@
         quotas = create_voter(0.01, 10.0)
         number = grant(quotas, 11, 0.0).number
         self.give_back(quotas, number, 5, now=UNDONE_FOR + 0.1)
-        note_confirmed(quotas, UNDONE_FOR)
+        record_confirmation(quotas, UNDONE_FOR)
         self.assertEqual(grant(quotas, 30, UNDONE_FOR + 0.1).tokens, 0)
 
 
@@ -266,12 +271,12 @@
     def pull(self, now=0.0, waiting=2):
         """Ask for more than there is; return the question to another voter."""
         (effect,) = ask(self.quotas, waiting, now, number=2)
-        self.assertIsInstance(effect.message, QuotaPull)
+        self.assertIsInstance(effect.message, QuotaLoanRequest)
         return effect
 
     def lend(self, effect, tokens, now=0.01, left=5.0, voter=None, run=3):
         loan = QuotaLoan(effect.message.number, run, "maria", 4, tokens, left)
-        return hear_loan(self.quotas, voter or effect.to, loan, now)
+        return handle_quota_loan(self.quotas, voter or effect.to, loan, now)
 
     def test_who_waits_is_answered_with_what_was_lent(self):
         (answer,) = self.lend(self.pull(), 2.0)
@@ -294,7 +299,7 @@
     def test_what_was_lent_too_much_ends_and_is_given_back(self):
         self.lend(self.pull(), 5.0)
         until = BOUNDS.loan_validity
-        note_confirmed(self.quotas, until)
+        record_confirmation(self.quotas, until)
         self.quotas.accounts["maria"].bucket.level = 0.0
         back = [effect for effect in tick_voter(self.quotas, until + 0.001)]
         self.assertEqual([effect.message.unused[0].tokens for effect in back], [3.0])
@@ -302,7 +307,9 @@
 
     def test_what_was_lent_is_not_lent_on(self):
         self.lend(self.pull(), 5.0)
-        (answer,) = hear_pull(self.quotas, "v3", QuotaPull(1, "maria", 5.0), 0.01)
+        (answer,) = handle_quota_loan_request(
+            self.quotas, "v3", QuotaLoanRequest(1, "maria", 5.0), 0.01
+        )
         self.assertLess(answer.message.tokens, 1.0)
 
     def test_a_voter_that_has_nothing_is_left_alone_for_a_while(self):
@@ -318,24 +325,24 @@
         effect = self.pull()
         (second,) = tick_voter(self.quotas, LENDER_WAIT)
         self.assertNotEqual(second.to, effect.to)
-        self.assertIsInstance(second.message, QuotaPull)
+        self.assertIsInstance(second.message, QuotaLoanRequest)
 
     def test_who_waits_is_answered_though_nobody_lends(self):
         self.pull()
         answers = []
         for tick in range(1, 20):
-            note_confirmed(self.quotas, 0.01 * tick)
+            record_confirmation(self.quotas, 0.01 * tick)
             answers += tick_voter(self.quotas, 0.01 * tick)
         told = [effect.message for effect in answers if isinstance(effect.message, QuotaReply)]
         self.assertEqual(len(told), 1)
 
     def test_lending_takes_from_the_bucket_and_returning_puts_it_back(self):
         lender = create_voter(30.0, 30.0, voters=3)
-        (answer,) = hear_pull(lender, "v2", QuotaPull(1, "maria", 6.0), 0.0)
+        (answer,) = handle_quota_loan_request(lender, "v2", QuotaLoanRequest(1, "maria", 6.0), 0.0)
         self.assertEqual(answer.message.tokens, 6.0)
         self.assertEqual(lender.accounts["maria"].bucket.level, 5.0)
         unused = QuotaUnused(answer.message.number, 2.5)
-        hear_back(lender, QuotaBack(RUN, (unused,)), 0.0)
+        handle_quota_return(lender, QuotaReturn(RUN, (unused,)), 0.0)
         self.assertEqual(lender.accounts["maria"].bucket.level, 7.5)
 
 
@@ -351,13 +358,13 @@
 
     def lend(self, pull, tokens, now, number=4, run=3):
         loan = QuotaLoan(pull.message.number, run, "maria", number, tokens, 5.0)
-        return hear_loan(self.quotas, pull.to, loan, now)
+        return handle_quota_loan(self.quotas, pull.to, loan, now)
 
     def list_back(self, now):
         return [
             (effect.to, effect.message)
             for effect in tick_voter(self.quotas, now)
-            if isinstance(effect.message, QuotaBack)
+            if isinstance(effect.message, QuotaReturn)
         ]
 
     def test_it_serves_those_who_wait_since_before_it_was_asked_for(self):
@@ -374,7 +381,7 @@
         self.lend(self.second, 2.0, LENDER_WAIT + 0.005, number=5)
         self.assertEqual(self.lend(self.pull, 6.0, LENDER_WAIT + 0.01), [])
         until = BOUNDS.loan_validity + LENDER_WAIT
-        back = QuotaBack(3, (QuotaUnused(4, 6.0),))
+        back = QuotaReturn(3, (QuotaUnused(4, 6.0),))
         self.assertEqual(self.list_back(until), [(self.pull.to, back)])
         self.assertEqual(self.list_back(until + 0.1), [])
 
@@ -382,13 +389,13 @@
         self.lend(self.second, 2.0, LENDER_WAIT + 0.005, number=5)
         until = BOUNDS.loan_validity + LENDER_WAIT
         self.lend(self.pull, 6.0, until)
-        back = QuotaBack(3, (QuotaUnused(4, 6.0),))
+        back = QuotaReturn(3, (QuotaUnused(4, 6.0),))
         self.assertEqual(self.list_back(until), [(self.pull.to, back)])
 
     def test_what_comes_for_a_customer_that_is_forgotten_goes_back_at_once(self):
-        note_voters(self.quotas, None, (), LENDER_WAIT)
+        update_voters(self.quotas, None, (), LENDER_WAIT)
         (effect,) = self.lend(self.pull, 6.0, LENDER_WAIT + 0.01)
-        back = QuotaBack(3, (QuotaUnused(4, 6.0),))
+        back = QuotaReturn(3, (QuotaUnused(4, 6.0),))
         self.assertEqual((effect.to, effect.message), (self.pull.to, back))
 
     def test_a_repeated_one_neither_counts_nor_goes_back_again(self):
@@ -396,12 +403,12 @@
             self.lend(self.pull, 2.0, LENDER_WAIT + 0.01)
         self.assertEqual(self.quotas.totals.borrowed, 2.0)
         self.lend(self.second, 0.0, LENDER_WAIT + 0.02)
-        note_voters(self.quotas, None, (), LENDER_WAIT)
+        update_voters(self.quotas, None, (), LENDER_WAIT)
         self.assertEqual(self.lend(self.pull, 2.0, LENDER_WAIT + 0.03), [])
 
     def test_one_of_whom_was_not_asked_is_not_taken(self):
         loan = QuotaLoan(self.pull.message.number, 3, "maria", 4, 2.0, 5.0)
-        self.assertEqual(hear_loan(self.quotas, "v9", loan, LENDER_WAIT + 0.01), [])
+        self.assertEqual(handle_quota_loan(self.quotas, "v9", loan, LENDER_WAIT + 0.01), [])
         self.assertEqual(self.quotas.totals.borrowed, 0.0)
 
     def test_questions_are_forgotten_when_the_lender_cannot_take_it_back_any_more(self):
@@ -416,8 +423,8 @@
     def setUp(self):
         bounds = QuotaBounds(10.0, 0.0, 0.0)
         self.quotas = create_voter_quotas("v1", RUN, bounds, 3, CONFIRMED_FOR)
-        note_voters(self.quotas, 1, ("v2", "v3"), 0.0)
-        note_confirmed(self.quotas, 0.0)
+        update_voters(self.quotas, 1, ("v2", "v3"), 0.0)
+        record_confirmation(self.quotas, 0.0)
         set_limit(self.quotas, 30.0, 30.0, 0.0)
         grant(self.quotas, 10, 0.0)
 
@@ -425,10 +432,10 @@
         (pull,) = ask(self.quotas, 2, 0.001, number=2)
         ask(self.quotas, 1, 0.002, number=3)
         loan = QuotaLoan(pull.message.number, 3, "maria", 4, 4.0, 5.0)
-        effects = hear_loan(self.quotas, pull.to, loan, 0.005)
+        effects = handle_quota_loan(self.quotas, pull.to, loan, 0.005)
         told = [e.message for e in effects if isinstance(e.message, QuotaReply)]
         self.assertEqual([(reply.number, reply.grants[0].tokens) for reply in told], [(2, 2)])
-        (back,) = [e for e in tick_voter(self.quotas, 0.01) if isinstance(e.message, QuotaBack)]
+        (back,) = [e for e in tick_voter(self.quotas, 0.01) if isinstance(e.message, QuotaReturn)]
         self.assertEqual(back.message.unused[0].tokens, 2.0)
 
 
@@ -441,7 +448,7 @@
         tick_voter(quotas, 60.0)
         self.assertFalse(quotas.accounts)
         self.assertFalse(quotas.takings)
-        note_confirmed(quotas, 60.0)
+        record_confirmation(quotas, 60.0)
         self.assertEqual(grant(quotas, 30, 60.0).tokens, 11)
 
 
--- a/packages/bendwind-core/src/bendwind_core/quotas/voter.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/voter.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Record, Seconds
-from bendwind_core.quotas.bucket import ROUNDING, fill, find_wait, put_back, take
+from bendwind_core.quotas.bucket import ROUNDING, find_wait, put_back, refill, take
 from bendwind_core.quotas.lenders import (
     choose_lender,
     forget_pulls,
@@ -15,14 +15,14 @@
     remember_pull,
 )
 from bendwind_core.quotas.messages import (
-    QuotaAsk,
-    QuotaBack,
+    QuotaDemand,
     QuotaGrant,
     QuotaLoan,
-    QuotaPull,
+    QuotaLoanRequest,
     QuotaReply,
+    QuotaRequest,
+    QuotaReturn,
     QuotaUnused,
-    QuotaWant,
 )
 from bendwind_core.quotas.reserve import forget_free, hand_out
 from bendwind_core.quotas.takings import count_available, count_whole, remember, take_tokens
@@ -30,10 +30,10 @@
 from bendwind_core.quotas.voter_state import (
     MAX_WAITING,
     UNDONE_FOR,
-    Account,
     Borrowed,
     Pulling,
     Taking,
+    VoterAccount,
     VoterQuotas,
     Waiting,
     find_account,
@@ -66,7 +66,9 @@
 Effects = list[QuotaSend]
 
 
-def hear_ask(quotas: VoterQuotas, node: str, ask: QuotaAsk, now: Seconds) -> Effects:
+def handle_quota_request(
+    quotas: VoterQuotas, node: str, ask: QuotaRequest, now: Seconds
+) -> Effects:
     """Answer a node, at once for all wants but those that wait for a loan."""
     effects: Effects = []
     if not quotas.may_grant(now):
@@ -74,7 +76,7 @@
         quotas.totals.unconfirmed += 1
         return effects
     grants = []
-    for want in ask.wants:
+    for want in ask.demands:
         grant = _answer_want(quotas, node, ask.number, want, now, effects)
         if grant is not None:
             grants.append(grant)
@@ -84,7 +86,7 @@
 
 
 def _answer_want(
-    quotas: VoterQuotas, node: str, number: int, want: QuotaWant, now: Seconds, effects: Effects
+    quotas: VoterQuotas, node: str, number: int, want: QuotaDemand, now: Seconds, effects: Effects
 ) -> QuotaGrant | None:
     account = find_account(quotas, want.customer, now)
     if account is None:
@@ -106,7 +108,7 @@
     return _grant(quotas, want.customer, account, want.waiting, 0, now)
 
 
-def _answer_without_account(quotas: VoterQuotas, want: QuotaWant) -> QuotaGrant:
+def _answer_without_account(quotas: VoterQuotas, want: QuotaDemand) -> QuotaGrant:
     if want.customer in quotas.unlimited:
         # The node has not heard yet that the limit is gone.
         return QuotaGrant(want.customer, 0, want.waiting)
@@ -118,7 +120,7 @@
 
 
 def _hand_out(
-    quotas: VoterQuotas, node: str, want: QuotaWant, account: Account, now: Seconds
+    quotas: VoterQuotas, node: str, want: QuotaDemand, account: VoterAccount, now: Seconds
 ) -> tuple[int, ...]:
     first = quotas.next_number
     quotas.next_number += want.reserve
@@ -127,7 +129,7 @@
 
 
 def _grant(
-    quotas: VoterQuotas, name: str, account: Account, waiting: int, ahead: int, now: Seconds
+    quotas: VoterQuotas, name: str, account: VoterAccount, waiting: int, ahead: int, now: Seconds
 ) -> QuotaGrant:
     """Grant what is there: whole tokens to those who wait, and half of the rest ahead."""
     whole = count_whole(account, now)
@@ -145,10 +147,10 @@
     return QuotaGrant(name, number, tokens, wait_ms)
 
 
-def _find_refusal_ms(account: Account, now: Seconds) -> float:
+def _find_refusal_ms(account: VoterAccount, now: Seconds) -> float:
     """Return when the asker should come back: each later than the one before, by one token."""
     waits = [find_wait(account.bucket, 1.0, now)]
-    waits += [lender.ask_from - now for lender in account.lenders.values()]
+    waits += [lender.available_at - now for lender in account.lenders.values()]
     room_at = max(now + min(waits), account.room_at + 1.0 / account.bucket.share.rate)
     account.room_at = min(room_at, now + LONGEST_REFUSAL)
     wait = max(SHORTEST_REFUSAL, account.room_at - now)
@@ -156,7 +158,7 @@
 
 
 def _seek_loan(
-    quotas: VoterQuotas, name: str, account: Account, now: Seconds, effects: Effects
+    quotas: VoterQuotas, name: str, account: VoterAccount, now: Seconds, effects: Effects
 ) -> None:
     """Ask the voter that had most by its last word, unless one is being asked."""
     if account.pulling is not None or not account.waiting:
@@ -173,10 +175,12 @@
     quotas.next_pull += 1
     account.pulling = Pulling(number, lender, now)
     remember_pull(quotas, account.pulling)
-    effects.append(QuotaSend(lender, QuotaPull(number, name, wanted + int(ahead))))
+    effects.append(QuotaSend(lender, QuotaLoanRequest(number, name, wanted + int(ahead))))
 
 
-def hear_pull(quotas: VoterQuotas, voter: str, pull: QuotaPull, now: Seconds) -> Effects:
+def handle_quota_loan_request(
+    quotas: VoterQuotas, voter: str, pull: QuotaLoanRequest, now: Seconds
+) -> Effects:
     """Lend what is not needed here in the next moment."""
     if not quotas.may_grant(now):
         return []
@@ -184,7 +188,7 @@
     if account is None:
         return [QuotaSend(voter, QuotaLoan(pull.number, quotas.run, pull.customer, 0, 0.0, 0.0))]
     bucket = account.bucket
-    fill(bucket, now)
+    refill(bucket, now)
     own_need = find_use(account, now) * LENDER_WAIT + sum(want.waiting for want in account.waiting)
     tokens = max(0.0, min(pull.tokens, bucket.level - own_need))
     number = 0
@@ -201,7 +205,7 @@
     return [QuotaSend(voter, loan)]
 
 
-def hear_loan(quotas: VoterQuotas, voter: str, loan: QuotaLoan, now: Seconds) -> Effects:
+def handle_quota_loan(quotas: VoterQuotas, voter: str, loan: QuotaLoan, now: Seconds) -> Effects:
     """Take over a loan, also a late one, and answer those who waited for it.
 
     Each question is answered once: a repeated loan finds it gone.
@@ -227,12 +231,12 @@
     if loan.tokens <= 0:
         return []
     unused = QuotaUnused(loan.number, loan.tokens)
-    return [QuotaSend(voter, QuotaBack(loan.run, (unused,)))]
+    return [QuotaSend(voter, QuotaReturn(loan.run, (unused,)))]
 
 
 def _take_loan(
     quotas: VoterQuotas,
-    account: Account,
+    account: VoterAccount,
     pulling: Pulling,
     loan: QuotaLoan,
     now: Seconds,
@@ -249,7 +253,7 @@
 
 
 def _settle(
-    quotas: VoterQuotas, name: str, account: Account, now: Seconds, effects: Effects
+    quotas: VoterQuotas, name: str, account: VoterAccount, now: Seconds, effects: Effects
 ) -> None:
     """Answer in turn whoever can have all it waits for, and all once nobody can lend."""
     _answer_ready(quotas, name, account, now, now, effects)
@@ -262,7 +266,7 @@
 def _answer_ready(
     quotas: VoterQuotas,
     name: str,
-    account: Account,
+    account: VoterAccount,
     since: Seconds,
     now: Seconds,
     effects: Effects,
@@ -275,7 +279,7 @@
 
 
 def _answer_first(
-    quotas: VoterQuotas, name: str, account: Account, now: Seconds, effects: Effects
+    quotas: VoterQuotas, name: str, account: VoterAccount, now: Seconds, effects: Effects
 ) -> None:
     want = account.waiting.popleft()
     quotas.waiting -= 1
@@ -283,7 +287,7 @@
     effects.append(QuotaSend(want.node, QuotaReply(want.number, quotas.run, (grant,))))
 
 
-def hear_back(quotas: VoterQuotas, back: QuotaBack, now: Seconds) -> None:
+def handle_quota_return(quotas: VoterQuotas, back: QuotaReturn, now: Seconds) -> None:
     """Put back what was granted or lent and not used; a repeated message changes nothing."""
     if back.run != quotas.run:
         return
@@ -319,7 +323,7 @@
     return effects
 
 
-def _give_back(account: Account, now: Seconds, effects: Effects) -> None:
+def _give_back(account: VoterAccount, now: Seconds, effects: Effects) -> None:
     over = [part for part in account.borrowed if part.expires_at <= now]
     account.borrowed = [
         part for part in account.borrowed if part.expires_at > now and part.tokens > ROUNDING
@@ -327,7 +331,7 @@
     for part in over:
         if part.tokens > ROUNDING:
             unused = QuotaUnused(part.number, part.tokens)
-            effects.append(QuotaSend(part.lender, QuotaBack(part.run, (unused,))))
+            effects.append(QuotaSend(part.lender, QuotaReturn(part.run, (unused,))))
 
 
 def _forget(quotas: VoterQuotas, now: Seconds) -> None:
--- a/packages/bendwind-core/src/bendwind_core/quotas/voter_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/voter_changes.py
@@ -14,7 +14,7 @@
 from bendwind_core.world import Configuration, Customer
 
 
-def note_voters(
+def update_voters(
     quotas: VoterQuotas, voter_id: int | None, peers: tuple[str, ...], now: Seconds
 ) -> None:
     """Take over the voters: this one's id among them, None if it is none, and the others' names.
@@ -52,7 +52,7 @@
     return (quotas.begun_at if is_starting else now) + quotas.confirmed_for - now
 
 
-def note_confirmed(quotas: VoterQuotas, started_at: Seconds) -> None:
+def record_confirmation(quotas: VoterQuotas, started_at: Seconds) -> None:
     """Hear that a quorum confirmed, since a time, that this is a voter and knows all limits."""
     if quotas.filling_from is None:
         return
@@ -63,7 +63,7 @@
     quotas.has_confirmed = True
 
 
-def note_configuration(quotas: VoterQuotas, configuration: Configuration, now: Seconds) -> None:
+def update_configuration(quotas: VoterQuotas, configuration: Configuration, now: Seconds) -> None:
     """Take over the customers' limits."""
     quotas.is_configured = quotas.is_configured or configuration.version > 0
     listed = configuration.customers or ()
--- a/packages/bendwind-core/src/bendwind_core/quotas/voter_state.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/voter_state.py
@@ -7,7 +7,7 @@
 
 from bendwind_core.core import Seconds
 from bendwind_core.quotas.bounds import QuotaBounds, Share, create_share
-from bendwind_core.quotas.bucket import Bucket, fill
+from bendwind_core.quotas.bucket import Bucket, refill
 from bendwind_core.quotas.reserve import Reserve
 from bendwind_core.world import Customer
 
@@ -76,10 +76,10 @@
     """Hold the last word of another voter about a customer; before `ask_from` it is left alone."""
 
     left: float
-    ask_from: Seconds
+    available_at: Seconds
 
 
-class Account(msgspec.Struct):
+class VoterAccount(msgspec.Struct):
     """Hold what a voter keeps of a customer that was asked for lately.
 
     Units: `use` in tokens a second, as of `used_at`; `granted` and `refused` in tokens.
@@ -137,7 +137,7 @@
     voter_id: int | None = None
     customers: dict[str, Customer] = msgspec.field(default_factory=dict)
     unlimited: frozenset[str] = frozenset()
-    accounts: dict[str, Account] = msgspec.field(default_factory=dict)
+    accounts: dict[str, VoterAccount] = msgspec.field(default_factory=dict)
     busy: dict[str, None] = msgspec.field(default_factory=dict)
     takings: collections.OrderedDict[int, Taking] = msgspec.field(
         default_factory=collections.OrderedDict
@@ -175,7 +175,7 @@
     return create_share(customer, quotas.bounds, quotas.kept_voters)
 
 
-def find_account(quotas: VoterQuotas, name: str, now: Seconds) -> Account | None:
+def find_account(quotas: VoterQuotas, name: str, now: Seconds) -> VoterAccount | None:
     """Return the account of a limited customer, made if there is none; None if it has no limit."""
     customer = quotas.customers.get(name)
     if customer is None:
@@ -191,12 +191,12 @@
 
 def add_account(
     quotas: VoterQuotas, name: str, share: Share, level: float, now: Seconds
-) -> Account:
+) -> VoterAccount:
     """Open an account whose bucket holds so much."""
     # A voter that took another's place fills nothing while its predecessor may still grant.
     filled_at = now if quotas.filling_from is None else max(now, quotas.filling_from)
     bucket = Bucket(share, level, filled_at, quotas.next_number)
-    account = Account(bucket, used_at=now)
+    account = VoterAccount(bucket, used_at=now)
     quotas.accounts[name] = account
     return account
 
@@ -208,11 +208,11 @@
     return min(share.cap, share.rate * max(0.0, now - quotas.filling_from))
 
 
-def is_forgettable(quotas: VoterQuotas, account: Account, now: Seconds) -> bool:
+def is_forgettable(quotas: VoterQuotas, account: VoterAccount, now: Seconds) -> bool:
     """Tell whether an account opened anew would hold the same."""
     if account.waiting or account.borrowed or account.pulling is not None:
         return False
     bucket = account.bucket
-    fill(bucket, now)
+    refill(bucket, now)
     is_full = bucket.level >= bucket.share.cap
     return is_full and _find_first_level(quotas, bucket.share, now) >= bucket.share.cap
--- a/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
@@ -22,7 +22,7 @@
     Unknown,
 )
 from bendwind_core.messages import Hello, PeerMessage
-from bendwind_core.quotas import QuotaAsk, QuotaBack, QuotaLoan, QuotaPull, QuotaReply
+from bendwind_core.quotas import QuotaLoan, QuotaLoanRequest, QuotaReply, QuotaRequest, QuotaReturn
 from bendwind_core.routing import LoadProbe, LoadReport
 from bendwind_node.calls.entry_node import EntryNode
 from bendwind_node.calls.owner_node import OwnerNode
@@ -56,7 +56,7 @@
 )
 _TO_VOTER = typing.get_args(consensus.ConsensusMessage)
 _TO_CLAIMS = typing.get_args(claim.ClaimMessage)
-_TO_VOTER_QUOTAS = (QuotaAsk, QuotaBack, QuotaLoan, QuotaPull)
+_TO_VOTER_QUOTAS = (QuotaRequest, QuotaReturn, QuotaLoan, QuotaLoanRequest)
 _TO_PLACER = (claim.ClaimCopied, claim.ClaimLeave)
 
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
@@ -6,7 +6,7 @@
 from bendwind_core.membership import messages as member
 from bendwind_core.messages import Goodbye, Hello
 from bendwind_core.messages.codec import PeerMessage
-from bendwind_core.quotas import QuotaAsk, QuotaBack, QuotaLoan, QuotaPull, QuotaReply
+from bendwind_core.quotas import QuotaLoan, QuotaLoanRequest, QuotaReply, QuotaRequest, QuotaReturn
 from bendwind_node.daemon.dispatcher import Dispatcher
 
 TO_NODE = (
@@ -40,10 +40,10 @@
 
     def test_questions_about_quotas_reach_the_voter_and_answers_the_node(self):
         self.assertEqual(self.find(QuotaReply), self.dispatcher._to_quotas)
-        for kind in (QuotaAsk, QuotaBack, QuotaLoan, QuotaPull):
+        for kind in (QuotaRequest, QuotaReturn, QuotaLoan, QuotaLoanRequest):
             self.assertIsNone(self.find(kind), kind)
         self.dispatcher.control = types.SimpleNamespace()
-        for kind in (QuotaAsk, QuotaBack, QuotaLoan, QuotaPull):
+        for kind in (QuotaRequest, QuotaReturn, QuotaLoan, QuotaLoanRequest):
             self.assertEqual(self.find(kind), self.dispatcher._to_voter_quotas, kind)
 
     def test_greetings_have_no_task(self):
--- a/packages/bendwind-node/src/bendwind_node/operators/quota_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/quota_routes.py
@@ -5,8 +5,8 @@
 
 from bendwind_core.core import Seconds
 from bendwind_core.quotas import VoterQuotas
-from bendwind_core.quotas.bucket import fill
-from bendwind_core.quotas.voter_state import Account
+from bendwind_core.quotas.bucket import refill
+from bendwind_core.quotas.voter_state import VoterAccount
 from bendwind_node.operators.http import Response, json_response
 
 # What an operator reads on one screen or looks for one name in; a voter may hold thousands.
@@ -68,10 +68,10 @@
     return json_response(200, view)
 
 
-def _show(quotas: VoterQuotas, name: str, account: Account, now: Seconds) -> QuotaView:
+def _show(quotas: VoterQuotas, name: str, account: VoterAccount, now: Seconds) -> QuotaView:
     customer = quotas.customers[name]
     bucket = account.bucket
-    fill(bucket, now)
+    refill(bucket, now)
     return QuotaView(
         name,
         customer.rate_per_s,
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_quotas.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_quotas.py
@@ -4,14 +4,14 @@
 import trio
 
 from bendwind_core.quotas import (
-    QuotaAsk,
     QuotaBounds,
-    QuotaWant,
+    QuotaDemand,
+    QuotaRequest,
     create_voter_quotas,
-    hear_ask,
-    note_configuration,
-    note_confirmed,
-    note_voters,
+    handle_quota_request,
+    record_confirmation,
+    update_configuration,
+    update_voters,
 )
 from bendwind_core.world import Configuration, Customer
 from bendwind_node.operators import OperatorAuthority
@@ -34,17 +34,17 @@
     def make_quotas(self, wants):
         now = trio.current_time()
         quotas = create_voter_quotas("v1", 1, QuotaBounds(10.0, 0.1, 0.0), 1, 1000.0)
-        note_voters(quotas, 1, (), now)
-        note_confirmed(quotas, now)
+        update_voters(quotas, 1, (), now)
+        record_confirmation(quotas, now)
         names = sorted({want.customer for want in wants} | {"silent"})
         customers = tuple(Customer(name, rate_per_s=0.001, burst=10.0) for name in names)
-        note_configuration(quotas, Configuration(1, customers=customers), now)
+        update_configuration(quotas, Configuration(1, customers=customers), now)
         for number, want in enumerate(wants):
-            hear_ask(quotas, "n", QuotaAsk(number, (want,)), now)
+            handle_quota_request(quotas, "n", QuotaRequest(number, (want,)), now)
         return quotas
 
     def test_shows_what_is_held_those_most_refused_first(self):
-        status, body = self.ask(wants=(QuotaWant("ana", 4), QuotaWant("maria", 14)))
+        status, body = self.ask(wants=(QuotaDemand("ana", 4), QuotaDemand("maria", 14)))
         self.assertEqual(status, 200)
         self.assertEqual((body["voter"], body["granting"], body["limited"]), ("v1", True, 3))
         self.assertEqual((body["granted"], body["refused"]), (15, 3))
@@ -53,7 +53,7 @@
         self.assertEqual((ana["customer"], ana["burst"], ana["level"]), ("ana", 10.0, 7.0))
 
     def test_shows_a_bounded_number(self):
-        wants = tuple(QuotaWant(f"c{number}", 1) for number in range(MOST_SHOWN + 10))
+        wants = tuple(QuotaDemand(f"c{number}", 1) for number in range(MOST_SHOWN + 10))
         _, body = self.ask(wants=wants)
         self.assertEqual(len(body["quotas"]), MOST_SHOWN)
         self.assertEqual(body["granted"], MOST_SHOWN + 10)
--- a/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
@@ -19,9 +19,9 @@
     Waiter,
     cancel_wait,
     create_node_quotas,
-    flush_asks,
+    flush_quota_requests,
+    handle_quota_reply,
     has_work,
-    hear_reply,
     request_token,
     return_token,
     tick_node,
@@ -103,12 +103,12 @@
     def _find_wake(self, now: Seconds) -> Seconds:
         if not has_work(self.quotas):
             return math.inf
-        due = max(now + _SHORTEST_TICK, self.quotas.ask_from)
-        return due if self.quotas.wanting else now + _TICK
+        due = max(now + _SHORTEST_TICK, self.quotas.next_request_at)
+        return due if self.quotas.to_request else now + _TICK
 
     def _wake(self) -> None:
         """Have the task look anew if there is something to do before it would next wake."""
-        due = self.quotas.ask_from if self.quotas.wanting else trio.current_time() + _TICK
+        due = self.quotas.next_request_at if self.quotas.to_request else trio.current_time() + _TICK
         if due < self._wake_at:
             self._has_work.set()
 
@@ -168,7 +168,7 @@
     def receive(self, sender: str, reply: QuotaReply) -> None:
         """Take over what a voter granted."""
         now = trio.current_time()
-        hear_reply(self.quotas, sender, reply, now)
+        handle_quota_reply(self.quotas, sender, reply, now)
         self._hand_out()
         self._flush(now)
         self._wake()
@@ -180,7 +180,7 @@
         self._flush(now)
 
     def _flush(self, now: Seconds) -> None:
-        for effect in flush_asks(self.quotas, self.list_voters(), now):
+        for effect in flush_quota_requests(self.quotas, self.list_voters(), now):
             self._carry_out(effect)
 
     def _carry_out(self, effect: QuotaSend) -> None:
--- a/packages/bendwind-node/src/bendwind_node/quotas/tests/test_tasks.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/tests/test_tasks.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from bendwind_core.attempts import NotRunReason
-from bendwind_core.quotas import QuotaAsk, QuotaBounds
+from bendwind_core.quotas import QuotaBounds, QuotaRequest
 from bendwind_core.timeline import EventKind
 from bendwind_core.world import Configuration
 from bendwind_node.quotas.tests.fakes import QuotaBench, make_customer
@@ -63,9 +63,9 @@
             self.assertLessEqual(taken, 30 * 1.1 + 10 + 10)
             self.assertEqual(refusal.reason, NotRunReason.OVER_QUOTA)
             self.assertGreater(refusal.retry_after_ms, 0)
-            asks = sum(isinstance(message, QuotaAsk) for _, _, message in bench.sent)
+            asks = sum(isinstance(message, QuotaRequest) for _, _, message in bench.sent)
             await count_taken(node, 80)
-            again = sum(isinstance(message, QuotaAsk) for _, _, message in bench.sent)
+            again = sum(isinstance(message, QuotaRequest) for _, _, message in bench.sent)
             self.assertEqual(asks, again)
 
         run(play)
@@ -99,8 +99,8 @@
                 for _ in range(3):
                     others.start_soon(take, node)
             self.assertLess(trio.current_time() - began, 0.01)
-            asks = [message for _, _, message in bench.sent if isinstance(message, QuotaAsk)]
-            self.assertEqual([ask.wants[0].waiting for ask in asks], [1, 3])
+            asks = [message for _, _, message in bench.sent if isinstance(message, QuotaRequest)]
+            self.assertEqual([ask.demands[0].waiting for ask in asks], [1, 3])
 
         run(play)
 
@@ -197,11 +197,11 @@
             for _ in range(200):
                 await take(node)
                 await trio.sleep(0.01)
-            stock = node.quotas.stocks["maria"]
+            stock = node.quotas.accounts["maria"]
             self.assertTrue(stock.batches)
             bench.lost.add("v0")
             # The clock counts the time for which the machine stood still.
-            await trio.sleep(QuotaBounds().age)
+            await trio.sleep(QuotaBounds().max_token_age)
             self.assertEqual((await take(node)).error.reason, NotRunReason.QUOTA_UNKNOWN)
 
         run(play)
--- a/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
@@ -8,22 +8,22 @@
 
 from bendwind_core.core import Record, Seconds
 from bendwind_core.quotas import (
-    QuotaAsk,
-    QuotaBack,
     QuotaBounds,
     QuotaLoan,
-    QuotaPull,
+    QuotaLoanRequest,
+    QuotaRequest,
+    QuotaReturn,
     QuotaSend,
     VoterQuotas,
     create_voter_quotas,
-    hear_ask,
-    hear_back,
-    hear_loan,
-    hear_pull,
-    note_configuration,
-    note_confirmed,
-    note_voters,
+    handle_quota_loan,
+    handle_quota_loan_request,
+    handle_quota_request,
+    handle_quota_return,
+    record_confirmation,
     tick_voter,
+    update_configuration,
+    update_voters,
 )
 from bendwind_core.world import Configuration, Customer
 
@@ -87,33 +87,33 @@
             self._voters = voters
             voter_id, names = voters
             others = tuple(name for name in names if name != self.quotas.name)
-            note_voters(self.quotas, voter_id, others, now)
+            update_voters(self.quotas, voter_id, others, now)
         configuration = self.control.configuration
         # Most changes of the configuration leave the customers alone; of the first one the quotas
         # have to know even so.
         is_first = configuration.version > 0 and not self.quotas.is_configured
         if is_first or configuration.customers is not self._customers:
             self._customers = configuration.customers
-            note_configuration(self.quotas, configuration, now)
+            update_configuration(self.quotas, configuration, now)
             self._has_work.set()
 
     def note_confirmed(self, started_at: Seconds) -> None:
         """Hear that all that was accepted before a time is known here."""
-        note_confirmed(self.quotas, started_at)
+        record_confirmation(self.quotas, started_at)
 
     def receive(self, sender: str, message: Record) -> None:
         """Answer a node or another voter."""
         now = trio.current_time()
         had_accounts = bool(self.quotas.accounts)
         match message:
-            case QuotaAsk():
-                self._carry_out(hear_ask(self.quotas, sender, message, now))
-            case QuotaPull():
-                self._carry_out(hear_pull(self.quotas, sender, message, now))
+            case QuotaRequest():
+                self._carry_out(handle_quota_request(self.quotas, sender, message, now))
+            case QuotaLoanRequest():
+                self._carry_out(handle_quota_loan_request(self.quotas, sender, message, now))
             case QuotaLoan():
-                self._carry_out(hear_loan(self.quotas, sender, message, now))
-            case QuotaBack():
-                hear_back(self.quotas, message, now)
+                self._carry_out(handle_quota_loan(self.quotas, sender, message, now))
+            case QuotaReturn():
+                handle_quota_return(self.quotas, message, now)
         if self.quotas.busy or not had_accounts:
             self._has_work.set()
 
