--- a/packages/bendwind-core/src/bendwind_core/quotas/bounds.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/bounds.py
@@ -1,14 +1,16 @@
-"""Split what a customer may have over what its quota states among buckets, age and reserve.
+"""Split a customer's permitted excess over its quota among buckets, token age and reserve.
 
-In any window W all nodes together may let (rate x W + burst) x (1 + overage) + slack requests run.
-What that is above rate x W is spent so:
+In any window of length W, all nodes together may run at most
+(rate x W + burst) x (1 + overage) + slack requests of a customer. The excess over rate x W is
+divided as follows:
 
-- the buckets of all voters hold burst x (1 + overage) + slack together
-- tokens may be `age` old when they are used, which costs rate x age = rate x W x overage / 2
-- the reserve may hold the rest, rate x W x overage / 2
+- The buckets of all voters together hold burst x (1 + overage) + slack tokens.
+- Tokens may be up to `max_token_age` old when they are used, which costs
+  rate x age = rate x W x overage / 2.
+- The reserve may hold the rest, rate x W x overage / 2.
 
-A bucket that cannot hold one token would have to gather the parts of each from other voters, so
-that the buckets take from the reserve what they lack to one token each.
+A bucket whose capacity is below one token would have to borrow fractions from other voters for each
+grant. Buckets therefore take from the reserve what each lacks to the capacity of one token.
 """
 
 import msgspec
@@ -17,20 +19,22 @@
 from bendwind_core.membership.settings import CLOCK_RATE_BOUND
 from bendwind_core.world import Customer
 
-# Customers plan by the second; ten of them even out what one upstream's pause makes of a steady
-# stream, and are short beside the minutes for which an overload is a matter for operators.
+# Customers plan in requests per second. Ten seconds even out the effect of one upstream's pause on
+# a steady stream, and are short compared with the minutes after which an overload is a matter for
+# operators.
 DEFAULT_WINDOW: Seconds = 10.0
-# A tenth above its rate is within what any service that is sized for a customer bears.
+# Any service that is sized for a customer tolerates a tenth above the customer's rate.
 DEFAULT_OVERAGE = 0.1
-# In requests: two tokens for each of five voters, so that a customer of few requests finds one at
-# any.
+# In requests: two tokens for each of five voters, so that a customer with few requests finds a
+# token at any voter.
 DEFAULT_SLACK = 10.0
-# Tokens age at nodes and, where one voter lent them to another, at voters: each may use half.
-_NODE_SHARE = 0.5
+# Tokens age at nodes and, if one voter lent them to another, also at voters. Each of the two may
+# use half of the maximum age.
+_NODE_AGE_SHARE = 0.5
 
 
 class QuotaBounds(msgspec.Struct, frozen=True):
-    """Hold how much more than its quota a customer may send.
+    """Hold how far a customer may exceed its quota.
 
     Units: `slack` in requests; `overage` is a share of what the quota permits in a window.
     """
@@ -41,26 +45,26 @@
 
     @property
     def max_token_age(self) -> Seconds:
-        """Return how old a token may be when it goes to a request that came after its ask."""
+        """Return the maximum age of a token for a request that arrived after the quota request."""
         return self.overage * self.window / 2 * (1 - CLOCK_RATE_BOUND)
 
     @property
     def node_validity(self) -> Seconds:
-        """Return for how long a node may keep a token, from when it asked for it."""
-        return self.max_token_age * _NODE_SHARE
+        """Return for how long a node may keep a token, counted from the node's quota request."""
+        return self.max_token_age * _NODE_AGE_SHARE
 
     @property
     def loan_validity(self) -> Seconds:
-        """Return for how long a voter may grant what another lent it, from when it asked."""
-        return self.max_token_age * (1 - _NODE_SHARE)
+        """Return for how long a voter may grant borrowed tokens, counted from its loan request."""
+        return self.max_token_age * (1 - _NODE_AGE_SHARE)
 
 
 class Share(msgspec.Struct, frozen=True):
-    """Hold one voter's part of a customer's quota.
+    """Hold one voter's share of a customer's quota.
 
-    The bucket fills at `rate` up to `cap`. `reserve` is how many tokens of this voter nodes may
-    hold for when no voter answers; it is paid for out of the overage.
-    Units: `rate` in tokens a second, `cap` and `reserve` in tokens.
+    The bucket refills at `rate` up to `cap`. `reserve` is the number of this voter's tokens that
+    nodes may hold for use while no voter answers; the overage pays for it.
+    Units: `rate` in tokens per second, `cap` and `reserve` in tokens.
     """
 
     rate: float
@@ -69,17 +73,18 @@
 
 
 def create_share(customer: Customer, bounds: QuotaBounds, voters: int) -> Share:
-    """Return one voter's part of a customer's quota, where `voters` share it."""
-    spare = customer.rate_per_s * bounds.window * bounds.overage / 2
-    held = customer.burst * (1 + bounds.overage) + bounds.slack
-    lacking = min(spare, max(0.0, voters - held))
+    """Return one voter's share of a customer's quota, which is split among `voters` voters."""
+    max_reserve = customer.rate_per_s * bounds.window * bounds.overage / 2
+    total_cap = customer.burst * (1 + bounds.overage) + bounds.slack
+    shortfall = min(max_reserve, max(0.0, voters - total_cap))
     rate = customer.rate_per_s / voters * (1 - CLOCK_RATE_BOUND)
-    return Share(rate, (held + lacking) / voters, (spare - lacking) / voters)
+    return Share(rate, (total_cap + shortfall) / voters, (max_reserve - shortfall) / voters)
 
 
 def find_max_requests(customer: Customer, bounds: QuotaBounds, window: Seconds) -> float:
     """Return how many requests of a customer may run in a window of this length."""
-    due = customer.rate_per_s * window + customer.burst
-    # The age of tokens is fixed by the settings: in a shorter window as many old ones may be used.
-    allowed = customer.rate_per_s * max(window, bounds.window) + customer.burst
-    return due + allowed * bounds.overage + bounds.slack
+    within_quota = customer.rate_per_s * window + customer.burst
+    # The maximum age of tokens depends only on the settings, so a shorter window may use as many
+    # old tokens as `bounds.window`.
+    overage_base = customer.rate_per_s * max(window, bounds.window) + customer.burst
+    return within_quota + overage_base * bounds.overage + bounds.slack
--- a/packages/bendwind-core/src/bendwind_core/quotas/lenders.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/lenders.py
@@ -1,66 +1,71 @@
-"""Keep in mind which other voters may be asked for a loan, and what they were asked."""
+"""Record which other voters can be asked for a loan, and which loan requests are pending."""
 
 from bendwind_core.core import Seconds
-from bendwind_core.quotas.bucket import ROUNDING
+from bendwind_core.quotas.bucket import ROUNDING_TOLERANCE
 from bendwind_core.quotas.messages import QuotaLoan
 from bendwind_core.quotas.voter_state import (
-    MAX_PULLS,
-    UNDONE_FOR,
+    MAX_PENDING_LOANS,
+    RETURN_PERIOD,
     Lender,
-    Pulling,
+    PendingLoan,
     VoterAccount,
     VoterQuotas,
 )
 
-# A lender that has nothing left is not asked again until it has filled by about a token. However
-# fast it fills, it is left alone for at least this long: it is short itself.
-SHORTEST_PAUSE: Seconds = 0.1
-# Room that comes back at a lender, by what is given back or by a raised limit, is found within
-# this.
-LONGEST_PAUSE: Seconds = 1.0
+# A lender that has no tokens left gets no further loan request until it has refilled by about one
+# token. However fast it refills, the pause is at least this long, because it is short of tokens
+# itself.
+MIN_LENDER_PAUSE: Seconds = 0.1
+# Tokens that become available at a lender through returns or a raised limit are found within this
+# time.
+MAX_LENDER_PAUSE: Seconds = 1.0
 
 
 def choose_lender(quotas: VoterQuotas, account: VoterAccount, now: Seconds) -> str | None:
-    """Return the voter that had most by its last word, None if all are left alone."""
-    free = [name for name in quotas.peers if _may_ask(account, name, now)]
-    unheard = account.bucket.share.cap
+    """Return the voter that last reported most lendable tokens, None if all are paused."""
+    available = [name for name in quotas.peers if _is_available(account, name, now)]
+    # A voter that has not reported yet counts as if its bucket were full.
+    unreported = account.bucket.share.cap
     return max(
-        free,
-        key=lambda name: account.lenders[name].left if name in account.lenders else unheard,
+        available,
+        key=lambda name: account.lenders[name].lendable if name in account.lenders else unreported,
         default=None,
     )
 
 
-def _may_ask(account: VoterAccount, name: str, now: Seconds) -> bool:
+def _is_available(account: VoterAccount, name: str, now: Seconds) -> bool:
     lender = account.lenders.get(name)
     return lender is None or now >= lender.available_at
 
 
-def remember_pull(quotas: VoterQuotas, pulling: Pulling) -> None:
-    """Keep a question in mind until it is answered, be it after it was given up."""
-    quotas.pulls[pulling.number] = pulling
-    if len(quotas.pulls) > MAX_PULLS:
-        quotas.pulls.popitem(last=False)
+def record_pending_loan(quotas: VoterQuotas, pending_loan: PendingLoan) -> None:
+    """Record a loan request until it is answered, also if it is abandoned meanwhile."""
+    quotas.pending_loans[pending_loan.number] = pending_loan
+    if len(quotas.pending_loans) > MAX_PENDING_LOANS:
+        quotas.pending_loans.popitem(last=False)
 
 
-def note_lender(account: VoterAccount, voter: str, loan: QuotaLoan, now: Seconds) -> None:
-    """Take over a voter's word about what it could still lend."""
+def record_lender(account: VoterAccount, voter: str, loan: QuotaLoan, now: Seconds) -> None:
+    """Record how many tokens a voter reports that it could still lend."""
     available_at = now
-    if loan.left <= ROUNDING:
+    if loan.lendable <= ROUNDING_TOLERANCE:
         until_token = 1.0 / account.bucket.share.rate
-        available_at = now + min(LONGEST_PAUSE, max(SHORTEST_PAUSE, until_token))
-    account.lenders[voter] = Lender(loan.left, available_at)
+        available_at = now + min(MAX_LENDER_PAUSE, max(MIN_LENDER_PAUSE, until_token))
+    account.lenders[voter] = Lender(loan.lendable, available_at)
 
 
-def give_up_pull(account: VoterAccount, now: Seconds) -> None:
-    """Wait no longer for a voter's answer; one that comes late is still heard."""
-    # A voter that is lost or cut off should not be waited for by every request.
-    account.lenders[account.pulling.lender] = Lender(0.0, now + LONGEST_PAUSE)
-    account.pulling = None
+def abandon_pending_loan(account: VoterAccount, now: Seconds) -> None:
+    """Stop waiting for a voter's answer; a late answer is still accepted."""
+    # Without this pause, each request would wait for a voter that is lost or cut off.
+    account.lenders[account.pending_loan.lender] = Lender(0.0, now + MAX_LENDER_PAUSE)
+    account.pending_loan = None
 
 
-def forget_pulls(quotas: VoterQuotas, now: Seconds) -> None:
-    """Forget the questions that nobody needs to answer any more."""
-    # The lender could not put back any more what it lent for these.
-    while quotas.pulls and now - next(iter(quotas.pulls.values())).sent_at > UNDONE_FOR:
-        quotas.pulls.popitem(last=False)
+def remove_expired_loans(quotas: VoterQuotas, now: Seconds) -> None:
+    """Remove loan requests that are too old for an answer to matter."""
+    # The lender could no longer refund tokens that it lent for these requests.
+    while (
+        quotas.pending_loans
+        and now - next(iter(quotas.pending_loans.values())).sent_at > RETURN_PERIOD
+    ):
+        quotas.pending_loans.popitem(last=False)
--- a/packages/bendwind-core/src/bendwind_core/quotas/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/messages.py
@@ -1,39 +1,40 @@
 """Define the messages about quotas between a node and a voter, and between voters.
 
-None of them is repeated. One that is lost loses its tokens; one that comes twice or late is
-recognised by its numbers and makes none.
+No message is sent again. The tokens of a lost message are lost; a duplicate or late message is
+recognised by its numbers and creates no tokens.
 """
 
 from bendwind_core.core import Milliseconds, Record
 
 
 class QuotaDemand(Record, frozen=True, array_like=True):
-    """Say how many tokens of a customer are waited for, and how many more are soon needed.
+    """State how many tokens of a customer requests wait for, and how many to prefetch.
 
-    `reserve` is how many more the node would like to reserve for when no voter answers, and `kept`
-    are the numbers of the reserved ones that it has of this voter and did not use.
+    `prefetch` is the number of further tokens that the node will soon need. `reserve` is how many
+    more tokens the node would like to reserve for use while no voter answers, and `held_numbers`
+    are the numbers of the unused reserved tokens that it holds from this voter.
     """
 
     customer: str
     waiting: int
-    ahead: int = 0
+    prefetch: int = 0
     reserve: int = 0
-    kept: tuple[int, ...] = ()
+    held_numbers: tuple[int, ...] = ()
 
 
 class QuotaRequest(Record, frozen=True, array_like=True, tag="quota?"):
-    """Ask a voter for tokens; `number` is new with each ask of one run of a node."""
+    """Request tokens from a voter; `number` is unique for each request of one run of a node."""
 
     number: int
     demands: tuple[QuotaDemand, ...]
 
 
 class QuotaGrant(Record, frozen=True, array_like=True):
-    """Grant tokens of one customer; `number` is new with each grant of one run of a voter.
+    """Grant tokens of one customer; `number` is unique for each grant of one run of a voter.
 
-    `reserve` are the numbers of the tokens that the node may hold for when no voter answers.
-    Units: `wait_ms` is when there is room again; None where nobody is refused, be it that all who
-    wait got a token or that they may ask again.
+    `reserve` are the numbers of the tokens that the node may hold for use while no voter answers.
+    Units: `wait_ms` is the time until tokens are available again. It is None if nobody is refused:
+    either each waiting request gets a token, or the node may send a new request for the rest.
     """
 
     customer: str
@@ -44,7 +45,7 @@
 
 
 class QuotaReply(Record, frozen=True, array_like=True, tag="quota"):
-    """Answer some or all wants of an ask; `run` is the voter's."""
+    """Answer some or all demands of a quota request; `run` is the voter's run."""
 
     number: int
     run: int
@@ -52,21 +53,24 @@
 
 
 class QuotaUnused(Record, frozen=True, array_like=True):
-    """Say how many tokens of a grant, of all its life, were not used and never will be."""
+    """State the total number of tokens of a grant or loan that will never be used.
+
+    `tokens` is the sum since the grant or loan was made; `number` is that of the grant or loan.
+    """
 
     number: int
     tokens: float
 
 
 class QuotaReturn(Record, frozen=True, array_like=True, tag="quota-back"):
-    """Give tokens back to the run of a voter that granted or lent them."""
+    """Return tokens to the run of a voter that granted or lent them."""
 
     run: int
     unused: tuple[QuotaUnused, ...]
 
 
 class QuotaLoanRequest(Record, frozen=True, array_like=True, tag="quota-pull"):
-    """Ask another voter to lend tokens of a customer; `number` is new in the voter's run."""
+    """Request a loan of a customer's tokens; `number` is unique within the voter's run."""
 
     number: int
     customer: str
@@ -74,14 +78,15 @@
 
 
 class QuotaLoan(Record, frozen=True, array_like=True, tag="quota-loan"):
-    """Lend tokens: `pull` is the number of the question, `number` that of the loan.
+    """Lend tokens: `request_number` is that of the loan request, `number` that of the loan.
 
-    Units: `tokens`, and `left`, which the lender could still lend, in tokens or parts of one.
+    `lendable` is how many more tokens the lender could lend.
+    Units: `tokens` and `lendable` in tokens or fractions of a token.
     """
 
-    pull: int
+    request_number: int
     run: int
     customer: str
     number: int
     tokens: float
-    left: float
+    lendable: float
--- a/packages/bendwind-core/src/bendwind_core/quotas/node.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/node.py
@@ -1,7 +1,8 @@
-"""Decide what a node does about quotas: keep tokens shortly, ask for them, give them back.
+"""Decide what a node does about quotas: keep tokens briefly, request and return them.
 
-Tokens end by their age, counted from the ask that brought them, so that they cannot gather. Only a
-request that came before that ask was sent takes one of any age: it waited all the while.
+Tokens expire by their age, counted from the quota request that obtained them, so that they cannot
+accumulate. Only a request that arrived before that quota request was sent may take a token of any
+age, because it has waited since then.
 """
 
 import math
@@ -10,6 +11,7 @@
 
 from bendwind_core.attempts.messages import NotRunReason
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
+from bendwind_core.quotas.demand_rate import find_demand_rate, record_demand
 from bendwind_core.quotas.messages import (
     QuotaDemand,
     QuotaGrant,
@@ -19,334 +21,352 @@
     QuotaUnused,
 )
 from bendwind_core.quotas.node_state import (
-    Ask,
     Batch,
     Grant,
     NodeAccount,
     NodeQuotas,
+    PendingRequest,
     QuotaRefusal,
     Waiter,
 )
 from bendwind_core.quotas.reserve import (
-    MOST_HELD,
-    RENEWED_EACH,
-    drop_ended,
-    take_over,
+    MAX_RESERVE_TOKENS,
+    RENEWAL_INTERVAL,
+    list_unexpired,
+    merge_reserve_tokens,
 )
-from bendwind_core.quotas.use import find_use, note_use
 from bendwind_core.quotas.voter import Effects, QuotaSend
 
-# An answer takes a round trip and, where the voter has to borrow, up to two more. A request waits
-# at most a quarter of a second for its token, so that a second voter can be asked in that time.
-ANSWER_WAIT: Seconds = 0.1
-# A voter that did not answer is passed over for so long: each ask to a lost one would keep requests
-# waiting for `ANSWER_WAIT`, and one that is back should soon be used again.
-SILENT_FOR: Seconds = 1.0
-# Asks are at least so far apart, and what is wanted meanwhile shares the next one. That is little
-# beside the wait for an answer, and bounds what one node asks of its voter to 200 messages a
-# second.
-ASK_GAP: Seconds = 0.005
-# Tokens are kept for what is needed in this time, so that a busy customer's requests never wait;
-# where they are valid for less, for most of what they are.
-AHEAD_FOR: Seconds = 0.25
-AHEAD_SHARE = 0.8
-# Tokens to give back are gathered for so long, so that one message returns those of many requests;
-# another caller of the customer can use them soon after.
-GIVE_BACK_EACH: Seconds = 0.05
-# What a node knows of a customer is forgotten after so long without a request: its use has faded to
-# a thousandth by then, and what is kept of one takes 2 kB.
-FORGET_AFTER: Seconds = 10.0
-# An ask is remembered for so long, so that the tokens of a late answer can be given back. Those of
-# a later one are lost, and the customer's bucket fills again.
-LATE_FOR: Seconds = 2.0
-# Asks under way: more than `ASK_GAP` lets be sent within `LATE_FOR`, which bounds memory.
-MAX_ASKS = 1024
-# Customers in one ask: a voter answers so many within a millisecond, so that no node holds up the
-# others. Further customers are in the next ask.
-MAX_WANTS = 64
-# Requests that wait for a token; a further one is refused, so that memory stays bounded.
-MAX_WAITING = 65_536
-# Grants of which tokens are to be given back with the next messages; of further ones they are lost,
-# which lets nobody send more.
-MAX_BACK = 4096
-# No voter answers while a leader is elected or all voters restart, which is over in about a second;
-# a caller that retries once had better do so afterwards.
+# A reply takes a round trip and, if the voter has to borrow, up to two more. A request waits at
+# most a quarter of a second for its token, so this leaves time to ask a second voter.
+REPLY_TIMEOUT: Seconds = 0.1
+# A voter that did not answer is passed over for this long. Each quota request to a lost voter would
+# keep requests waiting for `REPLY_TIMEOUT`, and a voter that is back should soon be used again.
+SILENT_VOTER_PAUSE: Seconds = 1.0
+# Minimum time between quota requests; demand that arises meanwhile shares the next one. This is
+# short compared with the wait for a reply, and limits a node to 200 messages a second to its voter.
+MIN_REQUEST_INTERVAL: Seconds = 0.005
+# Tokens are prefetched for the demand of this period, so that a busy customer's requests never
+# wait. If tokens are valid for less, they are prefetched for most of their validity.
+PREFETCH_PERIOD: Seconds = 0.25
+PREFETCH_VALIDITY_SHARE = 0.8
+# Tokens to return are collected for this long, so that one message returns those of many requests.
+# Another caller of the customer can use them soon after.
+RETURN_INTERVAL: Seconds = 0.05
+# A customer's account is evicted after this time without a request: its demand rate has decayed to
+# a thousandth by then. An account takes 2 kB.
+EVICT_AFTER: Seconds = 10.0
+# A quota request is remembered for this long, so that the tokens of a late reply can be returned.
+# The tokens of an even later reply are lost, and the customer's bucket refills.
+LATE_REPLY_PERIOD: Seconds = 2.0
+# Pending quota requests: more than `MIN_REQUEST_INTERVAL` permits within `LATE_REPLY_PERIOD`, which
+# bounds memory.
+MAX_PENDING_REQUESTS = 1024
+# Customers in one quota request. A voter answers this many within a millisecond, so that no node
+# delays the others. Further customers are in the next quota request.
+MAX_DEMANDS = 64
+# Requests that wait for a token. Further requests are refused, which bounds memory.
+MAX_WAITERS = 65_536
+# Grants whose tokens are returned with the next messages. Tokens of further grants are lost, which
+# lets nobody send more than permitted.
+MAX_PENDING_RETURNS = 4096
+# No voter answers while a leader is elected or all voters restart, which takes about a second. A
+# caller that retries only once should do so afterwards.
 UNKNOWN_RETRY_MS: Milliseconds = 1000.0
 
 
 def request_token(
     quotas: NodeQuotas, customer: str, until: Seconds, now: Seconds
 ) -> Result[Grant, QuotaRefusal] | Waiter:
-    """Take a token for a request, refuse it, or have it wait, at most until a time."""
-    stock = quotas.accounts.get(customer)
-    if stock is None:
-        stock = quotas.accounts[customer] = NodeAccount(used_at=now)
-    note_use(stock, 1, now)
-    grant = _take_from_stock(quotas, stock, now)
+    """Take a token for a request, refuse the request, or let it wait, at most until `until`."""
+    account = quotas.accounts.get(customer)
+    if account is None:
+        account = quotas.accounts[customer] = NodeAccount(last_demand_at=now)
+    record_demand(account, 1, now)
+    grant = _pop_token(quotas, account, now)
     if grant is not None:
         quotas.totals.taken += 1
-        if _count_ahead(quotas, stock, now) > 0:
+        if _count_prefetch(quotas, account, now) > 0:
             quotas.to_request[customer] = None
         return Ok(grant)
-    if now < stock.refused_until:
-        return Error(_refuse_over(quotas, stock, now))
-    if quotas.waiting >= MAX_WAITING:
-        return Error(_refuse_unknown(quotas))
+    if now < account.refused_until:
+        return Error(_refuse_over_quota(quotas, account, now))
+    if quotas.waiter_count >= MAX_WAITERS:
+        return Error(_refuse_quota_unknown(quotas))
     waiter = Waiter(customer, now, until)
-    stock.waiting.append(waiter)
-    quotas.waiting += 1
+    account.waiters.append(waiter)
+    quotas.waiter_count += 1
     quotas.to_request[customer] = None
     return waiter
 
 
-def _take_from_stock(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> Grant | None:
-    _drop_old(quotas, stock, now)
-    if not stock.batches:
+def _pop_token(quotas: NodeQuotas, account: NodeAccount, now: Seconds) -> Grant | None:
+    _return_expired_tokens(quotas, account, now)
+    if not account.batches:
         return None
-    batch = stock.batches[0]
-    batch.left -= 1
-    if not batch.left:
-        stock.batches.popleft()
+    batch = account.batches[0]
+    batch.remaining -= 1
+    if not batch.remaining:
+        account.batches.popleft()
     return batch.grant
 
 
-def _drop_old(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> None:
-    """Give back the tokens that are too old."""
-    while stock.batches and stock.batches[0].expires_at <= now:
-        batch = stock.batches.popleft()
-        _put_back(quotas, batch.grant, batch.left)
+def _return_expired_tokens(quotas: NodeQuotas, account: NodeAccount, now: Seconds) -> None:
+    """Return the tokens that are too old."""
+    while account.batches and account.batches[0].expires_at <= now:
+        batch = account.batches.popleft()
+        _queue_return(quotas, batch.grant, batch.remaining)
 
 
-def _put_back(quotas: NodeQuotas, grant: Grant, tokens: int) -> None:
+def _queue_return(quotas: NodeQuotas, grant: Grant, tokens: int) -> None:
     if not tokens:
         return
-    grant.back += tokens
+    grant.returned += tokens
     quotas.totals.returned += tokens
-    if len(quotas.back) < MAX_BACK:
-        quotas.back[grant.voter, grant.run, grant.number] = grant
+    if len(quotas.to_return) < MAX_PENDING_RETURNS:
+        quotas.to_return[grant.voter, grant.run, grant.number] = grant
 
 
 def return_token(quotas: NodeQuotas, grant: Grant) -> None:
-    """Give back the token of a request that did not run."""
-    _put_back(quotas, grant, 1)
+    """Return the token of a request that did not run."""
+    _queue_return(quotas, grant, 1)
 
 
 def cancel_wait(quotas: NodeQuotas, waiter: Waiter) -> None:
-    """Forget a request that waits no longer; its token goes to another one."""
-    stock = quotas.accounts.get(waiter.customer)
-    if waiter.outcome is None and stock is not None and waiter in stock.waiting:
-        stock.waiting.remove(waiter)
-        quotas.waiting -= 1
+    """Remove a request that no longer waits; its token goes to another one."""
+    account = quotas.accounts.get(waiter.customer)
+    if waiter.outcome is None and account is not None and waiter in account.waiters:
+        account.waiters.remove(waiter)
+        quotas.waiter_count -= 1
     elif waiter.outcome is not None and waiter.outcome.is_ok():
         return_token(quotas, waiter.outcome.ok)
 
 
-def _count_ahead(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> int:
-    """Return how many tokens to ask for beside those that are waited for."""
-    ahead_for = min(AHEAD_FOR, AHEAD_SHARE * quotas.bounds.node_validity)
-    needed = int(find_use(stock, now) * ahead_for)
-    has = sum(batch.left for batch in stock.batches) + stock.asked
-    # Asked for only when half is gone, so that a busy customer costs some asks a second, not one a
-    # request.
-    return 0 if 2 * has > needed else needed - has
+def _count_prefetch(quotas: NodeQuotas, account: NodeAccount, now: Seconds) -> int:
+    """Return how many tokens to request in addition to those that requests wait for."""
+    prefetch_period = min(PREFETCH_PERIOD, PREFETCH_VALIDITY_SHARE * quotas.bounds.node_validity)
+    needed = int(find_demand_rate(account, now) * prefetch_period)
+    expected = sum(batch.remaining for batch in account.batches) + account.requested
+    # Tokens are requested only when half are gone, so that a busy customer costs a few quota
+    # requests a second, not one for each request.
+    return 0 if 2 * expected > needed else needed - expected
 
 
-def _refuse_over(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> QuotaRefusal:
+def _refuse_over_quota(quotas: NodeQuotas, account: NodeAccount, now: Seconds) -> QuotaRefusal:
     quotas.totals.refused += 1
-    wait_ms = max(0.0, stock.refused_until - now) * MILLISECONDS_PER_SECOND
-    return QuotaRefusal(NotRunReason.OVER_QUOTA, wait_ms, stock.refused_by)
+    wait_ms = max(0.0, account.refused_until - now) * MILLISECONDS_PER_SECOND
+    return QuotaRefusal(NotRunReason.OVER_QUOTA, wait_ms, account.refused_by)
 
 
-def _refuse_unknown(quotas: NodeQuotas) -> QuotaRefusal:
+def _refuse_quota_unknown(quotas: NodeQuotas) -> QuotaRefusal:
     quotas.totals.unknown += 1
     return QuotaRefusal(NotRunReason.QUOTA_UNKNOWN, UNKNOWN_RETRY_MS)
 
 
 def flush_quota_requests(quotas: NodeQuotas, voters: tuple[str, ...], now: Seconds) -> Effects:
-    """Ask for all that is wanted; `voters` are in the order in which this node uses them."""
+    """Request the tokens that customers need; `voters` are in this node's order of preference."""
     if not quotas.to_request or now < quotas.next_request_at or not voters:
         return []
-    if len(quotas.asks) >= MAX_ASKS:
+    if len(quotas.pending_requests) >= MAX_PENDING_REQUESTS:
         return []
     voter = _choose_voter(quotas, voters, now)
     demands = []
-    for customer in tuple(quotas.to_request)[:MAX_WANTS]:
+    for customer in tuple(quotas.to_request)[:MAX_DEMANDS]:
         del quotas.to_request[customer]
-        want = _make_want(quotas, customer, voter, now)
-        if want is not None:
-            demands.append(want)
+        demand = _create_demand(quotas, customer, voter, now)
+        if demand is not None:
+            demands.append(demand)
     if not demands:
         return []
-    quotas.next_request_at = now + ASK_GAP
-    number = quotas.next_ask
-    quotas.next_ask += 1
-    asked = {want.customer: want.waiting + want.ahead for want in demands}
-    kept = {want.customer: want.kept for want in demands if want.kept}
-    quotas.asks[number] = Ask(number, voter, now, asked, kept)
+    quotas.next_request_at = now + MIN_REQUEST_INTERVAL
+    number = quotas.next_request_number
+    quotas.next_request_number += 1
+    requested = {demand.customer: demand.waiting + demand.prefetch for demand in demands}
+    held_numbers = {
+        demand.customer: demand.held_numbers for demand in demands if demand.held_numbers
+    }
+    quotas.pending_requests[number] = PendingRequest(number, voter, now, requested, held_numbers)
     quotas.totals.asks += 1
     return [QuotaSend(voter, QuotaRequest(number, tuple(demands)))]
 
 
-def _make_want(quotas: NodeQuotas, customer: str, voter: str, now: Seconds) -> QuotaDemand | None:
-    stock = quotas.accounts.get(customer)
-    if stock is None:
+def _create_demand(
+    quotas: NodeQuotas, customer: str, voter: str, now: Seconds
+) -> QuotaDemand | None:
+    account = quotas.accounts.get(customer)
+    if account is None:
         return None
-    waiting = max(0, len(stock.waiting) - stock.asked)
-    ahead = _count_ahead(quotas, stock, now)
-    if not waiting and not ahead:
+    waiting = max(0, len(account.waiters) - account.requested)
+    prefetch = _count_prefetch(quotas, account, now)
+    if not waiting and not prefetch:
         return None
-    stock.asked += waiting + ahead
-    if now < stock.reserve_at:
-        return QuotaDemand(customer, waiting, ahead)
-    stock.reserve_at = now + RENEWED_EACH
-    stock.reserve = drop_ended(stock.reserve, now)
-    wished = max(0, min(MOST_HELD, round(stock.use)) - len(stock.reserve))
-    kept = tuple(token.number for token in stock.reserve if token.voter == voter)
-    return QuotaDemand(customer, waiting, ahead, wished, kept)
+    account.requested += waiting + prefetch
+    if now < account.renew_reserve_at:
+        return QuotaDemand(customer, waiting, prefetch)
+    account.renew_reserve_at = now + RENEWAL_INTERVAL
+    account.reserve = list_unexpired(account.reserve, now)
+    wanted = max(0, min(MAX_RESERVE_TOKENS, round(account.demand_rate)) - len(account.reserve))
+    held_numbers = tuple(token.number for token in account.reserve if token.voter == voter)
+    return QuotaDemand(customer, waiting, prefetch, wanted, held_numbers)
 
 
 def _choose_voter(quotas: NodeQuotas, voters: tuple[str, ...], now: Seconds) -> str:
     for voter in voters:
-        if quotas.silent.get(voter, -math.inf) <= now:
+        if quotas.silent_until.get(voter, -math.inf) <= now:
             return voter
-    return min(voters, key=lambda voter: quotas.silent[voter])
+    return min(voters, key=lambda voter: quotas.silent_until[voter])
 
 
 def handle_quota_reply(quotas: NodeQuotas, voter: str, reply: QuotaReply, now: Seconds) -> None:
-    """Give the granted tokens to those who wait, and refuse those for whom there are none."""
-    ask = quotas.asks.get(reply.number)
-    if ask is None or ask.voter != voter:
+    """Give the granted tokens to waiting requests, and refuse those without tokens."""
+    pending = quotas.pending_requests.get(reply.number)
+    if pending is None or pending.voter != voter:
         return
-    quotas.silent.pop(voter, None)
-    for grant in reply.grants:
-        asked = ask.demands.pop(grant.customer, None)
-        if asked is None:
+    quotas.silent_until.pop(voter, None)
+    for granted in reply.grants:
+        requested = pending.demands.pop(granted.customer, None)
+        if requested is None:
             continue
-        stock = quotas.accounts.get(grant.customer)
-        granted = Grant(voter, reply.run, grant.number)
-        if stock is None:
-            _put_back(quotas, granted, grant.tokens)
+        account = quotas.accounts.get(granted.customer)
+        grant = Grant(voter, reply.run, granted.number)
+        if account is None:
+            _queue_return(quotas, grant, granted.tokens)
             continue
-        if not ask.is_late:
-            stock.asked -= asked
-        _take_over(quotas, stock, granted, grant, ask, now)
-    if not ask.demands:
-        del quotas.asks[reply.number]
-
-
-def _take_over(
-    quotas: NodeQuotas, stock: NodeAccount, grant: Grant, told: QuotaGrant, ask: Ask, now: Seconds
+        if not pending.is_late:
+            account.requested -= requested
+        _apply_grant(quotas, account, grant, granted, pending, now)
+    if not pending.demands:
+        del quotas.pending_requests[reply.number]
+
+
+def _apply_grant(
+    quotas: NodeQuotas,
+    account: NodeAccount,
+    grant: Grant,
+    granted: QuotaGrant,
+    pending: PendingRequest,
+    now: Seconds,
 ) -> None:
-    if told.reserve:
-        kept = ask.kept.get(told.customer, ())
-        take_over(stock.reserve, grant.voter, kept, told.reserve, ask.sent_at)
-    left = told.tokens
-    expires_at = ask.sent_at + quotas.bounds.node_validity
-    while left and stock.waiting:
-        if stock.waiting[0].arrived_at > ask.sent_at and now >= expires_at:
+    if granted.reserve:
+        held_numbers = pending.held_numbers.get(granted.customer, ())
+        merge_reserve_tokens(
+            account.reserve, grant.voter, held_numbers, granted.reserve, pending.sent_at
+        )
+    remaining = granted.tokens
+    expires_at = pending.sent_at + quotas.bounds.node_validity
+    while remaining and account.waiters:
+        if account.waiters[0].arrived_at > pending.sent_at and now >= expires_at:
             break
-        left -= 1
+        remaining -= 1
         quotas.totals.taken += 1
-        _settle(quotas, stock.waiting.popleft(), Ok(grant))
-    if left and now < expires_at:
-        stock.batches.append(Batch(grant, left, expires_at))
+        _settle(quotas, account.waiters.popleft(), Ok(grant))
+    if remaining and now < expires_at:
+        account.batches.append(Batch(grant, remaining, expires_at))
     else:
-        _put_back(quotas, grant, left)
-    if told.wait_ms is not None:
-        stock.refused_until = now + told.wait_ms / MILLISECONDS_PER_SECOND
-        stock.refused_by = grant.voter
-        while stock.waiting:
-            _settle(quotas, stock.waiting.popleft(), Error(_refuse_over(quotas, stock, now)))
+        _queue_return(quotas, grant, remaining)
+    if granted.wait_ms is not None:
+        account.refused_until = now + granted.wait_ms / MILLISECONDS_PER_SECOND
+        account.refused_by = grant.voter
+        while account.waiters:
+            _settle(
+                quotas, account.waiters.popleft(), Error(_refuse_over_quota(quotas, account, now))
+            )
 
 
 def _settle(quotas: NodeQuotas, waiter: Waiter, outcome: Result[Grant, QuotaRefusal]) -> None:
     waiter.outcome = outcome
-    quotas.waiting -= 1
+    quotas.waiter_count -= 1
     quotas.settled.append(waiter)
 
 
 def tick_node(quotas: NodeQuotas, now: Seconds) -> Effects:
-    """Turn from a voter that is silent, refuse who waited too long, give back what is too old."""
-    _drop_late(quotas, now)
-    for customer, stock in quotas.accounts.items():
-        _refuse_waiting_long(quotas, stock, now)
-        _drop_old(quotas, stock, now)
-        if len(stock.waiting) > stock.asked:
+    """Pass over silent voters, settle requests that waited too long, return expired tokens."""
+    _expire_requests(quotas, now)
+    for customer, account in quotas.accounts.items():
+        _settle_expired_waiters(quotas, account, now)
+        _return_expired_tokens(quotas, account, now)
+        if len(account.waiters) > account.requested:
             quotas.to_request[customer] = None
-    if now >= quotas.forget_at:
-        quotas.forget_at = now + FORGET_AFTER / 2
-        _forget(quotas, now)
-    return _flush_back(quotas, now)
+    if now >= quotas.next_eviction_at:
+        quotas.next_eviction_at = now + EVICT_AFTER / 2
+        _evict_idle(quotas, now)
+    return _flush_returns(quotas, now)
 
 
-def _refuse_waiting_long(quotas: NodeQuotas, stock: NodeAccount, now: Seconds) -> None:
-    # Requests with short objectives may have come after others that can wait longer.
-    over = [waiter for waiter in stock.waiting if now >= waiter.until]
-    for waiter in over:
-        stock.waiting.remove(waiter)
-        _settle(quotas, waiter, _take_reserve(quotas, stock, now))
+def _settle_expired_waiters(quotas: NodeQuotas, account: NodeAccount, now: Seconds) -> None:
+    # The queue is not ordered by `until`: requests with short latency objectives may have arrived
+    # after others that can wait longer.
+    expired = [waiter for waiter in account.waiters if now >= waiter.until]
+    for waiter in expired:
+        account.waiters.remove(waiter)
+        _settle(quotas, waiter, _use_reserve_token(quotas, account, now))
 
 
-def _take_reserve(
-    quotas: NodeQuotas, stock: NodeAccount, now: Seconds
+def _use_reserve_token(
+    quotas: NodeQuotas, account: NodeAccount, now: Seconds
 ) -> Result[Grant, QuotaRefusal]:
-    """Take a token for a request that no voter answered in time, else refuse it."""
-    stock.reserve = drop_ended(stock.reserve, now)
-    if not stock.reserve:
-        return Error(_refuse_unknown(quotas))
+    """Use a reserve token for a request that no voter answered in time, or refuse the request."""
+    account.reserve = list_unexpired(account.reserve, now)
+    if not account.reserve:
+        return Error(_refuse_quota_unknown(quotas))
     quotas.totals.reserve += 1
-    token = stock.reserve.pop(0)
-    # It is not given back: its place stays taken for a window.
+    token = account.reserve.pop(0)
+    # The token is never returned: its reservation stays taken for a window. The grant number 0
+    # excludes it from returns.
     return Ok(Grant(token.voter, 0, 0))
 
 
-def _drop_late(quotas: NodeQuotas, now: Seconds) -> None:
-    over = []
-    for ask in quotas.asks.values():
-        if not ask.is_late and now - ask.sent_at >= ANSWER_WAIT:
-            ask.is_late = True
-            quotas.silent[ask.voter] = now + SILENT_FOR
-            for customer, asked in ask.demands.items():
+def _expire_requests(quotas: NodeQuotas, now: Seconds) -> None:
+    """Mark quota requests as late after `REPLY_TIMEOUT`, remove them after `LATE_REPLY_PERIOD`."""
+    expired = []
+    for pending in quotas.pending_requests.values():
+        if not pending.is_late and now - pending.sent_at >= REPLY_TIMEOUT:
+            pending.is_late = True
+            quotas.silent_until[pending.voter] = now + SILENT_VOTER_PAUSE
+            for customer, requested in pending.demands.items():
                 if customer in quotas.accounts:
-                    quotas.accounts[customer].asked -= asked
-        elif ask.is_late and now - ask.sent_at >= LATE_FOR:
-            over.append(ask.number)
-    for number in over:
-        del quotas.asks[number]
+                    quotas.accounts[customer].requested -= requested
+        elif pending.is_late and now - pending.sent_at >= LATE_REPLY_PERIOD:
+            expired.append(pending.number)
+    for number in expired:
+        del quotas.pending_requests[number]
 
 
-def _forget(quotas: NodeQuotas, now: Seconds) -> None:
+def _evict_idle(quotas: NodeQuotas, now: Seconds) -> None:
     idle = [
         customer
-        for customer, stock in quotas.accounts.items()
-        if now - stock.used_at > FORGET_AFTER
-        and not stock.waiting
-        and not stock.batches
-        and not stock.asked
+        for customer, account in quotas.accounts.items()
+        if now - account.last_demand_at > EVICT_AFTER
+        and not account.waiters
+        and not account.batches
+        and not account.requested
     ]
     for customer in idle:
         del quotas.accounts[customer]
-    for voter in [voter for voter, until in quotas.silent.items() if until <= now]:
-        del quotas.silent[voter]
+    for voter in [voter for voter, until in quotas.silent_until.items() if until <= now]:
+        del quotas.silent_until[voter]
 
 
-def _flush_back(quotas: NodeQuotas, now: Seconds) -> Effects:
-    if not quotas.back or now < quotas.back_at:
+def _flush_returns(quotas: NodeQuotas, now: Seconds) -> Effects:
+    if not quotas.to_return or now < quotas.next_return_at:
         return []
-    quotas.back_at = now + GIVE_BACK_EACH
+    quotas.next_return_at = now + RETURN_INTERVAL
     unused: dict[tuple[str, int], list[QuotaUnused]] = {}
-    for grant in quotas.back.values():
+    for grant in quotas.to_return.values():
         if grant.number:
-            row = QuotaUnused(grant.number, grant.back)
+            row = QuotaUnused(grant.number, grant.returned)
             unused.setdefault((grant.voter, grant.run), []).append(row)
-    quotas.back.clear()
+    quotas.to_return.clear()
     return [
         QuotaSend(voter, QuotaReturn(run, tuple(rows))) for (voter, run), rows in unused.items()
     ]
 
 
 def has_work(quotas: NodeQuotas) -> bool:
-    """Tell whether time changes anything soon: someone waits, or there is something to give."""
-    return bool(quotas.asks or quotas.to_request or quotas.back or quotas.waiting) or any(
-        stock.batches for stock in quotas.accounts.values()
-    )
+    """Return whether a tick may soon have an effect.
+
+    That is so if requests wait, or if quota requests, tokens or returns are pending.
+    """
+    return bool(
+        quotas.pending_requests or quotas.to_request or quotas.to_return or quotas.waiter_count
+    ) or any(account.batches for account in quotas.accounts.values())
--- a/packages/bendwind-core/src/bendwind_core/quotas/reserve.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/reserve.py
@@ -1,8 +1,9 @@
-"""Let nodes hold a few tokens of customers that they serve for when no voter answers.
+"""Let nodes hold a few tokens of the customers that they serve, for use while no voter answers.
 
-Each voter has places for its part of a customer's reserve. A place is handed to one node, whose
-token in it is good for `KEPT_FOR`, and not again before a whole window has passed since: so in any
-window each place lets at most one request run, whoever lost what.
+Each voter has numbered reservations for its share of a customer's reserve. A reservation is
+assigned to one node, whose token for it is valid for `RESERVATION_LIFETIME`. It is not assigned
+again until a whole window has passed after that. So in any window each reservation lets at most one
+request run, whichever messages or processes are lost.
 """
 
 import msgspec
@@ -11,110 +12,120 @@
 from bendwind_core.membership.settings import CLOCK_RATE_BOUND
 from bendwind_core.quotas.bounds import Share
 
-# A reserved token is good for so long: longer than an election, or the move to another voter, after
-# which tokens are granted again.
-KEPT_FOR: Seconds = 6.0
-# A node renews its reserve so often, so that one lost message does not end it.
-RENEWED_EACH: Seconds = 2.0
-# Tokens that a node reserves of a customer, about what the customer sends it in a second, at most.
-MOST_HELD = 64
-# Customers with places at a voter, a bound for memory; further ones have no reserve.
+# A reserved token is valid for this long. This exceeds the duration of an election and of the
+# switch to another voter, after which voters grant tokens again.
+RESERVATION_LIFETIME: Seconds = 6.0
+# A node renews its reserve at this interval, so that one lost message does not end the reserve.
+RENEWAL_INTERVAL: Seconds = 2.0
+# Maximum number of tokens that a node reserves for one customer; below it, a node reserves about as
+# many as the customer's requests to it in a second.
+MAX_RESERVE_TOKENS = 64
+# Customers with reservations at a voter, which bounds memory. Further customers have no reserve.
 MAX_CUSTOMERS = 4096
 
 
-class Place(msgspec.Struct):
-    """Hold which node has a place, under which number, until when and when it is free again."""
+class Reservation(msgspec.Struct):
+    """Hold a numbered reserved token of a voter and the node to which it is assigned.
+
+    The node may use the token until `expires_at`; from `free_at` on, it can be assigned again.
+    """
 
     number: int
     node: str
-    ends_at: Seconds
+    expires_at: Seconds
     free_at: Seconds
 
 
 class Reserve(msgspec.Struct):
-    """Hold a voter's places by customer; nothing is handed out before `opens_at`.
+    """Hold a voter's reservations by customer; none are assigned before `assignable_from`.
 
-    Until then, what an earlier run or a predecessor handed out may be in use.
+    Until then, tokens that an earlier run or a predecessor assigned may be in use.
     """
 
     window: Seconds
-    opens_at: Seconds
-    places: dict[str, list[Place]] = msgspec.field(default_factory=dict)
+    assignable_from: Seconds
+    reservations: dict[str, list[Reservation]] = msgspec.field(default_factory=dict)
 
 
-class Reserved(msgspec.Struct):
-    """Hold a token that a node keeps for when no voter answers."""
+class ReserveToken(msgspec.Struct):
+    """Hold a token that a node keeps for use while no voter answers."""
 
     voter: str
     number: int
     expires_at: Seconds
 
 
-def find_pause(window: Seconds) -> Seconds:
-    """Return for how long a place is not handed out anew, from when it was last."""
-    return KEPT_FOR + window * (1 + 2 * CLOCK_RATE_BOUND)
+def find_reuse_delay(window: Seconds) -> Seconds:
+    """Return the time from an assignment or renewal until the next assignment is permitted."""
+    return RESERVATION_LIFETIME + window * (1 + 2 * CLOCK_RATE_BOUND)
 
 
-def hand_out(
+def assign_reservations(
     reserve: Reserve,
     customer: str,
     share: Share,
     node: str,
-    wished: int,
-    kept: tuple[int, ...],
+    wanted: int,
+    held_numbers: tuple[int, ...],
     next_number: int,
     now: Seconds,
 ) -> tuple[int, ...]:
-    """Renew what a node still holds and hand it more where places are free; return their numbers.
+    """Renew the tokens that a node still holds and assign free ones; return their numbers.
 
-    New ones are numbered from `next_number` on, which the caller counts on by `wished`.
+    New tokens are numbered from `next_number` on. The caller increases its counter by `wanted`.
     """
-    if now < reserve.opens_at or (not wished and not kept):
+    if now < reserve.assignable_from or (not wanted and not held_numbers):
         return ()
-    places = reserve.places.get(customer, [])
-    ends_at, free_at = now + KEPT_FOR, now + find_pause(reserve.window)
+    reservations = reserve.reservations.get(customer, [])
+    expires_at, free_at = now + RESERVATION_LIFETIME, now + find_reuse_delay(reserve.window)
     renewed = [
-        place
-        for place in places
-        if place.number in kept and place.node == node and now < place.ends_at
+        reservation
+        for reservation in reservations
+        if reservation.number in held_numbers
+        and reservation.node == node
+        and now < reservation.expires_at
     ]
-    for place in renewed:
-        place.ends_at, place.free_at = ends_at, free_at
-    taken = [place for place in places if now < place.free_at]
-    free = max(0, min(wished, int(share.reserve) - len(taken)))
-    new = [Place(next_number + index, node, ends_at, free_at) for index in range(free)]
-    if new and customer not in reserve.places and len(reserve.places) >= MAX_CUSTOMERS:
+    for reservation in renewed:
+        reservation.expires_at, reservation.free_at = expires_at, free_at
+    taken = [reservation for reservation in reservations if now < reservation.free_at]
+    free = max(0, min(wanted, int(share.reserve) - len(taken)))
+    new = [Reservation(next_number + index, node, expires_at, free_at) for index in range(free)]
+    if new and customer not in reserve.reservations and len(reserve.reservations) >= MAX_CUSTOMERS:
         return ()
     if taken or new:
-        reserve.places[customer] = taken + new
-    return tuple(place.number for place in (*renewed, *new))
+        reserve.reservations[customer] = taken + new
+    return tuple(reservation.number for reservation in (*renewed, *new))
 
 
-def forget_free(reserve: Reserve, now: Seconds) -> None:
-    """Forget customers all of whose places are free."""
-    for customer in list(reserve.places):
-        if all(now >= place.free_at for place in reserve.places[customer]):
-            del reserve.places[customer]
+def remove_free_reservations(reserve: Reserve, now: Seconds) -> None:
+    """Remove customers all of whose reservations are free."""
+    for customer in list(reserve.reservations):
+        if all(now >= reservation.free_at for reservation in reserve.reservations[customer]):
+            del reserve.reservations[customer]
 
 
-def drop_ended(held: list[Reserved], now: Seconds) -> list[Reserved]:
-    """Return what a node may still use."""
+def list_unexpired(held: list[ReserveToken], now: Seconds) -> list[ReserveToken]:
+    """Return the tokens that a node may still use."""
     return [token for token in held if now < token.expires_at]
 
 
-def take_over(
-    held: list[Reserved],
+def merge_reserve_tokens(
+    held: list[ReserveToken],
     voter: str,
-    asked_for: tuple[int, ...],
-    handed: tuple[int, ...],
-    asked_at: Seconds,
+    stated_numbers: tuple[int, ...],
+    assigned: tuple[int, ...],
+    requested_at: Seconds,
 ) -> None:
-    """Keep what a voter handed out; what was used since it was asked for stays used."""
-    expires_at = asked_at + KEPT_FOR * (1 - CLOCK_RATE_BOUND)
+    """Renew and add the reserve tokens that a voter assigned.
+
+    `stated_numbers` are the held tokens that the quota request stated. A stated token that the node
+    no longer holds was used meanwhile and is not added again.
+    """
+    expires_at = requested_at + RESERVATION_LIFETIME * (1 - CLOCK_RATE_BOUND)
     by_number = {token.number: token for token in held if token.voter == voter}
-    for number in handed:
+    for number in assigned:
         known = by_number.get(number)
         if known is not None:
             known.expires_at = max(known.expires_at, expires_at)
-        elif number not in asked_for and len(held) < MOST_HELD:
-            held.append(Reserved(voter, number, expires_at))
+        elif number not in stated_numbers and len(held) < MAX_RESERVE_TOKENS:
+            held.append(ReserveToken(voter, number, expires_at))
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_actions.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_actions.py
@@ -1,58 +1,59 @@
-"""Do to a world of quotas what processes, links and operators do, by chance."""
+"""Perform random actions of processes, links and operators on a `FuzzWorld`."""
 
 import random
 
-from bendwind_core.quotas.tests.fuzz_world import NAME, FuzzWorld, Process
+from bendwind_core.quotas.tests.fuzz_world import CUSTOMER_NAME, FuzzWorld, Process
 from bendwind_core.world import Customer
 
 PAUSES = (0.005, 0.02, 0.06, 0.11, 0.24, 0.3, 0.5, 1.0, 4.0)
-STANDSTILLS = (0.3, 1.0, 4.0)
+SUSPENSIONS = (0.3, 1.0, 4.0)
 LIMITS = (
-    Customer(NAME, rate_per_s=24.0, burst=40.0),
-    Customer(NAME, rate_per_s=2.0, burst=0.0),
-    Customer(NAME, rate_per_s=48.0, burst=80.0),
+    Customer(CUSTOMER_NAME, rate_per_s=24.0, burst=40.0),
+    Customer(CUSTOMER_NAME, rate_per_s=2.0, burst=0.0),
+    Customer(CUSTOMER_NAME, rate_per_s=48.0, burst=80.0),
 )
-# What was made a voter in place of one that is merely cut off begins only after a while.
-SHORTEST_LIFE = 1.1
+# A replacement for a voter that is only cut off starts to grant after a delay; it is not restarted
+# before then.
+MIN_VOTER_AGE = 1.1
 
 
 def restart_voter(world: FuzzWorld, voter: Process) -> None:
-    """Restart a voter that is one for long enough."""
-    if world.now - voter.promoted_at > SHORTEST_LIFE:
+    """Restart a voter if it has been a voter for long enough."""
+    if world.now - voter.promoted_at > MIN_VOTER_AGE:
         world.restart_voter(voter)
 
 
 def replace_voter(world: FuzzWorld, voter: Process) -> None:
-    """Replace a voter that the log has as one."""
+    """Replace a voter if the log lists it as a voter."""
     if voter.is_voting:
         world.replace_voter(voter)
 
 
-def let_flow(world: FuzzWorld) -> None:
-    """Deliver all messages that are held, and hold no more."""
-    world.is_holding = False
-    held, world.held = world.held, []
-    for message in held:
+def deliver_all(world: FuzzWorld) -> None:
+    """Deliver all held messages, and stop holding messages."""
+    world.holds_messages = False
+    held_messages, world.held_messages = world.held_messages, []
+    for message in held_messages:
         world.deliver(message)
 
 
 def deliver_one(world: FuzzWorld, pick: int, is_kept: bool) -> None:
-    """Deliver any message, and perhaps keep it to come again."""
-    if world.held:
-        index = pick % len(world.held)
-        message = world.held[index] if is_kept else world.held.pop(index)
+    """Deliver a held message; if `is_kept`, it may be delivered again."""
+    if world.held_messages:
+        index = pick % len(world.held_messages)
+        message = world.held_messages[index] if is_kept else world.held_messages.pop(index)
         world.deliver(message)
 
 
 def deliver_in_reverse(world: FuzzWorld, pick: int) -> None:
-    """Deliver some of the newest messages, which will come again."""
-    if world.held:
-        for message in reversed(world.held[pick % len(world.held) :]):
+    """Deliver some of the newest held messages, newest first; they will be delivered again."""
+    if world.held_messages:
+        for message in reversed(world.held_messages[pick % len(world.held_messages) :]):
             world.deliver(message)
 
 
-def stand_still(world: FuzzWorld, node: Process, pause: float) -> None:
-    """Have all but the voters stand still, and a node serve at once on waking."""
+def suspend_node(world: FuzzWorld, node: Process, pause: float) -> None:
+    """Suspend all processes but the voters; the node serves requests immediately on resuming."""
     world.now += pause
     world.confirm_all()
     for voter in world.list_voters():
@@ -61,19 +62,19 @@
         world.request(node)
 
 
-def undo_some(world: FuzzWorld, number: int, newer: int) -> None:
-    """Have some requests turn out not to have run, all but a number of newer ones."""
+def return_some(world: FuzzWorld, number: int, newer: int) -> None:
+    """Return the tokens of some requests that did not run; the `newer` newest are left out."""
     for run in world.runs[-number - newer : len(world.runs) - newer]:
-        if not run.is_undone:
-            world.undo(run)
+        if not run.is_returned:
+            world.return_run_token(run)
 
 
-def come_back(
+def remove_and_restore(
     world: FuzzWorld, pause: float, is_gone: bool, *, are_restarted: bool = False
 ) -> None:
-    """Take the customer or its limit away and bring it back, perhaps with all voters restarted."""
+    """Remove the customer or its limit and restore it, optionally restarting all voters between."""
     _, limit = world.limits[-1]
-    world.set_limit(None if is_gone else Customer(NAME))
+    world.set_limit(None if is_gone else Customer(CUSTOMER_NAME))
     if are_restarted:
         world.confirm_all()
         for voter in world.list_voters():
@@ -82,14 +83,14 @@
     world.set_limit(limit)
 
 
-def request_often(world: FuzzWorld, node: Process, number: int) -> None:
-    """Have requests come at once."""
+def send_requests(world: FuzzWorld, node: Process, number: int) -> None:
+    """Let several requests arrive at the same time."""
     for _ in range(number):
         world.request(node)
 
 
-def act(world: FuzzWorld, rng: random.Random, kind: str) -> None:
-    """Do one thing of a kind."""
+def perform_action(world: FuzzWorld, rng: random.Random, kind: str) -> None:
+    """Perform one action of a kind."""
     node = world.processes[rng.choice(world.nodes)]
     voter = rng.choice(world.list_voters())
     pause = rng.choice(PAUSES)
@@ -97,65 +98,72 @@
         case "time":
             world.pass_time(pause)
         case "requests":
-            request_often(world, node, rng.randint(1, 40))
-        case "demand":
-            world.demand = rng.choice((0, 1, 3))
-        case "suspension":
-            stand_still(world, node, rng.choice(STANDSTILLS))
-        case "cut":
+            send_requests(world, node, rng.randint(1, 40))
+        case "request rate":
+            world.requests_per_step = rng.choice((0, 1, 3))
+        case "node suspension":
+            suspend_node(world, node, rng.choice(SUSPENSIONS))
+        case "no quorum":
             world.pass_time(pause, are_confirmed=False)
-        case "undoing":
-            world.undoes = not world.undoes
-        case "undo some":
-            undo_some(world, rng.randint(1, 60), rng.randint(0, 60))
-        case "delay":
-            world.is_holding = True
+        case "requests that do not run":
+            world.returns_tokens = not world.returns_tokens
+        case "late returns":
+            return_some(world, rng.randint(1, 60), rng.randint(0, 60))
+        case "delayed messages":
+            world.holds_messages = True
             world.pass_time(pause)
             if rng.random() < 0.5:
                 deliver_in_reverse(world, rng.randrange(1000))
-            let_flow(world)
-        case "doubles":
-            world.is_holding = True
-            request_often(world, node, rng.randint(1, 10))
+            deliver_all(world)
+        case "duplicate messages":
+            world.holds_messages = True
+            send_requests(world, node, rng.randint(1, 10))
             for _ in range(rng.randint(1, 20)):
                 deliver_one(world, rng.randrange(1000), is_kept=rng.random() < 0.6)
-            let_flow(world)
-        case "loss":
-            world.is_holding = True
+            deliver_all(world)
+        case "lost messages":
+            world.holds_messages = True
             world.pass_time(pause)
-            world.held.clear()
-            world.is_holding = False
-        case "restart":
+            world.held_messages.clear()
+            world.holds_messages = False
+        case "voter restart":
             restart_voter(world, voter)
-        case "replacement":
+        case "voter replacement":
             replace_voter(world, voter)
         case "node restart":
             world.start_node(node.name)
-        case "limit":
+        case "limit change":
             world.set_limit(rng.choice(LIMITS))
-        case "comeback":
-            come_back(world, pause, is_gone=rng.random() < 0.7)
-
-
-USUAL = ("time", "time", "requests", "demand")
-FAULTS = (
-    "suspension",
-    "cut",
-    "undoing",
-    "undo some",
-    "delay",
-    "doubles",
-    "loss",
-    "restart",
-    "replacement",
+        case "removal and restoration":
+            remove_and_restore(world, pause, is_gone=rng.random() < 0.7)
+
+
+USUAL_ACTIONS = ("time", "time", "requests", "request rate")
+FAULT_ACTIONS = (
+    "node suspension",
+    "no quorum",
+    "requests that do not run",
+    "late returns",
+    "delayed messages",
+    "duplicate messages",
+    "lost messages",
+    "voter restart",
+    "voter replacement",
     "node restart",
 )
-CHANGES = ("limit", "comeback")
+CHANGE_ACTIONS = ("limit change", "removal and restoration")
 
 
-def walk(world: FuzzWorld, seed: int, steps: int, has_changes: bool) -> None:
-    """Do many things of a few kinds: all kinds at once leave too little running to go wrong."""
+def run_walk(world: FuzzWorld, seed: int, steps: int, has_changes: bool) -> None:
+    """Perform many actions of a few kinds.
+
+    With all kinds of faults in one walk, too few requests run to reveal an error.
+    """
     rng = random.Random(seed)
-    kinds = USUAL + tuple(rng.sample(FAULTS, 3)) + (CHANGES if has_changes else ())
+    kinds = (
+        USUAL_ACTIONS
+        + tuple(rng.sample(FAULT_ACTIONS, 3))
+        + (CHANGE_ACTIONS if has_changes else ())
+    )
     for _ in range(steps):
-        act(world, rng, rng.choice(kinds))
+        perform_action(world, rng, rng.choice(kinds))
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_world.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_world.py
@@ -1,4 +1,4 @@
-"""Drive nodes and voters step by step, with messages that are held, lost, doubled and reordered."""
+"""Drive nodes and voters step by step; messages may be held, lost, duplicated or reordered."""
 
 import math
 import random
@@ -28,26 +28,26 @@
     update_configuration,
     update_voters,
 )
-from bendwind_core.quotas.reserve import KEPT_FOR
-from bendwind_core.quotas.tests.quota_world import hear_as_voter
+from bendwind_core.quotas.reserve import RESERVATION_LIFETIME
+from bendwind_core.quotas.tests.quota_world import deliver_to_voter
 from bendwind_core.world import Configuration, Customer
 
 CONFIRMED_FOR: Seconds = 1.0
 VOTERS = 3
 NODES = 2
 BOUNDS = QuotaBounds(window=5.0, overage=0.1, slack=2.0)
-NAME = "maria"
-MAX_HELD = 60
-# Of what does not run for a while, so many requests are found out at once.
-UNDONE_SHARE = 0.5
+CUSTOMER_NAME = "maria"
+MAX_HELD_MESSAGES = 60
+# While requests do not run, this share of them is detected immediately.
+RETURNED_SHARE = 0.5
 STEP: Seconds = 0.05
-ROUNDING = 1e-6
-# Each process counts time from its own start, and a little faster or slower than the others.
+TOLERANCE = 1e-6
+# Each process counts time from its own start, slightly faster or slower than the others.
 RATES = (1.0, 1.0004, 0.9996, 1.0002, 0.9998)
 
 
 class Message(msgspec.Struct, frozen=True):
-    """Hold a message under way."""
+    """Hold a message in flight."""
 
     sender: str
     to: str
@@ -55,7 +55,7 @@
 
 
 class Process(msgspec.Struct, eq=False):
-    """Hold a node or a voter and its clock; `is_voting` says that the log has it as a voter."""
+    """Hold a node or a voter and its clock; `is_voting` states that the log lists it as a voter."""
 
     name: str
     quotas: NodeQuotas | VoterQuotas
@@ -67,30 +67,33 @@
 
 
 class Run(msgspec.Struct, eq=False):
-    """Hold a request that ran, and the grant of its token."""
+    """Hold a request that got a token, and the grant of the token.
+
+    `is_returned` states that the request did not run after all and its token was returned.
+    """
 
     arrived_at: Seconds
     ran_at: Seconds
     grant: Grant
     node: str
-    is_undone: bool = False
+    is_returned: bool = False
 
 
 class FuzzWorld:
-    """Hold the processes, the messages under way and what ran."""
+    """Hold the processes, the messages in flight and the requests that ran."""
 
     def __init__(self, burst: float = 40.0):
         self.rng = random.Random(1)
         self.now: Seconds = 100.0
-        self.is_holding = False
-        self.held: list[Message] = []
+        self.holds_messages = False
+        self.held_messages: list[Message] = []
         self.runs: list[Run] = []
         self.limits: list[tuple[Seconds, Customer | None]] = []
         self.configuration = Configuration(1)
         self.starts = 0
-        self.demand = 1
-        self.undoes = False
-        self.doubled: tuple[type, ...] = ()
+        self.requests_per_step = 1
+        self.returns_tokens = False
+        self.duplicated_types: tuple[type, ...] = ()
         self.processes: dict[str, Process] = {}
         self.waiters: dict[Waiter, Seconds] = {}
         for _ in range(VOTERS):
@@ -99,7 +102,7 @@
         for name in self.nodes:
             self.start_node(name)
         self.confirm_all()
-        self.set_limit(Customer(NAME, rate_per_s=24.0, burst=burst))
+        self.set_limit(Customer(CUSTOMER_NAME, rate_per_s=24.0, burst=burst))
         self.confirm_all()
 
     def read_clock(self, process: Process) -> Seconds:
@@ -133,7 +136,7 @@
         return process
 
     def restart_voter(self, process: Process) -> None:
-        """Start a voter anew from its disk, which says that it is one."""
+        """Restart a voter from its disk, according to which it is a voter."""
         run = self._next_run()
         quotas = create_voter_quotas(process.name, run, BOUNDS, VOTERS, CONFIRMED_FOR)
         started = self._start(process.name, quotas)
@@ -144,7 +147,7 @@
         update_configuration(quotas, self.configuration, self.read_clock(started))
 
     def replace_voter(self, process: Process) -> None:
-        """Take a voter out, which goes on and does not know, and make another one a voter."""
+        """Remove a voter, which keeps running without notice, and make a new process a voter."""
         process.is_voting = False
         gone = [p for p in self.list_voters() if not p.is_voting]
         if len(gone) > 2:
@@ -155,7 +158,7 @@
         return tuple(p.name for p in self.list_voters() if p.is_voting and p is not process)
 
     def confirm(self, process: Process) -> None:
-        """Have a voter that is in touch hear what the log says, and a quorum confirm it."""
+        """Apply the log to a voter and confirm it by a quorum, unless it was removed."""
         if not process.is_voting:
             return
         now = self.read_clock(process)
@@ -175,10 +178,10 @@
     def send_all(self, sender: str, effects: list[QuotaSend]) -> None:
         for effect in effects:
             message = Message(sender, effect.to, effect.message)
-            if self.is_holding:
-                self.held = [*self.held, message][-MAX_HELD:]
+            if self.holds_messages:
+                self.held_messages = [*self.held_messages, message][-MAX_HELD_MESSAGES:]
             else:
-                for _ in range(1 + isinstance(effect.message, self.doubled)):
+                for _ in range(1 + isinstance(effect.message, self.duplicated_types)):
                     self.deliver(message)
 
     def deliver(self, message: Message) -> None:
@@ -188,7 +191,7 @@
         now = self.read_clock(process)
         if process.voter_id is not None:
             self.send_all(
-                process.name, hear_as_voter(process.quotas, message.sender, message.message, now)
+                process.name, deliver_to_voter(process.quotas, message.sender, message.message, now)
             )
             return
         if isinstance(message.message, QuotaReply):
@@ -199,7 +202,7 @@
         for waiter in node.quotas.settled:
             arrived_at = self.waiters.pop(waiter, None)
             if arrived_at is not None:
-                self._note(node, arrived_at, waiter.outcome)
+                self._record_outcome(node, arrived_at, waiter.outcome)
         node.quotas.settled.clear()
         names = [process.name for process in self.list_voters()]
         self.rng.shuffle(names)
@@ -208,24 +211,24 @@
 
     def request(self, node: Process) -> None:
         now = self.read_clock(node)
-        asked = request_token(node.quotas, NAME, now + 0.25, now)
-        if isinstance(asked, Waiter):
-            self.waiters[asked] = self.now
+        outcome = request_token(node.quotas, CUSTOMER_NAME, now + 0.25, now)
+        if isinstance(outcome, Waiter):
+            self.waiters[outcome] = self.now
         else:
-            self._note(node, self.now, asked)
+            self._record_outcome(node, self.now, outcome)
         self.flush(node)
 
-    def _note(self, node: Process, arrived_at: Seconds, outcome: Result) -> None:
+    def _record_outcome(self, node: Process, arrived_at: Seconds, outcome: Result) -> None:
         if outcome.is_ok():
             run = Run(arrived_at, self.now, outcome.ok, node.name)
             self.runs.append(run)
-            if self.undoes and self.rng.random() < UNDONE_SHARE:
-                self.undo(run)
+            if self.returns_tokens and self.rng.random() < RETURNED_SHARE:
+                self.return_run_token(run)
 
-    def undo(self, run: Run) -> None:
-        """Have a request turn out not to have run."""
+    def return_run_token(self, run: Run) -> None:
+        """Return the token of a request that did not run after all."""
         node = self.processes[run.node]
-        run.is_undone = True
+        run.is_returned = True
         return_token(node.quotas, run.grant)
 
     def tick(self, process: Process) -> None:
@@ -241,7 +244,7 @@
             self.tick(process)
 
     def pass_time(self, pause: Seconds, are_confirmed: bool = True) -> None:
-        """Let time pass while requests come and all processes go on."""
+        """Let time pass while requests arrive and all processes run."""
         end = self.now + pause
         while self.now < end:
             self.now = min(end, self.now + STEP)
@@ -249,40 +252,42 @@
                 self.confirm_all()
             self.tick_all()
             for name in self.nodes:
-                for _ in range(self.demand):
+                for _ in range(self.requests_per_step):
                     self.request(self.processes[name])
 
     def find_excess(self) -> str:
-        """Return in which window more ran than the bound permits, empty without any."""
-        ran = sorted((run.arrived_at, run.ran_at) for run in self.runs if not run.is_undone)
+        """Return in which window more requests ran than permitted, empty if there is none."""
+        ran = sorted((run.arrived_at, run.ran_at) for run in self.runs if not run.is_returned)
         for index, (first, _) in enumerate(ran):
             later = [ran_at for _, ran_at in ran[index:]]
             for length in (0.0, 0.5, 1.0, BOUNDS.window, 3 * BOUNDS.window):
-                count = sum(ran_at <= first + length + ROUNDING for ran_at in later)
-                most = self._find_most(first, length)
-                if count > most + ROUNDING:
-                    return f"{count} ran within {length} s of {first}, at most {most} may"
+                count = sum(ran_at <= first + length + TOLERANCE for ran_at in later)
+                allowed = self._find_max_requests(first, length)
+                if count > allowed + TOLERANCE:
+                    return (
+                        f"{count} requests ran within {length} s of {first}, at most {allowed} may"
+                    )
         return ""
 
-    def _find_most(self, first: Seconds, length: Seconds) -> float:
-        """Return what the highest limit permits that any voter may still have gone by."""
-        since = first - CONFIRMED_FOR - max(BOUNDS.max_token_age, KEPT_FOR) - ROUNDING
+    def _find_max_requests(self, first: Seconds, length: Seconds) -> float:
+        """Return what the highest limit permits that any voter may still have applied."""
+        since = first - CONFIRMED_FOR - max(BOUNDS.max_token_age, RESERVATION_LIFETIME) - TOLERANCE
         until = first + length
-        most = 0.0
+        max_requests = 0.0
         for index, (at, customer) in enumerate(self.limits):
-            ends = self.limits[index + 1][0] if index + 1 < len(self.limits) else float("inf")
-            if at <= until and ends >= since and customer is not None:
-                most = max(most, find_all_shares(customer, length))
-        return most
+            ends_at = self.limits[index + 1][0] if index + 1 < len(self.limits) else float("inf")
+            if at <= until and ends_at >= since and customer is not None:
+                max_requests = max(max_requests, sum_shares(customer, length))
+        return max_requests
 
 
-def find_all_shares(customer: Customer, length: Seconds) -> float:
-    """Return what the shares of all voters come to, which is within the bound of the settings."""
+def sum_shares(customer: Customer, length: Seconds) -> float:
+    """Return the sum of the shares of all voters, which is within the bound of the settings."""
     if not customer.is_limited:
         return math.inf
     share = create_share(customer, BOUNDS, VOTERS)
-    # Processes' clocks are faster by less than what shares and ages are cut by.
+    # Shares and ages are reduced by more than the processes' clocks run fast.
     rate = customer.rate_per_s / VOTERS
     max_token_age = BOUNDS.overage * BOUNDS.window / 2
-    places = int(share.reserve) * (1 + int(length / BOUNDS.window))
-    return VOTERS * (share.cap + rate * (length + max_token_age) + places)
+    reservations = int(share.reserve) * (1 + int(length / BOUNDS.window))
+    return VOTERS * (share.cap + rate * (length + max_token_age) + reservations)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/quota_world.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/quota_world.py
@@ -41,13 +41,13 @@
 from bendwind_core.world import Configuration, Customer
 
 CONFIRMED_FOR: Seconds = 1.0
-CONFIRM_EACH: Seconds = 0.4
+CONFIRM_INTERVAL: Seconds = 0.4
 TICK: Seconds = 0.01
 TOKEN_WAIT: Seconds = 0.25
 
 
-def hear_as_voter(quotas: VoterQuotas, sender: str, message: Record, now: Seconds):
-    """Have a voter hear a message."""
+def deliver_to_voter(quotas: VoterQuotas, sender: str, message: Record, now: Seconds):
+    """Deliver a message to a voter and return the effects."""
     match message:
         case QuotaRequest():
             return handle_quota_request(quotas, sender, message, now)
@@ -61,7 +61,7 @@
 
 
 class Node(msgspec.Struct, eq=False):
-    """Hold a node, the voters in its order, and the requests that wait."""
+    """Hold a node and the voters in its order of preference."""
 
     name: str
     quotas: NodeQuotas
@@ -69,7 +69,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Hold what became of one request; `reason` is empty where it ran."""
+    """Hold the outcome of one request; `reason` is empty if the request ran."""
 
     customer: str
     node: str
@@ -79,7 +79,10 @@
 
 
 class Model:
-    """Run nodes and voters; every message takes a few milliseconds."""
+    """Run nodes and voters; every message takes a few milliseconds.
+
+    `returns_tokens` states of a customer whether its requests do not run and return their tokens.
+    """
 
     def __init__(
         self,
@@ -94,13 +97,13 @@
         self.bounds = bounds or QuotaBounds()
         self.now: Seconds = 0.0
         self.delay = delay
-        self.agenda: list[tuple[Seconds, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.events: list[tuple[Seconds, int, Callable[[], None]]] = []
+        self.sequence = itertools.count()
         self.outcomes: list[Outcome] = []
         self.messages: dict[str, int] = {}
         self.bytes = 0
-        self.runs_back: Callable[[str], bool] = lambda customer: False
-        self.lost: set[str] = set()
+        self.returns_tokens: Callable[[str], bool] = lambda customer: False
+        self.lost_processes: set[str] = set()
         self.configuration = Configuration(1, customers=customers)
         self.voter_count = voters
         names = tuple(f"v{index}" for index in range(voters))
@@ -115,64 +118,64 @@
             home = index % voters
             order = names[home:] + names[:home]
             self.nodes[f"n{index}"] = Node(f"n{index}", create_node_quotas(self.bounds, 1), order)
-        self.at(CONFIRM_EACH, self._confirm)
-        self.at(TICK, self._tick)
+        self.schedule(CONFIRM_INTERVAL, self._confirm)
+        self.schedule(TICK, self._tick)
 
     def start_voter(self, name: str, names: tuple[str, ...], voter_id: int) -> VoterQuotas:
-        """Start the process of a voter."""
+        """Start a voter's process and return its quotas."""
         run = int(self.now * 1000) + 1
         quotas = create_voter_quotas(name, run, self.bounds, self.voter_count, CONFIRMED_FOR)
         update_voters(quotas, voter_id, tuple(other for other in names if other != name), self.now)
         return quotas
 
     def restart_voter(self, name: str) -> None:
-        """Start a voter anew: all it knew is lost."""
+        """Restart a voter, which loses its state."""
         names = tuple(self.voters)
         self.voters[name] = self.start_voter(name, names, names.index(name))
         update_configuration(self.voters[name], self.configuration, self.now)
-        self.lost.discard(name)
+        self.lost_processes.discard(name)
 
-    def at(self, time: Seconds, action: Callable[[], None]) -> None:
-        """Do something at a time."""
-        heapq.heappush(self.agenda, (time, next(self.order), action))
+    def schedule(self, time: Seconds, action: Callable[[], None]) -> None:
+        """Schedule an action."""
+        heapq.heappush(self.events, (time, next(self.sequence), action))
 
     def run(self, until: Seconds) -> None:
-        """Let time pass."""
-        while self.agenda and self.agenda[0][0] <= until:
-            self.now, _, action = heapq.heappop(self.agenda)
+        """Run the scheduled actions until a time."""
+        while self.events and self.events[0][0] <= until:
+            self.now, _, action = heapq.heappop(self.events)
             action()
         self.now = until
 
     def _confirm(self) -> None:
         for name, quotas in self.voters.items():
-            if name not in self.lost:
+            if name not in self.lost_processes:
                 record_confirmation(quotas, self.now)
-        self.at(self.now + CONFIRM_EACH, self._confirm)
+        self.schedule(self.now + CONFIRM_INTERVAL, self._confirm)
 
     def _tick(self) -> None:
         for name, quotas in self.voters.items():
-            if name not in self.lost:
+            if name not in self.lost_processes:
                 self.send_all(name, tick_voter(quotas, self.now))
         for node in self.nodes.values():
             self.send_all(node.name, tick_node(node.quotas, self.now))
             self._flush(node)
-        self.at(self.now + TICK, self._tick)
+        self.schedule(self.now + TICK, self._tick)
 
     def send_all(self, sender: str, effects: list[QuotaSend]) -> None:
-        """Send messages; what goes to or comes from a lost voter is lost."""
+        """Send messages; those to or from a lost process are dropped."""
         for effect in effects:
             kind = type(effect.message).__name__
             self.messages[kind] = self.messages.get(kind, 0) + 1
             self.bytes += len(cbor2.dumps(msgspec.to_builtins(effect.message)))
             due = self.now + self.delay * self.rng.uniform(0.5, 1.5)
-            self.at(due, lambda effect=effect: self._deliver(sender, effect))
+            self.schedule(due, lambda effect=effect: self._deliver(sender, effect))
 
     def _deliver(self, sender: str, effect: QuotaSend) -> None:
-        if sender in self.lost or effect.to in self.lost:
+        if sender in self.lost_processes or effect.to in self.lost_processes:
             return
         voter = self.voters.get(effect.to)
         if voter is not None:
-            self.send_all(effect.to, hear_as_voter(voter, sender, effect.message, self.now))
+            self.send_all(effect.to, deliver_to_voter(voter, sender, effect.message, self.now))
             return
         node = self.nodes[effect.to]
         assert isinstance(effect.message, QuotaReply)
@@ -181,49 +184,51 @@
 
     def _flush(self, node: Node) -> None:
         for waiter in node.quotas.settled:
-            self._note(node, waiter.customer, waiter.arrived_at, waiter.outcome)
+            self._record_outcome(node, waiter.customer, waiter.arrived_at, waiter.outcome)
         node.quotas.settled.clear()
         self.send_all(node.name, flush_quota_requests(node.quotas, node.voters, self.now))
 
     def request(self, customer: str, node: str) -> None:
-        """Have a request of a customer come to a node."""
-        where = self.nodes[node]
-        asked = request_token(where.quotas, customer, self.now + TOKEN_WAIT, self.now)
-        if not isinstance(asked, Waiter):
-            self._note(where, customer, self.now, asked)
-        self._flush(where)
-
-    def _note(self, node: Node, customer: str, arrived_at: Seconds, outcome: Result) -> None:
+        """Let a request of a customer arrive at a node."""
+        entry = self.nodes[node]
+        outcome = request_token(entry.quotas, customer, self.now + TOKEN_WAIT, self.now)
+        if not isinstance(outcome, Waiter):
+            self._record_outcome(entry, customer, self.now, outcome)
+        self._flush(entry)
+
+    def _record_outcome(
+        self, node: Node, customer: str, arrived_at: Seconds, outcome: Result
+    ) -> None:
         reason = ""
         match outcome:
             case Result(tag="ok", ok=grant):
-                self._end(node, customer, grant)
+                self._return_if_unused(node, customer, grant)
             case Result(error=refused):
                 reason = str(refused.reason)
         self.outcomes.append(Outcome(customer, node.name, arrived_at, self.now, reason))
 
-    def _end(self, node: Node, customer: str, grant: Grant) -> None:
-        if self.runs_back(customer):
+    def _return_if_unused(self, node: Node, customer: str, grant: Grant) -> None:
+        if self.returns_tokens(customer):
             return_token(node.quotas, grant)
 
-    def stream(
+    def add_request_stream(
         self, customer: str, nodes: tuple[str, ...], rate: float, start: Seconds, end: Seconds
     ):
-        """Have requests come at random times, each to one of the nodes."""
+        """Let requests arrive at random times, each at one of the nodes."""
 
         def arrive() -> None:
             self.request(customer, self.rng.choice(nodes))
-            plan()
+            schedule_next()
 
-        def plan() -> None:
+        def schedule_next() -> None:
             due = max(self.now, start) + self.rng.expovariate(rate)
             if due < end:
-                self.at(due, arrive)
+                self.schedule(due, arrive)
 
-        plan()
+        schedule_next()
 
     def count(self, customer: str | None = None, reason: str | None = None) -> int:
-        """Count outcomes, of one customer or all, with one reason or any."""
+        """Count outcomes, of one customer or of all, with one reason or with any."""
         return sum(
             (customer is None or one.customer == customer)
             and (reason is None or one.reason == reason)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_bucket.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_bucket.py
@@ -1,4 +1,4 @@
-"""Test the tokens of one customer at one voter."""
+"""Test the bucket of one customer at one voter."""
 
 import unittest
 
@@ -7,10 +7,10 @@
     MAX_PEAKS,
     Bucket,
     find_wait,
-    put_back,
     refill,
+    refund,
     set_share,
-    take,
+    withdraw,
 )
 from bendwind_core.world import Customer
 
@@ -18,89 +18,90 @@
 
 
 def create_bucket(level: float = 20.0) -> Bucket:
-    """Make a bucket as of time 0."""
+    """Create a bucket that was refilled at time 0."""
     return Bucket(SHARE, level, 0.0, 1)
 
 
-class Filling(unittest.TestCase):
-    """Pin how a bucket fills and empties."""
+class TestRefill(unittest.TestCase):
+    """Test refills and changes of the share."""
 
-    def test_fills_with_time_up_to_its_cap(self):
+    def test_refills_with_time_up_to_its_cap(self):
         bucket = create_bucket(0.0)
         refill(bucket, 1.5)
         self.assertAlmostEqual(bucket.level, 15.0)
         refill(bucket, 60.0)
         self.assertEqual(bucket.level, 20.0)
 
-    def test_a_time_that_went_back_fills_nothing(self):
+    def test_a_time_in_the_past_adds_nothing(self):
         bucket = create_bucket(0.0)
         refill(bucket, 1.0)
         refill(bucket, 0.5)
         refill(bucket, 1.0)
         self.assertAlmostEqual(bucket.level, 10.0)
 
-    def test_a_lower_limit_cuts_what_is_there(self):
+    def test_a_lowered_limit_discards_tokens_above_the_cap(self):
         bucket = create_bucket()
         set_share(bucket, Share(1.0, 5.0, 0.0), 1, 0.0)
         self.assertEqual(bucket.level, 5.0)
 
-    def test_a_higher_limit_adds_nothing_at_once_but_fills_faster(self):
+    def test_a_raised_limit_adds_nothing_immediately_but_refills_faster(self):
         bucket = create_bucket(5.0)
         set_share(bucket, Share(100.0, 200.0, 0.0), 1, 0.0)
         refill(bucket, 1.0)
         self.assertAlmostEqual(bucket.level, 105.0)
 
-    def test_tells_when_there_is_room(self):
+    def test_find_wait_returns_the_time_until_a_token_is_available(self):
         bucket = create_bucket(0.0)
         self.assertAlmostEqual(find_wait(bucket, 1.0, 0.0), 0.1)
 
 
-class PuttingBack(unittest.TestCase):
-    """Pin that what comes back makes no more than had never been taken."""
+class TestRefund(unittest.TestCase):
+    """Test that a refund leaves no more tokens than without the withdrawal."""
 
-    def test_what_was_taken_from_a_full_bucket_comes_back(self):
+    def test_a_withdrawal_from_a_full_bucket_is_refunded(self):
         bucket = create_bucket()
-        take(bucket, 8.0, 1, 0.0)
-        self.assertEqual(put_back(bucket, 8.0, 1, 0.0), 8.0)
+        withdraw(bucket, 8.0, 1, 0.0)
+        self.assertEqual(refund(bucket, 8.0, 1, 0.0), 8.0)
         self.assertEqual(bucket.level, 20.0)
 
-    def test_what_would_have_flowed_over_does_not_come_back(self):
+    def test_tokens_that_would_have_overflowed_are_not_refunded(self):
         bucket = create_bucket()
-        take(bucket, 8.0, 1, 0.0)
-        self.assertAlmostEqual(put_back(bucket, 8.0, 1, 0.5), 3.0)
+        withdraw(bucket, 8.0, 1, 0.0)
+        self.assertAlmostEqual(refund(bucket, 8.0, 1, 0.5), 3.0)
         self.assertEqual(bucket.level, 20.0)
 
-    def test_taking_and_putting_back_in_turn_gathers_nothing(self):
+    def test_alternating_withdrawals_and_refunds_accumulate_nothing(self):
         bucket = create_bucket()
-        take(bucket, 20.0, 1, 0.0)
-        take(bucket, 10.0, 2, 1.0)
-        back = put_back(bucket, 20.0, 1, 1.0)
-        # Untouched, it would have held 20 before the second taking, and 10 after it.
-        self.assertAlmostEqual(back, 10.0)
+        withdraw(bucket, 20.0, 1, 0.0)
+        withdraw(bucket, 10.0, 2, 1.0)
+        restored = refund(bucket, 20.0, 1, 1.0)
+        # Without the first withdrawal, the bucket would have held 20 tokens before the second
+        # withdrawal, and 10 after it.
+        self.assertAlmostEqual(restored, 10.0)
         self.assertAlmostEqual(bucket.level, 10.0)
-        take(bucket, 10.0, 3, 1.0)
-        self.assertAlmostEqual(put_back(bucket, 10.0, 2, 1.0), 10.0)
+        withdraw(bucket, 10.0, 3, 1.0)
+        self.assertAlmostEqual(refund(bucket, 10.0, 2, 1.0), 10.0)
         self.assertAlmostEqual(bucket.level, 10.0)
 
-    def test_what_was_taken_under_another_limit_stays_taken(self):
+    def test_a_withdrawal_under_another_limit_is_not_refunded(self):
         bucket = create_bucket()
-        take(bucket, 8.0, 1, 0.0)
+        withdraw(bucket, 8.0, 1, 0.0)
         set_share(bucket, Share(10.0, 100.0, 0.0), 2, 0.0)
-        self.assertEqual(put_back(bucket, 8.0, 1, 0.0), 0.0)
+        self.assertEqual(refund(bucket, 8.0, 1, 0.0), 0.0)
 
-    def test_few_peaks_are_kept_and_what_is_older_stays_taken(self):
+    def test_the_number_of_peaks_is_bounded_and_older_withdrawals_are_not_refunded(self):
         bucket = create_bucket(20.0)
         for number in range(1, 10 + MAX_PEAKS):
-            take(bucket, 0.1, number, 0.0)
+            withdraw(bucket, 0.1, number, 0.0)
         self.assertEqual(len(bucket.peaks), MAX_PEAKS)
-        self.assertEqual(put_back(bucket, 0.1, 1, 0.0), 0.0)
-        self.assertAlmostEqual(put_back(bucket, 0.1, 5 + MAX_PEAKS, 0.0), 0.1)
+        self.assertEqual(refund(bucket, 0.1, 1, 0.0), 0.0)
+        self.assertAlmostEqual(refund(bucket, 0.1, 5 + MAX_PEAKS, 0.0), 0.1)
 
 
-class Shares(unittest.TestCase):
-    """Pin that all shares together stay within the bound."""
+class TestShares(unittest.TestCase):
+    """Test that all shares together stay within the bound."""
 
-    def test_buckets_reserve_and_age_make_up_the_bound(self):
+    def test_buckets_reserve_and_token_age_stay_within_the_bound(self):
         for slack in (0.0, 1.0, 10.0):
             for overage in (0.0, 0.02, 0.1):
                 for rate, burst in ((0.1, 0.0), (1.0, 1.0), (300.0, 300.0)):
@@ -110,12 +111,12 @@
     def _check(self, bounds: QuotaBounds, rate: float, burst: float) -> None:
         customer = Customer("a", rate_per_s=rate, burst=burst)
         share = create_share(customer, bounds, 5)
-        sums = 5 * (share.cap + share.reserve) + 5 * share.rate * (
+        total = 5 * (share.cap + share.reserve) + 5 * share.rate * (
             bounds.window + bounds.max_token_age
         )
-        self.assertLessEqual(sums, find_max_requests(customer, bounds, bounds.window) + 1e-6)
+        self.assertLessEqual(total, find_max_requests(customer, bounds, bounds.window) + 1e-6)
 
-    def test_a_bucket_holds_a_token_where_the_bound_permits(self):
+    def test_a_bucket_can_hold_one_token_if_the_bound_permits(self):
         customer = Customer("a", rate_per_s=0.5, burst=0.5)
         self.assertGreaterEqual(create_share(customer, QuotaBounds(10.0, 0.1, 10.0), 5).cap, 1.0)
 
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_fuzz_quotas.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_fuzz_quotas.py
@@ -1,4 +1,4 @@
-"""Fuzz quotas: in any window no more runs than the bound permits, whatever fails."""
+"""Fuzz quotas: in any window, no more requests run than permitted, whatever fails."""
 
 import unittest
 
@@ -12,14 +12,14 @@
 
 PAUSES = st.sampled_from(actions.PAUSES)
 PICKS = st.integers(0, 1_000)
-# Most of what the machines try is short; it takes long walks for several faults to meet.
+# Most sequences that Hypothesis generates are short; several faults coincide only in long walks.
 WALKS = 60
 ACTIONS_PER_WALK = 80
 BURSTS = (40.0, 1.0)
 
 
 class QuotaMachine(RuleBasedStateMachine):
-    """Have two nodes and three voters serve one customer that asks for more than it may have."""
+    """Let two nodes and three voters serve one customer that sends more than its quota."""
 
     def __init__(self):
         super().__init__()
@@ -32,49 +32,49 @@
         voters = self.world.list_voters()
         return voters[pick % len(voters)]
 
-    @rule(demand=st.sampled_from([0, 1, 1, 3]))
-    def demand_changes(self, demand):
-        self.world.demand = demand
+    @rule(requests_per_step=st.sampled_from([0, 1, 1, 3]))
+    def request_rate_changes(self, requests_per_step):
+        self.world.requests_per_step = requests_per_step
 
     @rule(pick=PICKS, number=st.integers(1, 40))
-    def requests_come_at_once(self, pick, number):
-        actions.request_often(self.world, self.find_node(pick), number)
+    def requests_arrive_together(self, pick, number):
+        actions.send_requests(self.world, self.find_node(pick), number)
 
     @rule(pause=PAUSES, are_confirmed=st.booleans())
     def time_passes(self, pause, are_confirmed):
         self.world.pass_time(pause, are_confirmed)
 
     @rule(pause=PAUSES)
-    def everything_stands_still(self, pause):
+    def everything_is_suspended(self, pause):
         self.world.now += pause
 
     @rule(pick=PICKS, pause=PAUSES)
-    def node_stands_still(self, pick, pause):
-        actions.stand_still(self.world, self.find_node(pick), pause)
+    def node_is_suspended(self, pick, pause):
+        actions.suspend_node(self.world, self.find_node(pick), pause)
 
     @rule()
-    def requests_do_not_run_for_a_while(self):
-        self.world.undoes = not self.world.undoes
+    def requests_start_or_stop_returning_tokens(self):
+        self.world.returns_tokens = not self.world.returns_tokens
 
     @rule()
     def messages_are_held(self):
-        self.world.is_holding = True
+        self.world.holds_messages = True
 
     @rule()
-    def messages_flow(self):
-        actions.let_flow(self.world)
+    def held_messages_are_delivered(self):
+        actions.deliver_all(self.world)
 
     @rule(pick=PICKS, is_kept=st.booleans())
-    def one_message_comes(self, pick, is_kept):
+    def one_message_is_delivered(self, pick, is_kept):
         actions.deliver_one(self.world, pick, is_kept)
 
     @rule(pick=PICKS)
-    def messages_come_in_reverse(self, pick):
+    def messages_are_delivered_in_reverse(self, pick):
         actions.deliver_in_reverse(self.world, pick)
 
     @rule()
     def messages_are_lost(self):
-        self.world.held.clear()
+        self.world.held_messages.clear()
 
     @rule(pick=PICKS)
     def node_restarts(self, pick):
@@ -89,78 +89,78 @@
         actions.replace_voter(self.world, self.find_voter(pick))
 
     @rule(number=st.integers(1, 60), newer=st.integers(0, 60))
-    def some_requests_did_not_run(self, number, newer):
-        actions.undo_some(self.world, number, newer)
+    def some_requests_return_tokens_late(self, number, newer):
+        actions.return_some(self.world, number, newer)
 
     def teardown(self):
         excess = self.world.find_excess()
         assert not excess, excess
 
 
-class ChangingMachine(QuotaMachine):
-    """Have its limit change as well."""
+class ChangingLimitMachine(QuotaMachine):
+    """Let the customer's limit change as well."""
 
     @rule(limit=st.sampled_from(actions.LIMITS))
     def limit_changes(self, limit):
         self.world.set_limit(limit)
 
     @rule(pause=PAUSES, is_gone=st.booleans())
-    def customer_or_its_limit_goes_and_comes_back(self, pause, is_gone):
-        actions.come_back(self.world, pause, is_gone)
+    def customer_or_its_limit_is_removed_and_restored(self, pause, is_gone):
+        actions.remove_and_restore(self.world, pause, is_gone)
 
     @rule(pause=PAUSES, is_gone=st.booleans())
-    def voters_restart_while_customer_or_its_limit_is_gone(self, pause, is_gone):
-        actions.come_back(self.world, pause, is_gone, are_restarted=True)
+    def voters_restart_while_customer_or_its_limit_is_removed(self, pause, is_gone):
+        actions.remove_and_restore(self.world, pause, is_gone, are_restarted=True)
 
 
 class TestQuotas(QuotaMachine.TestCase):
-    """Run the machine whose limit stays, against the narrowest bound."""
+    """Run the machine with a constant limit, against the narrowest bound."""
 
 
-class TestChangingQuotas(ChangingMachine.TestCase):
-    """Run the machine whose limit changes."""
+class TestChangingLimits(ChangingLimitMachine.TestCase):
+    """Run the machine with a changing limit."""
 
 
 class TestWalks(unittest.TestCase):
-    """Run long walks of the same actions, each from its own seed."""
+    """Run long random walks of the same actions, each with its own seed."""
 
-    def walk(self, has_changes):
+    def run_walks(self, has_changes):
         ran = 0
         for seed in range(WALKS):
             with self.subTest(seed=seed):
-                # What gathers in large buckets shows there, what leaks in small ones.
+                # Large buckets reveal tokens that accumulate, small ones tokens that leak.
                 world = FuzzWorld(BURSTS[seed % len(BURSTS)])
-                actions.walk(world, seed, ACTIONS_PER_WALK, has_changes)
+                actions.run_walk(world, seed, ACTIONS_PER_WALK, has_changes)
                 self.assertEqual(world.find_excess(), "")
                 ran += len(world.runs)
-        # Walks in which nothing runs would show nothing.
+        # Walks in which no request runs would prove nothing.
         self.assertGreater(ran, 50 * WALKS)
 
-    def test_no_more_runs_than_permitted_while_the_limit_stays(self):
-        self.walk(has_changes=False)
+    def test_no_more_requests_run_than_permitted_with_a_constant_limit(self):
+        self.run_walks(has_changes=False)
 
-    def test_no_more_runs_than_permitted_while_the_limit_changes(self):
-        self.walk(has_changes=True)
+    def test_no_more_requests_run_than_permitted_with_a_changing_limit(self):
+        self.run_walks(has_changes=True)
 
-    def test_no_more_runs_when_voters_restart_while_the_customer_or_its_limit_is_gone(self):
+    def test_no_more_requests_run_when_voters_restart_without_the_customer_or_its_limit(self):
         for is_gone in (True, False):
             with self.subTest(is_gone=is_gone):
                 world = FuzzWorld(burst=40.0)
-                world.demand = 3
+                world.requests_per_step = 3
                 world.pass_time(2.0)
                 for _ in range(4):
-                    actions.come_back(world, 0.3, is_gone, are_restarted=True)
+                    actions.remove_and_restore(world, 0.3, is_gone, are_restarted=True)
                     world.pass_time(0.4)
                 self.assertEqual(world.find_excess(), "")
                 self.assertGreater(len(world.runs), 50)
 
-    def test_no_more_runs_while_half_does_not_run_and_messages_come_twice(self):
-        for doubled in (QuotaReturn, QuotaReply, QuotaLoan, QuotaRequest, QuotaLoanRequest):
-            with self.subTest(doubled=doubled.__name__):
+    def test_no_more_requests_run_when_half_return_their_token_and_messages_are_duplicated(self):
+        for duplicated in (QuotaReturn, QuotaReply, QuotaLoan, QuotaRequest, QuotaLoanRequest):
+            with self.subTest(duplicated=duplicated.__name__):
                 world = FuzzWorld(burst=40.0)
-                world.doubled = (doubled,)
-                world.undoes = True
-                world.demand = 3
+                world.duplicated_types = (duplicated,)
+                world.returns_tokens = True
+                world.requests_per_step = 3
                 world.pass_time(17.0)
                 self.assertEqual(world.find_excess(), "")
                 self.assertGreater(len(world.runs), 100)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_messages.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Test that the messages about quotas arrive as they were sent."""
+"""Test that messages about quotas are decoded as they were encoded."""
 
 import unittest
 
@@ -14,7 +14,7 @@
     QuotaUnused,
 )
 
-# Runs are milliseconds since 1970, and numbers of asks begin at 2^20 times that.
+# Runs are milliseconds since 1970, and numbers of quota requests begin at 2^20 times that.
 RUN = 1_764_685_000_123
 MESSAGES = (
     QuotaRequest(RUN << 20, (QuotaDemand("maria", 3, 2, 1, (7, 8)), QuotaDemand("ana", 1))),
@@ -26,12 +26,12 @@
 
 
 class TestMessages(unittest.TestCase):
-    def test_each_is_decoded_to_what_was_encoded(self):
+    def test_each_message_is_decoded_as_it_was_encoded(self):
         for message in MESSAGES:
             with self.subTest(type(message).__name__):
                 self.assertEqual(decode_message(encode_message(message)).ok, message)
 
-    def test_a_message_with_a_wrong_field_is_refused(self):
+    def test_a_message_with_an_invalid_field_is_rejected(self):
         broken = encode_message(MESSAGES[3]).replace(b"maria", b"\xff\xff\xff\xff\xff")
         self.assertTrue(decode_message(broken).is_error())
 
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_voter.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_voter.py
@@ -1,4 +1,4 @@
-"""Test what one voter grants, lends, borrows and forgets."""
+"""Test what one voter grants, lends, borrows and evicts."""
 
 import unittest
 
@@ -22,8 +22,8 @@
     update_configuration,
     update_voters,
 )
-from bendwind_core.quotas.voter import LENDER_WAIT
-from bendwind_core.quotas.voter_state import UNDONE_FOR
+from bendwind_core.quotas.voter import LOAN_TIMEOUT
+from bendwind_core.quotas.voter_state import RETURN_PERIOD
 from bendwind_core.world import Configuration, Customer
 
 BOUNDS = QuotaBounds(10.0, 0.1, 0.0)
@@ -32,7 +32,7 @@
 
 
 def create_voter(rate=10.0, burst=10.0, voters=1, now=0.0, run=RUN):
-    """Make a voter that has been one for long, and a customer that is new."""
+    """Create an established voter and a new customer."""
     quotas = create_voter_quotas("v1", run, BOUNDS, voters, CONFIRMED_FOR)
     peers = tuple(f"v{number}" for number in range(2, voters + 1))
     update_voters(quotas, 1, peers, now)
@@ -46,80 +46,81 @@
     update_configuration(quotas, Configuration(1, customers=listed), now)
 
 
-def ask(quotas, waiting, now, ahead=0, number=1):
+def request_tokens(quotas, waiting, now, prefetch=0, number=1):
     effects = handle_quota_request(
-        quotas, "n", QuotaRequest(number, (QuotaDemand("maria", waiting, ahead),)), now
+        quotas, "n", QuotaRequest(number, (QuotaDemand("maria", waiting, prefetch),)), now
     )
     return effects
 
 
-def grant(quotas, waiting, now, ahead=0, number=1):
-    """Ask, and return the grant that comes at once."""
+def grant(quotas, waiting, now, prefetch=0, number=1):
+    """Request tokens, and return the grant that is sent immediately."""
     replies = [
         effect.message
-        for effect in ask(quotas, waiting, now, ahead, number)
+        for effect in request_tokens(quotas, waiting, now, prefetch, number)
         if isinstance(effect.message, QuotaReply)
     ]
     return replies[-1].grants[0]
 
 
 class TestGranting(unittest.TestCase):
-    def test_a_new_customer_has_its_burst_at_once(self):
+    def test_a_new_customer_gets_its_burst_immediately(self):
         quotas = create_voter()
         granted = grant(quotas, 30, 0.0)
         self.assertEqual(granted.tokens, 11)
         self.assertGreater(granted.wait_ms, 0)
 
-    def test_half_of_what_is_left_is_granted_ahead(self):
-        self.assertEqual(grant(create_voter(), 1, 0.0, ahead=100).tokens, 6)
+    def test_half_of_the_remaining_tokens_are_granted_for_prefetching(self):
+        self.assertEqual(grant(create_voter(), 1, 0.0, prefetch=100).tokens, 6)
 
-    def test_those_refused_are_told_to_come_back_one_after_the_other(self):
+    def test_refused_nodes_are_to_retry_one_after_the_other(self):
         quotas = create_voter()
         grant(quotas, 30, 0.0)
         waits = [grant(quotas, 1, 0.0, number=number).wait_ms for number in range(2, 6)]
         self.assertEqual(waits, sorted(waits))
         self.assertGreater(waits[-1], waits[0] + 200)
 
-    def test_without_a_young_confirmation_nothing_is_answered(self):
+    def test_without_a_recent_confirmation_nothing_is_answered(self):
         quotas = create_voter()
-        self.assertEqual(ask(quotas, 1, CONFIRMED_FOR), [])
+        self.assertEqual(request_tokens(quotas, 1, CONFIRMED_FOR), [])
         record_confirmation(quotas, CONFIRMED_FOR)
-        self.assertEqual(len(ask(quotas, 1, CONFIRMED_FOR)), 1)
+        self.assertEqual(len(request_tokens(quotas, 1, CONFIRMED_FOR)), 1)
 
-    def test_nothing_is_lent_without_a_young_confirmation(self):
+    def test_nothing_is_lent_without_a_recent_confirmation(self):
         self.assertEqual(
             handle_quota_loan_request(create_voter(), "v2", QuotaLoanRequest(1, "maria", 1.0), 5.0),
             [],
         )
 
-    def test_a_voter_made_one_begins_empty_after_its_predecessor_stopped(self):
+    def test_a_new_voter_starts_empty_once_its_predecessor_cannot_grant(self):
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
         update_voters(quotas, None, (), 0.0)
         set_limit(quotas, 10.0, 10.0, 0.0)
         update_voters(quotas, 1, (), 5.0)
         record_confirmation(quotas, 5.0)
-        self.assertEqual(ask(quotas, 1, 5.5), [])
+        self.assertEqual(request_tokens(quotas, 1, 5.5), [])
         record_confirmation(quotas, 6.5)
         self.assertEqual(grant(quotas, 30, 6.52).tokens, 5)
 
-    def test_a_process_that_hears_its_log_anew_waits_from_its_start(self):
-        # Each process that came back after a loss of power granted nothing for a second more.
+    def test_a_process_that_replays_its_log_counts_the_delay_from_its_start(self):
+        # If the delay counted from the replay, each process would grant nothing for a further
+        # second after a power loss.
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
         update_voters(quotas, None, (), 5.0)
         update_voters(quotas, 1, (), 5.6)
         set_limit(quotas, 10.0, 10.0, 5.6)
         record_confirmation(quotas, 5.9)
-        self.assertEqual(ask(quotas, 1, 5.95), [])
+        self.assertEqual(request_tokens(quotas, 1, 5.95), [])
         self.assertEqual(grant(quotas, 30, 6.52).tokens, 5)
 
-    def test_a_voter_that_restarted_begins_empty(self):
+    def test_a_restarted_voter_starts_empty(self):
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
         update_voters(quotas, 1, (), 0.0)
         set_limit(quotas, 10.0, 10.0, 0.0)
         record_confirmation(quotas, 0.0)
         self.assertEqual(grant(quotas, 30, 0.52).tokens, 5)
 
-    def test_a_voter_taken_out_and_in_again_begins_empty(self):
+    def test_a_voter_that_is_removed_and_added_again_starts_empty(self):
         quotas = create_voter()
         update_voters(quotas, 2, (), 5.0)
         record_confirmation(quotas, 6.0)
@@ -127,7 +128,7 @@
 
 
 class TestLimits(unittest.TestCase):
-    def test_a_lowered_limit_cuts_a_bucket_that_is_kept_and_one_that_is_not(self):
+    def test_a_lowered_limit_applies_to_existing_and_evicted_buckets(self):
         for was_asked in (True, False):
             with self.subTest(was_asked=was_asked):
                 quotas = create_voter(10.0, 100.0)
@@ -136,13 +137,13 @@
                 set_limit(quotas, 10.0, 10.0, 0.0)
                 self.assertEqual(grant(quotas, 300, 0.0).tokens, 11)
 
-    def test_a_raised_limit_fills_faster_at_once_but_adds_nothing(self):
+    def test_a_raised_limit_refills_faster_immediately_but_adds_nothing(self):
         quotas = create_voter(10.0, 10.0)
         grant(quotas, 11, 0.0)
         set_limit(quotas, 100.0, 100.0, 0.0)
         self.assertEqual(grant(quotas, 300, 0.505).tokens, 50)
 
-    def test_raising_and_lowering_in_turn_adds_nothing(self):
+    def test_alternately_raising_and_lowering_the_limit_adds_nothing(self):
         quotas = create_voter(10.0, 100.0)
         total = 0
         for number in range(1, 10):
@@ -152,7 +153,7 @@
             total += grant(quotas, 300, 0.0, number=2 * number + 1).tokens
         self.assertLessEqual(total, 110)
 
-    def test_a_customer_whose_limit_is_gone_is_granted_all(self):
+    def test_a_customer_whose_limit_is_removed_is_granted_everything(self):
         quotas = create_voter()
         grant(quotas, 11, 0.0)
         set_limit(quotas, 0.0, 0.0, 0.0)
@@ -160,14 +161,14 @@
         set_limit(quotas, 10.0, 10.0, 0.0)
         self.assertEqual(grant(quotas, 50, 0.0).tokens, 0)
 
-    def test_a_customer_that_is_not_known_is_neither_granted_nor_refused(self):
+    def test_an_unknown_customer_is_neither_granted_nor_refused_tokens(self):
         quotas = create_voter()
-        want = QuotaRequest(1, (QuotaDemand("new", 1),))
-        (effect,) = handle_quota_request(quotas, "n", want, 0.0)
+        request = QuotaRequest(1, (QuotaDemand("new", 1),))
+        (effect,) = handle_quota_request(quotas, "n", request, 0.0)
         granted = effect.message.grants[0]
         self.assertEqual((granted.tokens, granted.wait_ms), (0, None))
 
-    def test_a_customer_that_goes_and_comes_back_has_what_it_had(self):
+    def test_a_customer_that_is_removed_and_restored_gains_no_tokens(self):
         quotas = create_voter()
         grant(quotas, 300, 0.0)
         for _ in range(3):
@@ -176,7 +177,7 @@
             set_limit(quotas, 10.0, 10.0, 0.0)
             self.assertEqual(grant(quotas, 300, 0.0).tokens, 0)
 
-    def test_a_customer_that_goes_while_buckets_fill_comes_back_with_what_it_had(self):
+    def test_a_customer_that_is_removed_while_buckets_refill_keeps_its_tokens(self):
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
         update_voters(quotas, 1, (), 0.0)
         set_limit(quotas, 10.0, 10.0, 0.0)
@@ -186,11 +187,11 @@
         self.assertEqual(grant(quotas, 30, 0.52).tokens, 5)
 
 
-class TestComebacks(unittest.TestCase):
-    """Pin that a voter grants no burst which its earlier run may have granted."""
+class TestRestoredCustomers(unittest.TestCase):
+    """Test that a voter grants no burst that its earlier run may have granted."""
 
     def restart(self, *, version=3, is_known=False, confirmed_at=0.0):
-        """Make a run that begins while the customer is not listed, or not limited."""
+        """Create a run that starts while the customer is not listed or not limited."""
         quotas = create_voter_quotas("v1", RUN, BOUNDS, 1, CONFIRMED_FOR)
         update_voters(quotas, 1, (), 0.0)
         listed = (Customer("maria"),) if is_known else None
@@ -202,26 +203,26 @@
         record_confirmation(quotas, now)
         return grant(quotas, 30, now).tokens
 
-    def test_a_customer_put_back_after_a_restart_has_what_it_would_have_had(self):
+    def test_a_customer_restored_after_a_restart_gets_only_tokens_since_the_restart(self):
         for is_known in (False, True):
             with self.subTest(is_known=is_known):
                 quotas = self.restart(is_known=is_known)
                 set_limit(quotas, 10.0, 10.0, 0.4)
                 self.assertEqual(self.count(quotas, 0.52), 5)
 
-    def test_one_put_back_after_another_place_was_taken_has_no_more(self):
+    def test_a_customer_restored_after_the_voter_id_changed_gets_no_more(self):
         quotas = self.restart()
         update_voters(quotas, 2, (), 2.0)
         record_confirmation(quotas, 3.0)
         set_limit(quotas, 10.0, 10.0, 3.0)
         self.assertEqual(self.count(quotas, 3.52), 5)
 
-    def test_a_voter_that_runs_for_long_gives_a_new_customer_its_burst(self):
+    def test_a_voter_that_has_run_for_long_grants_a_new_customer_its_burst(self):
         quotas = self.restart()
         set_limit(quotas, 10.0, 10.0, 2.0)
         self.assertEqual(self.count(quotas, 2.0), 11)
 
-    def test_a_run_that_knows_all_customers_there_were_gives_a_new_one_its_burst(self):
+    def test_a_run_with_complete_history_grants_a_new_customer_its_burst(self):
         quotas = self.restart(version=0)
         update_configuration(quotas, Configuration(1), 0.1)
         set_limit(quotas, 10.0, 10.0, 0.2)
@@ -229,37 +230,37 @@
 
 
 class TestReturns(unittest.TestCase):
-    def give_back(self, quotas, number, tokens, now=0.0, run=RUN):
+    def return_tokens(self, quotas, number, tokens, now=0.0, run=RUN):
         handle_quota_return(quotas, QuotaReturn(run, (QuotaUnused(number, tokens),)), now)
 
-    def test_what_comes_back_is_granted_again_once(self):
+    def test_returned_tokens_are_granted_again_once(self):
         quotas = create_voter()
         number = grant(quotas, 11, 0.0).number
-        self.give_back(quotas, number, 2)
-        self.give_back(quotas, number, 2)
-        self.give_back(quotas, number, 3)
-        self.give_back(quotas, number, 1)
+        self.return_tokens(quotas, number, 2)
+        self.return_tokens(quotas, number, 2)
+        self.return_tokens(quotas, number, 3)
+        self.return_tokens(quotas, number, 1)
         self.assertEqual(grant(quotas, 30, 0.0).tokens, 3)
 
-    def test_no_more_comes_back_than_was_granted(self):
+    def test_no_more_tokens_are_refunded_than_were_granted(self):
         quotas = create_voter()
         number = grant(quotas, 5, 0.0).number
         grant(quotas, 6, 0.0)
-        self.give_back(quotas, number, 100)
+        self.return_tokens(quotas, number, 100)
         self.assertEqual(grant(quotas, 30, 0.0).tokens, 5)
 
-    def test_what_another_run_granted_does_not_come_back(self):
+    def test_tokens_that_another_run_granted_are_not_refunded(self):
         quotas = create_voter()
         number = grant(quotas, 11, 0.0).number
-        self.give_back(quotas, number, 5, run=RUN - 1)
+        self.return_tokens(quotas, number, 5, run=RUN - 1)
         self.assertEqual(grant(quotas, 30, 0.0).tokens, 0)
 
-    def test_what_comes_back_too_late_is_lost(self):
+    def test_tokens_that_are_returned_too_late_are_lost(self):
         quotas = create_voter(0.01, 10.0)
         number = grant(quotas, 11, 0.0).number
-        self.give_back(quotas, number, 5, now=UNDONE_FOR + 0.1)
-        record_confirmation(quotas, UNDONE_FOR)
-        self.assertEqual(grant(quotas, 30, UNDONE_FOR + 0.1).tokens, 0)
+        self.return_tokens(quotas, number, 5, now=RETURN_PERIOD + 0.1)
+        record_confirmation(quotas, RETURN_PERIOD)
+        self.assertEqual(grant(quotas, 30, RETURN_PERIOD + 0.1).tokens, 0)
 
 
 class TestLoans(unittest.TestCase):
@@ -268,75 +269,75 @@
         self.first = grant(self.quotas, 11, 0.0)
         self.assertEqual(self.first.tokens, 11)
 
-    def pull(self, now=0.0, waiting=2):
-        """Ask for more than there is; return the question to another voter."""
-        (effect,) = ask(self.quotas, waiting, now, number=2)
+    def request_loan(self, now=0.0, waiting=2):
+        """Request more tokens than available; return the loan request to another voter."""
+        (effect,) = request_tokens(self.quotas, waiting, now, number=2)
         self.assertIsInstance(effect.message, QuotaLoanRequest)
         return effect
 
-    def lend(self, effect, tokens, now=0.01, left=5.0, voter=None, run=3):
-        loan = QuotaLoan(effect.message.number, run, "maria", 4, tokens, left)
+    def lend(self, effect, tokens, now=0.01, lendable=5.0, voter=None, run=3):
+        loan = QuotaLoan(effect.message.number, run, "maria", 4, tokens, lendable)
         return handle_quota_loan(self.quotas, voter or effect.to, loan, now)
 
-    def test_who_waits_is_answered_with_what_was_lent(self):
-        (answer,) = self.lend(self.pull(), 2.0)
+    def test_a_waiting_demand_is_answered_with_lent_tokens(self):
+        (answer,) = self.lend(self.request_loan(), 2.0)
         self.assertEqual((answer.to, answer.message.grants[0].tokens), ("n", 2))
 
-    def test_a_loan_counts_once_and_only_from_whom_was_asked(self):
-        effect = self.pull(waiting=2)
+    def test_a_loan_counts_once_and_only_from_the_requested_lender(self):
+        effect = self.request_loan(waiting=2)
         self.assertEqual(self.lend(effect, 2.0, voter="v9"), [])
         self.assertEqual(len(self.lend(effect, 2.0)), 1)
         self.assertEqual(self.lend(effect, 2.0), [])
         self.assertEqual(self.quotas.totals.borrowed, 2.0)
 
-    def test_a_loan_asked_for_in_an_earlier_run_does_not_count(self):
-        effect = self.pull()
+    def test_a_loan_requested_in_an_earlier_run_does_not_count(self):
+        effect = self.request_loan()
         later = create_voter(30.0, 30.0, voters=3, run=RUN + 1)
         grant(later, 11, 0.0)
-        (again,) = ask(later, 2, 0.0, number=2)
+        (again,) = request_tokens(later, 2, 0.0, number=2)
         self.assertNotEqual(effect.message.number, again.message.number)
 
-    def test_what_was_lent_too_much_ends_and_is_given_back(self):
-        self.lend(self.pull(), 5.0)
+    def test_unused_lent_tokens_expire_and_are_returned(self):
+        self.lend(self.request_loan(), 5.0)
         until = BOUNDS.loan_validity
         record_confirmation(self.quotas, until)
         self.quotas.accounts["maria"].bucket.level = 0.0
-        back = [effect for effect in tick_voter(self.quotas, until + 0.001)]
-        self.assertEqual([effect.message.unused[0].tokens for effect in back], [3.0])
-        self.assertEqual((back[0].to, back[0].message.run), ("v2", 3))
+        returned = [effect for effect in tick_voter(self.quotas, until + 0.001)]
+        self.assertEqual([effect.message.unused[0].tokens for effect in returned], [3.0])
+        self.assertEqual((returned[0].to, returned[0].message.run), ("v2", 3))
 
-    def test_what_was_lent_is_not_lent_on(self):
-        self.lend(self.pull(), 5.0)
+    def test_borrowed_tokens_are_not_lent(self):
+        self.lend(self.request_loan(), 5.0)
         (answer,) = handle_quota_loan_request(
             self.quotas, "v3", QuotaLoanRequest(1, "maria", 5.0), 0.01
         )
         self.assertLess(answer.message.tokens, 1.0)
 
-    def test_a_voter_that_has_nothing_is_left_alone_for_a_while(self):
-        effect = self.pull()
-        (second,) = self.lend(effect, 0.0, left=0.0)
+    def test_no_loan_is_requested_soon_from_a_voter_without_tokens(self):
+        effect = self.request_loan()
+        (second,) = self.lend(effect, 0.0, lendable=0.0)
         self.assertNotEqual(second.to, effect.to)
-        (answer,) = self.lend(second, 0.0, left=0.0)
+        (answer,) = self.lend(second, 0.0, lendable=0.0)
         self.assertEqual(answer.message.grants[0].tokens, 0)
-        (answer,) = ask(self.quotas, 1, 0.02, number=3)
+        (answer,) = request_tokens(self.quotas, 1, 0.02, number=3)
         self.assertIsInstance(answer.message, QuotaReply)
 
-    def test_a_voter_that_does_not_answer_is_passed_over(self):
-        effect = self.pull()
-        (second,) = tick_voter(self.quotas, LENDER_WAIT)
+    def test_a_lender_that_does_not_answer_is_passed_over(self):
+        effect = self.request_loan()
+        (second,) = tick_voter(self.quotas, LOAN_TIMEOUT)
         self.assertNotEqual(second.to, effect.to)
         self.assertIsInstance(second.message, QuotaLoanRequest)
 
-    def test_who_waits_is_answered_though_nobody_lends(self):
-        self.pull()
+    def test_a_waiting_demand_is_answered_although_nobody_lends(self):
+        self.request_loan()
         answers = []
         for tick in range(1, 20):
             record_confirmation(self.quotas, 0.01 * tick)
             answers += tick_voter(self.quotas, 0.01 * tick)
-        told = [effect.message for effect in answers if isinstance(effect.message, QuotaReply)]
-        self.assertEqual(len(told), 1)
+        replies = [effect.message for effect in answers if isinstance(effect.message, QuotaReply)]
+        self.assertEqual(len(replies), 1)
 
-    def test_lending_takes_from_the_bucket_and_returning_puts_it_back(self):
+    def test_lending_withdraws_from_the_bucket_and_a_return_refunds_it(self):
         lender = create_voter(30.0, 30.0, voters=3)
         (answer,) = handle_quota_loan_request(lender, "v2", QuotaLoanRequest(1, "maria", 6.0), 0.0)
         self.assertEqual(answer.message.tokens, 6.0)
@@ -347,78 +348,78 @@
 
 
 class TestLateLoans(unittest.TestCase):
-    """Pin that what was lent after the lender was given up is used or given back, once."""
+    """Test that tokens lent after the loan request was abandoned are used or returned, once."""
 
     def setUp(self):
         self.quotas = create_voter(30.0, 30.0, voters=3)
         grant(self.quotas, 11, 0.0)
-        (self.pull,) = ask(self.quotas, 2, 0.0, number=2)
-        (self.second,) = tick_voter(self.quotas, LENDER_WAIT)
+        (self.first_request,) = request_tokens(self.quotas, 2, 0.0, number=2)
+        (self.second_request,) = tick_voter(self.quotas, LOAN_TIMEOUT)
         self.quotas.accounts["maria"].bucket.share = Share(1e-6, 10.0, 0.0)
 
-    def lend(self, pull, tokens, now, number=4, run=3):
-        loan = QuotaLoan(pull.message.number, run, "maria", number, tokens, 5.0)
-        return handle_quota_loan(self.quotas, pull.to, loan, now)
+    def lend(self, loan_request, tokens, now, number=4, run=3):
+        loan = QuotaLoan(loan_request.message.number, run, "maria", number, tokens, 5.0)
+        return handle_quota_loan(self.quotas, loan_request.to, loan, now)
 
-    def list_back(self, now):
+    def list_returned(self, now):
         return [
             (effect.to, effect.message)
             for effect in tick_voter(self.quotas, now)
             if isinstance(effect.message, QuotaReturn)
         ]
 
-    def test_it_serves_those_who_wait_since_before_it_was_asked_for(self):
-        (answer,) = self.lend(self.pull, 2.0, LENDER_WAIT + 0.01)
+    def test_a_late_loan_serves_demands_that_arrived_before_its_request(self):
+        (answer,) = self.lend(self.first_request, 2.0, LOAN_TIMEOUT + 0.01)
         self.assertEqual((answer.to, answer.message.number), ("n", 2))
         self.assertEqual(answer.message.grants[0].tokens, 2)
 
-    def test_the_other_lender_is_still_heard(self):
-        self.lend(self.pull, 2.0, LENDER_WAIT + 0.01)
-        self.lend(self.second, 1.5, LENDER_WAIT + 0.02, number=5)
+    def test_a_loan_of_the_second_lender_is_still_accepted(self):
+        self.lend(self.first_request, 2.0, LOAN_TIMEOUT + 0.01)
+        self.lend(self.second_request, 1.5, LOAN_TIMEOUT + 0.02, number=5)
         self.assertEqual(self.quotas.totals.borrowed, 3.5)
 
-    def test_what_nobody_waits_for_goes_back_to_its_lender_once(self):
-        self.lend(self.second, 2.0, LENDER_WAIT + 0.005, number=5)
-        self.assertEqual(self.lend(self.pull, 6.0, LENDER_WAIT + 0.01), [])
-        until = BOUNDS.loan_validity + LENDER_WAIT
-        back = QuotaReturn(3, (QuotaUnused(4, 6.0),))
-        self.assertEqual(self.list_back(until), [(self.pull.to, back)])
-        self.assertEqual(self.list_back(until + 0.1), [])
-
-    def test_what_comes_too_old_goes_back_at_the_next_tick(self):
-        self.lend(self.second, 2.0, LENDER_WAIT + 0.005, number=5)
-        until = BOUNDS.loan_validity + LENDER_WAIT
-        self.lend(self.pull, 6.0, until)
-        back = QuotaReturn(3, (QuotaUnused(4, 6.0),))
-        self.assertEqual(self.list_back(until), [(self.pull.to, back)])
-
-    def test_what_comes_for_a_customer_that_is_forgotten_goes_back_at_once(self):
-        update_voters(self.quotas, None, (), LENDER_WAIT)
-        (effect,) = self.lend(self.pull, 6.0, LENDER_WAIT + 0.01)
-        back = QuotaReturn(3, (QuotaUnused(4, 6.0),))
-        self.assertEqual((effect.to, effect.message), (self.pull.to, back))
-
-    def test_a_repeated_one_neither_counts_nor_goes_back_again(self):
+    def test_unneeded_tokens_are_returned_to_their_lender_once(self):
+        self.lend(self.second_request, 2.0, LOAN_TIMEOUT + 0.005, number=5)
+        self.assertEqual(self.lend(self.first_request, 6.0, LOAN_TIMEOUT + 0.01), [])
+        until = BOUNDS.loan_validity + LOAN_TIMEOUT
+        returned = QuotaReturn(3, (QuotaUnused(4, 6.0),))
+        self.assertEqual(self.list_returned(until), [(self.first_request.to, returned)])
+        self.assertEqual(self.list_returned(until + 0.1), [])
+
+    def test_a_loan_that_has_already_expired_is_returned_at_the_next_tick(self):
+        self.lend(self.second_request, 2.0, LOAN_TIMEOUT + 0.005, number=5)
+        until = BOUNDS.loan_validity + LOAN_TIMEOUT
+        self.lend(self.first_request, 6.0, until)
+        returned = QuotaReturn(3, (QuotaUnused(4, 6.0),))
+        self.assertEqual(self.list_returned(until), [(self.first_request.to, returned)])
+
+    def test_a_loan_for_a_removed_account_is_returned_immediately(self):
+        update_voters(self.quotas, None, (), LOAN_TIMEOUT)
+        (effect,) = self.lend(self.first_request, 6.0, LOAN_TIMEOUT + 0.01)
+        returned = QuotaReturn(3, (QuotaUnused(4, 6.0),))
+        self.assertEqual((effect.to, effect.message), (self.first_request.to, returned))
+
+    def test_a_duplicate_loan_neither_counts_nor_is_returned_again(self):
         for _ in range(2):
-            self.lend(self.pull, 2.0, LENDER_WAIT + 0.01)
+            self.lend(self.first_request, 2.0, LOAN_TIMEOUT + 0.01)
         self.assertEqual(self.quotas.totals.borrowed, 2.0)
-        self.lend(self.second, 0.0, LENDER_WAIT + 0.02)
-        update_voters(self.quotas, None, (), LENDER_WAIT)
-        self.assertEqual(self.lend(self.pull, 2.0, LENDER_WAIT + 0.03), [])
+        self.lend(self.second_request, 0.0, LOAN_TIMEOUT + 0.02)
+        update_voters(self.quotas, None, (), LOAN_TIMEOUT)
+        self.assertEqual(self.lend(self.first_request, 2.0, LOAN_TIMEOUT + 0.03), [])
 
-    def test_one_of_whom_was_not_asked_is_not_taken(self):
-        loan = QuotaLoan(self.pull.message.number, 3, "maria", 4, 2.0, 5.0)
-        self.assertEqual(handle_quota_loan(self.quotas, "v9", loan, LENDER_WAIT + 0.01), [])
+    def test_a_loan_from_another_voter_is_ignored(self):
+        loan = QuotaLoan(self.first_request.message.number, 3, "maria", 4, 2.0, 5.0)
+        self.assertEqual(handle_quota_loan(self.quotas, "v9", loan, LOAN_TIMEOUT + 0.01), [])
         self.assertEqual(self.quotas.totals.borrowed, 0.0)
 
-    def test_questions_are_forgotten_when_the_lender_cannot_take_it_back_any_more(self):
-        tick_voter(self.quotas, UNDONE_FOR + 1.0)
-        self.assertNotIn(self.pull.message.number, self.quotas.pulls)
-        self.assertNotIn(self.second.message.number, self.quotas.pulls)
+    def test_loan_requests_are_removed_when_the_lender_can_no_longer_refund_the_tokens(self):
+        tick_voter(self.quotas, RETURN_PERIOD + 1.0)
+        self.assertNotIn(self.first_request.message.number, self.quotas.pending_loans)
+        self.assertNotIn(self.second_request.message.number, self.quotas.pending_loans)
 
 
 class TestWithoutOverage(unittest.TestCase):
-    """Pin that loans serve those who waited for them, where no token may be kept at all."""
+    """Test that loans serve the demands that waited for them if no token may be kept at all."""
 
     def setUp(self):
         bounds = QuotaBounds(10.0, 0.0, 0.0)
@@ -428,26 +429,28 @@
         set_limit(self.quotas, 30.0, 30.0, 0.0)
         grant(self.quotas, 10, 0.0)
 
-    def test_who_waited_is_served_by_the_loan_and_who_came_later_is_not(self):
-        (pull,) = ask(self.quotas, 2, 0.001, number=2)
-        ask(self.quotas, 1, 0.002, number=3)
-        loan = QuotaLoan(pull.message.number, 3, "maria", 4, 4.0, 5.0)
-        effects = handle_quota_loan(self.quotas, pull.to, loan, 0.005)
-        told = [e.message for e in effects if isinstance(e.message, QuotaReply)]
-        self.assertEqual([(reply.number, reply.grants[0].tokens) for reply in told], [(2, 2)])
-        (back,) = [e for e in tick_voter(self.quotas, 0.01) if isinstance(e.message, QuotaReturn)]
-        self.assertEqual(back.message.unused[0].tokens, 2.0)
+    def test_a_loan_serves_demands_before_its_request_and_none_that_came_later(self):
+        (loan_request,) = request_tokens(self.quotas, 2, 0.001, number=2)
+        request_tokens(self.quotas, 1, 0.002, number=3)
+        loan = QuotaLoan(loan_request.message.number, 3, "maria", 4, 4.0, 5.0)
+        effects = handle_quota_loan(self.quotas, loan_request.to, loan, 0.005)
+        replies = [e.message for e in effects if isinstance(e.message, QuotaReply)]
+        self.assertEqual([(reply.number, reply.grants[0].tokens) for reply in replies], [(2, 2)])
+        (returned,) = [
+            e for e in tick_voter(self.quotas, 0.01) if isinstance(e.message, QuotaReturn)
+        ]
+        self.assertEqual(returned.message.unused[0].tokens, 2.0)
 
 
-class TestForgetting(unittest.TestCase):
-    def test_a_full_bucket_is_forgotten_and_is_full_when_it_is_asked_again(self):
+class TestEviction(unittest.TestCase):
+    def test_a_full_bucket_is_evicted_and_is_full_when_it_is_recreated(self):
         quotas = create_voter()
         grant(quotas, 11, 0.0)
         tick_voter(quotas, 1.0)
         self.assertTrue(quotas.accounts)
         tick_voter(quotas, 60.0)
         self.assertFalse(quotas.accounts)
-        self.assertFalse(quotas.takings)
+        self.assertFalse(quotas.withdrawals)
         record_confirmation(quotas, 60.0)
         self.assertEqual(grant(quotas, 30, 60.0).tokens, 11)
 
