--- a/packages/bendwind-core/src/bendwind_core/quotas/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Offer customers' quotas over all nodes: the decisions of nodes and voters about tokens."""
+"""Enforce customers' quotas across all nodes: the decisions of nodes and voters about tokens."""
 
 from bendwind_core.quotas.bounds import QuotaBounds, Share, create_share, find_max_requests
 from bendwind_core.quotas.messages import (
--- a/packages/bendwind-core/src/bendwind_core/quotas/voter_state.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/voter_state.py
@@ -223,7 +223,7 @@
 
 
 def is_evictable(quotas: VoterQuotas, account: VoterAccount, now: Seconds) -> bool:
-    """Return whether an account created anew would hold the same."""
+    """Return whether an account that is created later would hold the same."""
     if account.waiting or account.borrowed or account.pending_loan is not None:
         return False
     bucket = account.bucket
