--- a/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
@@ -9,7 +9,7 @@
 from bendwind_core.membership import LeaseTimes
 from bendwind_core.membership.renewal import MAX_WATCHED
 from bendwind_core.routing.subset import SUBSET
-from bendwind_node.claims.placer import PLACE_EVERY
+from bendwind_node.claims.placer import PLACEMENT_INTERVAL
 from bendwind_node.links.hub import IDLE_LINK, PING_INTERVAL_S
 
 
@@ -45,7 +45,7 @@
         claim_answer_bytes=claims.answer_bytes,
         claim_retention_s=claims.retention,
         claim_members=REQUIRED_MEMBERS,
-        place_s=PLACE_EVERY,
+        place_s=PLACEMENT_INTERVAL,
         round_s=log.heartbeat_s,
         log_entries=log.snapshot_entries,
         heartbeat_s=lease.heartbeat,
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/claims.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/claims.py
@@ -22,12 +22,12 @@
     ClaimRequest,
     ClaimState,
     create_holder,
-    member_of,
-    node_of,
+    format_member,
+    parse_node_name,
 )
 from bendwind_core.claims.events import GroupChanged, LeaseRenewed, Received
-from bendwind_core.claims.holder import step
-from bendwind_core.claims.placement import index_alive, is_whole
+from bendwind_core.claims.holder import step_holder
+from bendwind_core.claims.placement import index_alive_nodes, is_group_complete
 from bendwind_core.world import Instance
 
 GROUP_SIZES = (1, 2, 3, 5)
@@ -49,10 +49,10 @@
         self.holders: dict[str, ClaimHolder] = {}
         for member in members:
             holder = create_holder(member, _SERVICE, limits)
-            step(holder, GroupChanged(group), 0.0)
-            step(holder, LeaseRenewed(1e9), 0.0)
-            self.holders[node_of(member)] = holder
-        self.primary = node_of(members[0])
+            step_holder(holder, GroupChanged(group), 0.0)
+            step_holder(holder, LeaseRenewed(1e9), 0.0)
+            self.holders[parse_node_name(member)] = holder
+        self.primary = parse_node_name(members[0])
         self.spent = dict.fromkeys(self.holders, 0.0)
         self.bytes = dict.fromkeys(self.holders, 0)
 
@@ -64,7 +64,7 @@
             if to not in self.holders:
                 continue
             started = time.process_time()
-            effects = step(self.holders[to], Received(decode(data)), 1.0)
+            effects = step_holder(self.holders[to], Received(decode(data)), 1.0)
             sent = [(effect.to, encode(effect.message)) for effect in effects]
             self.spent[to] += time.process_time() - started
             self.bytes[to] += len(data) + sum(len(part) for _, part in sent)
@@ -120,9 +120,9 @@
 
 
 def _look_around(instances: tuple[Instance, ...]) -> int:
-    alive = index_alive(instances)
-    members = tuple(member_of(instance) for instance in instances[:3])
+    alive = index_alive_nodes(instances)
+    members = tuple(format_member(instance) for instance in instances[:3])
     group = ClaimGroup(_SERVICE, 1, members)
     for _ in range(TARGET_SERVICES):
-        is_whole(group, alive)
+        is_group_complete(group, alive)
     return 1
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_claims.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_claims.py
@@ -24,15 +24,15 @@
     create_holder,
 )
 from bendwind_core.claims.entry import (
-    Ask,
     EntryClaims,
-    GroupKnown,
+    GroupReceived,
     ReplyReceived,
-    Settle,
+    SettleClaim,
+    StartClaim,
     step_entry,
 )
 from bendwind_core.claims.events import GroupChanged, LeaseRenewed, Received, Send
-from bendwind_core.claims.holder import step
+from bendwind_core.claims.holder import step_holder
 from bendwind_core.claims.messages import ClaimReply
 from bendwind_core.claims.table import ClaimTable
 from bendwind_core.core import Record
@@ -66,12 +66,12 @@
         members = tuple(f"m{index}#1" for index in range(size))
         group = ClaimGroup(SERVICE, 1, members)
         self.entry = EntryClaims()
-        step_entry(self.entry, GroupKnown(group), 0.0)
+        step_entry(self.entry, GroupReceived(group), 0.0)
         self.holders = {}
         for index, member in enumerate(members):
             holder = create_holder(member, SERVICE, LIMITS)
-            step(holder, GroupChanged(group), 0.0)
-            step(holder, LeaseRenewed(FOREVER), 0.0)
+            step_holder(holder, GroupChanged(group), 0.0)
+            step_holder(holder, LeaseRenewed(FOREVER), 0.0)
             self.holders[f"m{index}"] = holder
 
     def claim(self, number: int) -> None:
@@ -80,9 +80,9 @@
         key = make_key(number)
         call = f"{ENTRY}/{number}"
         request = ClaimRequest(SERVICE, key, FINGERPRINT, call, ENTRY, 0.0)
-        self._apply(step_entry(self.entry, Ask(request, 2.0), 0.0))
+        self._apply(step_entry(self.entry, StartClaim(request, 2.0), 0.0))
         outcome = ClaimOutcome(SERVICE, key, call, ENTRY, ClaimState.ANSWERED, ANSWER)
-        self._apply(step_entry(self.entry, Settle(outcome), 0.0))
+        self._apply(step_entry(self.entry, SettleClaim(outcome), 0.0))
 
     def _apply(self, effects: list) -> None:
         self._queue(effects)
@@ -91,7 +91,7 @@
             if isinstance(message, ClaimReply | ClaimSettled):
                 self._queue(step_entry(self.entry, ReplyReceived(message), 0.0))
             else:
-                self._queue(step(self.holders[to], Received(message), 0.0))
+                self._queue(step_holder(self.holders[to], Received(message), 0.0))
 
     def _queue(self, effects: list) -> None:
         for effect in effects:
--- a/packages/bendwind-core/src/bendwind_core/claims/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/__init__.py
@@ -13,7 +13,7 @@
 )
 from bendwind_core.claims.fingerprint import fingerprint_request
 from bendwind_core.claims.group import ClaimGroup
-from bendwind_core.claims.members import incarnation_of, member_of, node_of
+from bendwind_core.claims.members import format_member, parse_incarnation, parse_node_name
 from bendwind_core.claims.messages import (
     MAX_KEPT_ANSWER_BYTES,
     MAX_KEY_CHARACTERS,
@@ -39,8 +39,8 @@
     REQUIRED_MEMBERS,
     AliveNodes,
     choose_claim_group,
-    index_alive,
-    is_whole,
+    index_alive_nodes,
+    is_group_complete,
 )
 from bendwind_core.claims.state import ClaimHolder, create_holder
 from bendwind_core.claims.table import ClaimLimits
@@ -83,9 +83,9 @@
     "choose_claim_group",
     "create_holder",
     "fingerprint_request",
-    "incarnation_of",
-    "index_alive",
-    "is_whole",
-    "member_of",
-    "node_of",
+    "format_member",
+    "index_alive_nodes",
+    "is_group_complete",
+    "parse_incarnation",
+    "parse_node_name",
 ]
--- a/packages/bendwind-core/src/bendwind_core/claims/commands.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/commands.py
@@ -26,17 +26,17 @@
     Errors: a text that names the rule which the change would break.
     """
     group = command.group
-    present = groups.get(group.service)
-    fault = _find_fault(present, command)
+    current = groups.get(group.service)
+    fault = _find_fault(current, command)
     if fault:
         return Error(f"claim group of {group.service}: {fault}")
     groups[group.service] = group
     return Ok(group)
 
 
-def _find_fault(present: ClaimGroup | None, command: ChangeClaimGroup) -> str | None:
+def _find_fault(current: ClaimGroup | None, command: ChangeClaimGroup) -> str | None:
     group = command.group
-    epoch = present.epoch if present else 0
+    epoch = current.epoch if current else 0
     if command.expected_epoch != epoch:
         return f"expected epoch {command.expected_epoch}, found {epoch}"
     if group.epoch != epoch + 1:
@@ -45,19 +45,19 @@
         return "members are missing or repeated"
     if group.joining in group.members:
         return "the joining node is a member already"
-    if present is None:
+    if current is None:
         return "a new group cannot be lost" if group.lost else None
     if command.accept_loss:
-        return None if present.lost and not group.lost else "the group is not lost"
-    return _find_broken_copy(present, group)
+        return None if current.lost and not group.lost else "the group is not lost"
+    return _find_membership_fault(current, group)
 
 
-def _find_broken_copy(present: ClaimGroup, group: ClaimGroup) -> str | None:
-    holders = set(present.members)
+def _find_membership_fault(current: ClaimGroup, group: ClaimGroup) -> str | None:
+    holders = set(current.members)
     if group.members[0] not in holders:
         return "the primary must have been a member"
-    if not set(group.members) <= holders | {present.joining}:
+    if not set(group.members) <= holders | {current.joining}:
         return "a new member must have been joining"
-    if group.lost and group.members != present.members:
+    if group.lost and group.members != current.members:
         return "a lost group keeps its last members"
     return None
--- a/packages/bendwind-core/src/bendwind_core/claims/events.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/events.py
@@ -39,10 +39,10 @@
     message: ClaimMessage
 
 
-class SendControl(msgspec.Struct, frozen=True):
+class SendToControl(msgspec.Struct, frozen=True):
     """Send a message to every control voter; only the leader acts on it."""
 
     message: ClaimMessage
 
 
-HolderEffect = Send | SendControl
+HolderEffect = Send | SendToControl
--- a/packages/bendwind-core/src/bendwind_core/claims/holder.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/holder.py
@@ -24,53 +24,53 @@
 from bendwind_core.claims.replication import (
     append_claims,
     confirm_write,
-    copy_next,
+    copy_next_chunk,
     report_copied,
     resend_writes,
     start_copy,
 )
 from bendwind_core.claims.requests import (
-    abandon_requests,
-    answer_request,
-    answer_written,
     expire_waiters,
-    settle_claim,
+    handle_request,
+    handle_settlement,
+    refuse_pending_requests,
+    reply_after_write,
 )
 from bendwind_core.claims.state import ClaimHolder
 from bendwind_core.core import Seconds
 
 
-def step(holder: ClaimHolder, event: HolderEvent, now: Seconds) -> list[HolderEffect]:
+def step_holder(holder: ClaimHolder, event: HolderEvent, now: Seconds) -> list[HolderEffect]:
     """Apply one event and return what to send."""
     effects = _apply(holder, event, now)
-    while holder.finished:
-        write = holder.finished.popleft()
+    while holder.finished_writes:
+        write = holder.finished_writes.popleft()
         if write.is_copy:
-            effects += copy_next(holder, now)
+            effects += copy_next_chunk(holder, now)
         else:
-            effects += answer_written(holder, write, now)
+            effects += reply_after_write(holder, write, now)
     return effects
 
 
 def _apply(holder: ClaimHolder, event: HolderEvent, now: Seconds) -> list[HolderEffect]:
     match event:
         case GroupChanged(group):
-            return _change_group(holder, group, now)
+            return _handle_group_changed(holder, group, now)
         case LeaseRenewed(until):
             holder.fresh_until = max(holder.fresh_until, until)
             return []
         case Tick():
-            return _pass_time(holder, now)
+            return _handle_tick(holder, now)
         case Received(message):
-            return _receive(holder, message, now)
+            return _handle_message(holder, message, now)
 
 
-def _receive(holder: ClaimHolder, message: ClaimMessage, now: Seconds) -> list[HolderEffect]:
+def _handle_message(holder: ClaimHolder, message: ClaimMessage, now: Seconds) -> list[HolderEffect]:
     match message:
         case ClaimRequest():
-            return answer_request(holder, message, now)
+            return handle_request(holder, message, now)
         case ClaimOutcome() | ClaimRelease():
-            return settle_claim(holder, message, now)
+            return handle_settlement(holder, message, now)
         case ClaimAppend():
             return append_claims(holder, message, now)
         case ClaimAppended():
@@ -78,15 +78,17 @@
     return []
 
 
-def _change_group(holder: ClaimHolder, group: ClaimGroup, now: Seconds) -> list[HolderEffect]:
+def _handle_group_changed(
+    holder: ClaimHolder, group: ClaimGroup, now: Seconds
+) -> list[HolderEffect]:
     if holder.group is not None and group.epoch <= holder.group.epoch:
         return []
     was_member = holder.is_member()
     was_joining = holder.is_involved() and not was_member
-    effects = abandon_requests(holder) if holder.is_primary() else []
+    effects = refuse_pending_requests(holder) if holder.is_primary() else []
     holder.group = group
-    holder.copy_keys = None
-    holder.is_copied = False
+    holder.keys_to_copy = None
+    holder.is_copy_complete = False
     # A member may only keep what it held without a gap in its membership.
     if not (holder.is_member() and (was_member or was_joining)):
         holder.table.clear()
@@ -95,11 +97,11 @@
     return effects
 
 
-def _pass_time(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
+def _handle_tick(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
     holder.table.expire(now)
     if not holder.is_primary():
         return []
     effects = resend_writes(holder, now) + expire_waiters(holder, now)
-    if holder.is_copied and holder.group.joining is not None:
+    if holder.is_copy_complete and holder.group.joining is not None:
         effects += report_copied(holder)
     return effects
--- a/packages/bendwind-core/src/bendwind_core/claims/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/messages.py
@@ -52,7 +52,7 @@
     state: ClaimState
     epoch: int
     sequence: int
-    patience_ms: Milliseconds = 0.0
+    pending_timeout_ms: Milliseconds = 0.0
     answer: ClaimAnswer | None = None
 
 
--- a/packages/bendwind-core/src/bendwind_core/claims/placement.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/placement.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from bendwind_core.claims.group import ClaimGroup
-from bendwind_core.claims.members import member_of
+from bendwind_core.claims.members import format_member
 from bendwind_core.world import Instance
 
 REQUIRED_MEMBERS = 3
 # Ranking every node for every group would keep a leader of many nodes busy for seconds.
-SAMPLE = 64
+MAX_SAMPLED_NODES = 64
 
 
 class AliveNodes(msgspec.Struct, frozen=True):
@@ -23,14 +23,16 @@
     members: tuple[str, ...]
 
 
-def index_alive(alive: Iterable[Instance]) -> AliveNodes:
+def index_alive_nodes(alive: Iterable[Instance]) -> AliveNodes:
     """Index the living nodes."""
-    by_member = {member_of(instance): instance for instance in alive}
+    by_member = {format_member(instance): instance for instance in alive}
     by_name = {instance.name: member for member, instance in by_member.items()}
     return AliveNodes(by_member, by_name, tuple(by_member))
 
 
-def is_whole(group: ClaimGroup, alive: AliveNodes, required: int = REQUIRED_MEMBERS) -> bool:
+def is_group_complete(
+    group: ClaimGroup, alive: AliveNodes, required: int = REQUIRED_MEMBERS
+) -> bool:
     """Tell whether a group has all its members, alive, and nobody joining."""
     is_complete = len(group.members) == required and group.joining is None
     return is_complete and all(member in alive.by_member for member in group.members)
@@ -42,10 +44,10 @@
     alive: AliveNodes,
     rng: random.Random,
     *,
-    own: Collection[str] = (),
+    owners: Collection[str] = (),
     leaving: Collection[str] = (),
-    copied: str | None = None,
-    held: collections.Counter[str] | None = None,
+    copied_member: str | None = None,
+    group_counts: collections.Counter[str] | None = None,
     required: int = REQUIRED_MEMBERS,
 ) -> ClaimGroup | None:
     """Return the next group of a service, or None when the present one should stay.
@@ -54,33 +56,33 @@
     members that are about to stop; `copied` is the joining member once it holds every claim;
     `held` counts the groups that each node is in already.
     """
-    candidates = _Candidates(alive, own, frozenset(leaving), held or {}, rng)
+    candidates = _Candidates(alive, owners, frozenset(leaving), group_counts or {}, rng)
     if group is None:
         members = candidates.pick((), required)
         return ClaimGroup(service, 1, members) if members else None
     remaining = tuple(member for member in group.members if member in alive.by_member)
     if not remaining:
-        return None if group.lost else _next(group, group.members, None, lost=True)
-    return _repair(group, remaining, candidates, copied, required)
+        return None if group.lost else _create_next_group(group, group.members, None, lost=True)
+    return _repair(group, remaining, candidates, copied_member, required)
 
 
 class _Candidates:
     """Rank the nodes that may join a group: the service's own and a sample of the others."""
 
-    __slots__ = ("alive", "held", "leaving", "own", "rng")
+    __slots__ = ("alive", "group_counts", "leaving", "owners", "rng")
 
     def __init__(
         self,
         alive: AliveNodes,
-        own: Collection[str],
+        owners: Collection[str],
         leaving: frozenset[str],
-        held: Mapping[str, int],
+        group_counts: Mapping[str, int],
         rng: random.Random,
     ):
         self.alive = alive
-        self.own = frozenset(own)
+        self.owners = frozenset(owners)
         self.leaving = leaving
-        self.held = held
+        self.group_counts = group_counts
         self.rng = rng
 
     def pick(self, members: tuple[str, ...], count: int) -> tuple[str, ...]:
@@ -96,9 +98,13 @@
 
     def _find_pool(self) -> set[str]:
         by_name = self.alive.by_name
-        pool = {by_name[name] for name in self.own if name in by_name}
+        pool = {by_name[name] for name in self.owners if name in by_name}
         others = self.alive.members
-        pool.update(others if len(others) <= SAMPLE else self.rng.sample(others, SAMPLE))
+        pool.update(
+            others
+            if len(others) <= MAX_SAMPLED_NODES
+            else self.rng.sample(others, MAX_SAMPLED_NODES)
+        )
         return pool - self.leaving
 
     def _pick_one(self, members: tuple[str, ...], pool: set[str]) -> str | None:
@@ -114,45 +120,45 @@
 
     def _rank(self, member: str, used: collections.Counter[str]) -> tuple[int, bool, int]:
         instance = self.alive.by_member[member]
-        is_foreign = instance.name not in self.own
-        return used[instance.data_centre], is_foreign, self.held.get(instance.name, 0)
+        is_not_owner = instance.name not in self.owners
+        return used[instance.data_centre], is_not_owner, self.group_counts.get(instance.name, 0)
 
 
 def _repair(
     group: ClaimGroup,
     remaining: tuple[str, ...],
     candidates: _Candidates,
-    copied: str | None,
+    copied_member: str | None,
     required: int,
 ) -> ClaimGroup | None:
     joining = group.joining if group.joining in candidates.alive.by_member else None
     if group.lost or remaining != group.members:
-        return _next(group, remaining, joining)
+        return _create_next_group(group, remaining, joining)
     if joining is not None:
         return (
-            _next(group, (*remaining, joining), None)
-            if copied == joining
-            else _unless_same(group, remaining, joining)
+            _create_next_group(group, (*remaining, joining), None)
+            if copied_member == joining
+            else _change_if_different(group, remaining, joining)
         )
     staying = tuple(member for member in remaining if member not in candidates.leaving)
     if len(staying) >= required:
-        return _unless_same(group, staying, None)
+        return _change_if_different(group, staying, None)
     joiners = candidates.pick(remaining, 1)
     if joiners:
-        return _next(group, remaining, joiners[0])
+        return _create_next_group(group, remaining, joiners[0])
     # Nobody can replace a leaving member, so only one that is not the last holder may go.
-    return _unless_same(group, staying or remaining, None)
+    return _change_if_different(group, staying or remaining, None)
 
 
-def _unless_same(
+def _change_if_different(
     group: ClaimGroup, members: tuple[str, ...], joining: str | None
 ) -> ClaimGroup | None:
     if members == group.members and joining == group.joining:
         return None
-    return _next(group, members, joining)
+    return _create_next_group(group, members, joining)
 
 
-def _next(
+def _create_next_group(
     group: ClaimGroup, members: tuple[str, ...], joining: str | None, lost: bool = False
 ) -> ClaimGroup:
     return ClaimGroup(group.service, group.epoch + 1, members, joining, lost)
--- a/packages/bendwind-core/src/bendwind_core/claims/replication.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/replication.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from bendwind_core.claims.events import HolderEffect, Send, SendControl
-from bendwind_core.claims.members import node_of
+from bendwind_core.claims.events import HolderEffect, Send, SendToControl
+from bendwind_core.claims.members import parse_node_name
 from bendwind_core.claims.messages import (
     Claim,
     ClaimAppend,
@@ -14,13 +14,13 @@
     ClaimRequest,
 )
 from bendwind_core.claims.state import ClaimHolder, Write
-from bendwind_core.claims.table import size_of
+from bendwind_core.claims.table import estimate_claim_bytes
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
 
-RESEND_AFTER: Seconds = 0.2
+WRITE_RESEND_INTERVAL: Seconds = 0.2
 
 
-def next_version(holder: ClaimHolder) -> tuple[int, int]:
+def allocate_version(holder: ClaimHolder) -> tuple[int, int]:
     """Return the epoch and sequence of the next state that this primary writes."""
     holder.sequence += 1
     return holder.group.epoch, holder.sequence
@@ -31,29 +31,29 @@
     claim: Claim,
     now: Seconds,
     request: ClaimRequest | None = None,
-    settle: ClaimOutcome | ClaimRelease | None = None,
+    settlement: ClaimOutcome | ClaimRelease | None = None,
 ) -> list[HolderEffect]:
     """Store a claim and send it to every member; whoever waits for it is told when all hold it."""
     holder.table.merge(claim, now)
     is_joining = holder.group.joining is not None
-    write = Write((claim,), _others(holder), now, joining_lacks=is_joining)
-    earlier = holder.writing.get(claim.key)
+    write = Write((claim,), _list_other_members(holder), now, is_joining_unconfirmed=is_joining)
+    earlier = holder.write_by_key.get(claim.key)
     if earlier is not None:
         # The newer state stands for the older one; whoever waits is answered from it.
         old = holder.writes.pop(earlier)
         write.requests += old.requests
-        write.settles += old.settles
+        write.settlements += old.settlements
     if request is not None:
         write.requests.append(request)
-    if settle is not None:
-        write.settles.append(settle)
-    holder.writing[claim.key] = claim.sequence
+    if settlement is not None:
+        write.settlements.append(settlement)
+    holder.write_by_key[claim.key] = claim.sequence
     return _start_write(holder, claim.sequence, write, now)
 
 
-def restate_claim(holder: ClaimHolder, claim: Claim) -> Claim:
+def renew_claim_version(holder: ClaimHolder, claim: Claim) -> Claim:
     """Return a claim of an earlier epoch as this primary's own newest state."""
-    epoch, sequence = next_version(holder)
+    epoch, sequence = allocate_version(holder)
     return msgspec.structs.replace(claim, epoch=epoch, sequence=sequence)
 
 
@@ -61,7 +61,7 @@
     """Send again what members have not confirmed for some time."""
     effects: list[HolderEffect] = []
     for sequence, write in holder.writes.items():
-        if now - write.sent >= RESEND_AFTER:
+        if now - write.sent_at >= WRITE_RESEND_INTERVAL:
             effects += _send_write(holder, sequence, write, now)
     return effects
 
@@ -73,10 +73,10 @@
     write = holder.writes.get(message.sequence)
     if write is None:
         return
-    write.waiting.discard(message.member)
+    write.unconfirmed_members.discard(message.member)
     if message.member == holder.group.joining:
-        write.joining_lacks = False
-    if not write.waiting:
+        write.is_joining_unconfirmed = False
+    if not write.unconfirmed_members:
         _finish_write(holder, message.sequence)
 
 
@@ -91,47 +91,47 @@
     for claim, age_ms in zip(message.claims, message.ages_ms, strict=True):
         holder.table.merge(claim, now - age_ms / MILLISECONDS_PER_SECOND)
     reply = ClaimAppended(message.service, message.epoch, message.sequence, holder.member)
-    return [Send(node_of(message.sender), reply)]
+    return [Send(parse_node_name(message.sender), reply)]
 
 
-def _others(holder: ClaimHolder) -> set[str]:
-    others = set(holder.group.members) - {holder.member}
-    if holder.group.joining is not None and holder.is_copied:
-        others.add(holder.group.joining)
-    return others
+def _list_other_members(holder: ClaimHolder) -> set[str]:
+    member_ids = set(holder.group.members) - {holder.member}
+    if holder.group.joining is not None and holder.is_copy_complete:
+        member_ids.add(holder.group.joining)
+    return member_ids
 
 
 def _start_write(
     holder: ClaimHolder, sequence: int, write: Write, now: Seconds
 ) -> list[HolderEffect]:
     holder.writes[sequence] = write
-    if not write.waiting:
+    if not write.unconfirmed_members:
         _finish_write(holder, sequence)
     return _send_write(holder, sequence, write, now)
 
 
 def _finish_write(holder: ClaimHolder, sequence: int) -> None:
     write = holder.writes.pop(sequence)
-    holder.finished.append(write)
+    holder.finished_writes.append(write)
     if write.is_copy:
         return
     key = write.claims[0].key
-    del holder.writing[key]
-    if holder.copy_keys is not None and write.joining_lacks:
-        holder.copy_keys.append(key)
+    del holder.write_by_key[key]
+    if holder.keys_to_copy is not None and write.is_joining_unconfirmed:
+        holder.keys_to_copy.append(key)
 
 
 def _send_write(
     holder: ClaimHolder, sequence: int, write: Write, now: Seconds
 ) -> list[HolderEffect]:
-    write.sent = now
+    write.sent_at = now
     ages = tuple(_age_ms(holder, claim, now) for claim in write.claims)
-    receivers = set(write.waiting)
+    receivers = set(write.unconfirmed_members)
     if holder.group.joining is not None:
         receivers.add(holder.group.joining)
     return [
         Send(
-            node_of(receiver),
+            parse_node_name(receiver),
             ClaimAppend(
                 holder.service,
                 holder.group.epoch,
@@ -152,45 +152,45 @@
 
 def start_copy(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
     """Begin to copy every claim to the joining member."""
-    holder.copy_keys = list(holder.table.claims)
-    return copy_next(holder, now)
+    holder.keys_to_copy = list(holder.table.claims)
+    return copy_next_chunk(holder, now)
 
 
-def _take_chunk(holder: ClaimHolder) -> list[Claim]:
-    found: list[Claim] = []
+def _pop_chunk(holder: ClaimHolder) -> list[Claim]:
+    chunk: list[Claim] = []
     size = 0
     limits = holder.table.limits
-    while holder.copy_keys and len(found) < limits.copy_claims and size < limits.copy_bytes:
-        claim = holder.table.find(holder.copy_keys.pop())
+    while holder.keys_to_copy and len(chunk) < limits.copy_claims and size < limits.copy_bytes:
+        claim = holder.table.find(holder.keys_to_copy.pop())
         if claim is not None:
-            found.append(claim)
-            size += size_of(claim)
-    return found
+            chunk.append(claim)
+            size += estimate_claim_bytes(claim)
+    return chunk
 
 
-def copy_next(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
+def copy_next_chunk(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
     """Send the next chunk of the copy, or end it when nothing is lacking."""
-    if holder.copy_keys is None:
+    if holder.keys_to_copy is None:
         return []
-    found = _take_chunk(holder)
-    if not found:
+    chunk = _pop_chunk(holder)
+    if not chunk:
         return _finish_copy(holder, now)
-    _, sequence = next_version(holder)
-    write = Write(tuple(found), {holder.group.joining}, now, is_copy=True)
+    _, sequence = allocate_version(holder)
+    write = Write(tuple(chunk), {holder.group.joining}, now, is_copy=True)
     return _start_write(holder, sequence, write, now)
 
 
 def _finish_copy(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
     """Tell control, after which every unfinished and later write needs the joining member."""
-    holder.copy_keys = None
-    holder.is_copied = True
+    holder.keys_to_copy = None
+    holder.is_copy_complete = True
     for write in holder.writes.values():
-        if write.joining_lacks:
-            write.waiting.add(holder.group.joining)
+        if write.is_joining_unconfirmed:
+            write.unconfirmed_members.add(holder.group.joining)
     return report_copied(holder)
 
 
 def report_copied(holder: ClaimHolder) -> list[HolderEffect]:
     """Tell control that the joining member holds every claim."""
     group = holder.group
-    return [SendControl(ClaimCopied(group.service, group.epoch, group.joining))]
+    return [SendToControl(ClaimCopied(group.service, group.epoch, group.joining))]
--- a/packages/bendwind-core/src/bendwind_core/claims/requests.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/requests.py
@@ -1,7 +1,7 @@
 """Answer requests, outcomes and releases of entry nodes, at the primary."""
 
 from bendwind_core.claims.events import HolderEffect, Send
-from bendwind_core.claims.members import node_of
+from bendwind_core.claims.members import parse_node_name
 from bendwind_core.claims.messages import (
     Claim,
     ClaimConflict,
@@ -17,31 +17,31 @@
     ClaimUnavailable,
     RefusalReason,
 )
-from bendwind_core.claims.replication import next_version, restate_claim, write_claim
+from bendwind_core.claims.replication import allocate_version, renew_claim_version, write_claim
 from bendwind_core.claims.state import ClaimHolder, Waiter, Write
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
 
-PATIENCE_MARGIN_MS = 500.0
+PENDING_TIMEOUT_MARGIN_MS = 500.0
 MAX_WRITES = 1024
 MAX_WAITERS = 1024
 
 
-def answer_request(holder: ClaimHolder, request: ClaimRequest, now: Seconds) -> list[HolderEffect]:
+def handle_request(holder: ClaimHolder, request: ClaimRequest, now: Seconds) -> list[HolderEffect]:
     """Grant a key to a call, or tell what became of the call that holds it."""
     reason = _find_refusal(holder, now)
     if reason:
         return [_refuse(request, reason)]
-    held = holder.table.find(request.key)
-    if held is None or (held.state is ClaimState.RELEASED and held.call != request.call):
-        return _make_claim(holder, request, now)
-    if held.state is ClaimState.RELEASED:
+    current = holder.table.find(request.key)
+    if current is None or (current.state is ClaimState.RELEASED and current.call != request.call):
+        return _create_claim(holder, request, now)
+    if current.state is ClaimState.RELEASED:
         return [_refuse(request, RefusalReason.RELEASED)]
-    if held.fingerprint != request.fingerprint:
+    if current.fingerprint != request.fingerprint:
         return [_reply(request, ClaimConflict(request.service, request.key, request.call))]
-    is_waiting_allowed = held.state is ClaimState.PENDING and held.call != request.call
+    is_waiting_allowed = current.state is ClaimState.PENDING and current.call != request.call
     if is_waiting_allowed and not holder.table.is_overdue(request.key, now):
-        return _wait(holder, request, now)
-    return _answer_when_held_by_all(holder, request, held, now)
+        return _add_waiter(holder, request, now)
+    return _reply_when_replicated(holder, request, current, now)
 
 
 def _find_refusal(holder: ClaimHolder, now: Seconds) -> RefusalReason | None:
@@ -56,7 +56,7 @@
     return None
 
 
-def _make_claim(holder: ClaimHolder, request: ClaimRequest, now: Seconds) -> list[HolderEffect]:
+def _create_claim(holder: ClaimHolder, request: ClaimRequest, now: Seconds) -> list[HolderEffect]:
     if holder.table.find(request.key) is None and holder.table.is_full():
         return [_refuse(request, RefusalReason.FULL)]
     claim = Claim(
@@ -64,52 +64,52 @@
         request.fingerprint,
         request.call,
         ClaimState.PENDING,
-        *next_version(holder),
-        patience_ms=request.remaining_ms + PATIENCE_MARGIN_MS,
+        *allocate_version(holder),
+        pending_timeout_ms=request.remaining_ms + PENDING_TIMEOUT_MARGIN_MS,
     )
     return write_claim(holder, claim, now, request=request)
 
 
-def _wait(holder: ClaimHolder, request: ClaimRequest, now: Seconds) -> list[HolderEffect]:
+def _add_waiter(holder: ClaimHolder, request: ClaimRequest, now: Seconds) -> list[HolderEffect]:
     waiters = holder.waiters.setdefault(request.key, [])
     if any(waiter.request.call == request.call for waiter in waiters):
         return []
     if holder.waiter_count >= MAX_WAITERS:
         if not waiters:
             del holder.waiters[request.key]
-        return [_reply(request, _held(request, ClaimState.PENDING))]
+        return [_reply(request, _create_held_reply(request, ClaimState.PENDING))]
     waiters.append(Waiter(request, now + request.remaining_ms / MILLISECONDS_PER_SECOND))
     holder.waiter_count += 1
     return []
 
 
-def _answer_when_held_by_all(
-    holder: ClaimHolder, request: ClaimRequest, held: Claim, now: Seconds
+def _reply_when_replicated(
+    holder: ClaimHolder, request: ClaimRequest, current: Claim, now: Seconds
 ) -> list[HolderEffect]:
     """Answer from a claim once no member can know an older state of it."""
-    sequence = holder.writing.get(request.key)
+    sequence = holder.write_by_key.get(request.key)
     if sequence is not None:
         requests = holder.writes[sequence].requests
-        if all(known.call != request.call for known in requests):
+        if all(queued.call != request.call for queued in requests):
             requests.append(request)
         return []
-    if held.epoch != holder.group.epoch:
-        return write_claim(holder, restate_claim(holder, held), now, request=request)
-    return [_reply(request, _reply_from(holder, request, held, now))]
+    if current.epoch != holder.group.epoch:
+        return write_claim(holder, renew_claim_version(holder, current), now, request=request)
+    return [_reply(request, _create_reply(holder, request, current, now))]
 
 
-def _reply_from(
-    holder: ClaimHolder, request: ClaimRequest, held: Claim, now: Seconds
+def _create_reply(
+    holder: ClaimHolder, request: ClaimRequest, current: Claim, now: Seconds
 ) -> ClaimReply:
-    if held.state is ClaimState.PENDING and held.call == request.call:
+    if current.state is ClaimState.PENDING and current.call == request.call:
         return ClaimGranted(request.service, request.key, request.call, holder.group.epoch)
-    if held.state is ClaimState.PENDING:
+    if current.state is ClaimState.PENDING:
         is_overdue = holder.table.is_overdue(request.key, now)
-        return _held(request, ClaimState.UNKNOWN if is_overdue else ClaimState.PENDING)
-    return _held(request, held.state, held.answer)
+        return _create_held_reply(request, ClaimState.UNKNOWN if is_overdue else ClaimState.PENDING)
+    return _create_held_reply(request, current.state, current.answer)
 
 
-def _held(request: ClaimRequest, state: ClaimState, answer=None) -> ClaimHeld:
+def _create_held_reply(request: ClaimRequest, state: ClaimState, answer=None) -> ClaimHeld:
     return ClaimHeld(request.service, request.key, request.call, state, answer)
 
 
@@ -119,66 +119,68 @@
 
 
 def _reply(request: ClaimRequest | ClaimOutcome | ClaimRelease, message: ClaimMessage) -> Send:
-    return Send(node_of(request.entry), message)
+    return Send(parse_node_name(request.entry), message)
 
 
-def settle_claim(
+def handle_settlement(
     holder: ClaimHolder, message: ClaimOutcome | ClaimRelease, now: Seconds
 ) -> list[HolderEffect]:
     """Write the outcome or the release of the call that holds a key."""
     # Without a reply the entry node asks again, by then perhaps another primary.
     if _find_refusal(holder, now):
         return []
-    held = holder.table.find(message.key)
+    current = holder.table.find(message.key)
     target = ClaimState.RELEASED if isinstance(message, ClaimRelease) else message.state
-    if held is not None and held.call != message.call:
+    if current is not None and current.call != message.call:
         # Another call holds the key, so this call's claim had been released before.
-        return [_reply(message, _settled(message))]
-    if held is None and (target is not ClaimState.RELEASED or holder.table.is_full()):
-        return [_reply(message, _settled(message))]
-    if held is not None and held.state is not ClaimState.PENDING:
-        return _confirm_settled(holder, message, held, now)
+        return [_reply(message, _create_settled_reply(message))]
+    if current is None and (target is not ClaimState.RELEASED or holder.table.is_full()):
+        return [_reply(message, _create_settled_reply(message))]
+    if current is not None and current.state is not ClaimState.PENDING:
+        return _confirm_settlement(holder, message, current, now)
     answer = message.answer if isinstance(message, ClaimOutcome) else None
     claim = Claim(
         message.key,
-        held.fingerprint if held else b"",
+        current.fingerprint if current else b"",
         message.call,
         target,
-        *next_version(holder),
+        *allocate_version(holder),
         answer=answer,
     )
-    return write_claim(holder, claim, now, settle=message)
+    return write_claim(holder, claim, now, settlement=message)
 
 
-def _confirm_settled(
-    holder: ClaimHolder, message: ClaimOutcome | ClaimRelease, held: Claim, now: Seconds
+def _confirm_settlement(
+    holder: ClaimHolder, message: ClaimOutcome | ClaimRelease, current: Claim, now: Seconds
 ) -> list[HolderEffect]:
-    sequence = holder.writing.get(message.key)
+    sequence = holder.write_by_key.get(message.key)
     if sequence is not None:
-        settles = holder.writes[sequence].settles
-        if message not in settles:
-            settles.append(message)
+        settlements = holder.writes[sequence].settlements
+        if message not in settlements:
+            settlements.append(message)
         return []
-    if held.epoch != holder.group.epoch:
-        return write_claim(holder, restate_claim(holder, held), now, settle=message)
-    return [_reply(message, _settled(message))]
+    if current.epoch != holder.group.epoch:
+        return write_claim(holder, renew_claim_version(holder, current), now, settlement=message)
+    return [_reply(message, _create_settled_reply(message))]
 
 
-def _settled(message: ClaimOutcome | ClaimRelease) -> ClaimSettled:
+def _create_settled_reply(message: ClaimOutcome | ClaimRelease) -> ClaimSettled:
     return ClaimSettled(message.service, message.key, message.call)
 
 
-def answer_written(holder: ClaimHolder, write: Write, now: Seconds) -> list[HolderEffect]:
+def reply_after_write(holder: ClaimHolder, write: Write, now: Seconds) -> list[HolderEffect]:
     """Tell everyone who waited for a write, now that every member holds it."""
     claim = write.claims[0]
-    effects: list[HolderEffect] = [_reply(settle, _settled(settle)) for settle in write.settles]
-    effects += _answer_finished(holder, write.requests, claim, now)
+    effects: list[HolderEffect] = [
+        _reply(settlement, _create_settled_reply(settlement)) for settlement in write.settlements
+    ]
+    effects += _reply_to_requests(holder, write.requests, claim, now)
     if claim.state is not ClaimState.PENDING:
         effects += _wake_waiters(holder, claim.key, now)
     return effects
 
 
-def _answer_finished(
+def _reply_to_requests(
     holder: ClaimHolder, requests: list[ClaimRequest], claim: Claim, now: Seconds
 ) -> list[HolderEffect]:
     effects: list[HolderEffect] = []
@@ -186,9 +188,9 @@
         if now >= holder.fresh_until:
             effects.append(_refuse(request, RefusalReason.STALE))
         elif claim.state is ClaimState.RELEASED:
-            effects += answer_request(holder, request, now)
+            effects += handle_request(holder, request, now)
         else:
-            effects.append(_reply(request, _reply_from(holder, request, claim, now)))
+            effects.append(_reply(request, _create_reply(holder, request, claim, now)))
     return effects
 
 
@@ -197,17 +199,17 @@
     waiters = holder.waiters.pop(key, [])
     holder.waiter_count -= len(waiters)
     for waiter in waiters:
-        effects += answer_request(holder, waiter.request, now)
+        effects += handle_request(holder, waiter.request, now)
     return effects
 
 
-def abandon_requests(holder: ClaimHolder) -> list[HolderEffect]:
+def refuse_pending_requests(holder: ClaimHolder) -> list[HolderEffect]:
     """Send back everyone who waits; each asks again in the new epoch."""
     requests = [request for write in holder.writes.values() for request in write.requests]
     for waiters in holder.waiters.values():
         requests += [waiter.request for waiter in waiters]
     holder.writes.clear()
-    holder.writing.clear()
+    holder.write_by_key.clear()
     holder.waiters.clear()
     holder.waiter_count = 0
     return [_refuse(request, RefusalReason.NOT_PRIMARY) for request in requests]
@@ -224,7 +226,9 @@
         ended = [waiter for waiter in waiters if now >= waiter.until]
         if not ended:
             continue
-        effects += [_reply(w.request, _held(w.request, ClaimState.PENDING)) for w in ended]
+        effects += [
+            _reply(w.request, _create_held_reply(w.request, ClaimState.PENDING)) for w in ended
+        ]
         holder.waiter_count -= len(ended)
         holder.waiters[key] = [waiter for waiter in waiters if now < waiter.until]
         if not holder.waiters[key]:
--- a/packages/bendwind-core/src/bendwind_core/claims/state.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/state.py
@@ -18,12 +18,12 @@
     """
 
     claims: tuple[Claim, ...]
-    waiting: set[str]
-    sent: Seconds
+    unconfirmed_members: set[str]
+    sent_at: Seconds
     requests: list[ClaimRequest] = msgspec.field(default_factory=list)
-    settles: list[ClaimOutcome | ClaimRelease] = msgspec.field(default_factory=list)
+    settlements: list[ClaimOutcome | ClaimRelease] = msgspec.field(default_factory=list)
     is_copy: bool = False
-    joining_lacks: bool = False
+    is_joining_unconfirmed: bool = False
 
 
 class Waiter(msgspec.Struct, frozen=True):
@@ -49,12 +49,12 @@
     fresh_until: Seconds = 0.0
     sequence: int = 0
     writes: dict[int, Write] = msgspec.field(default_factory=dict)
-    writing: dict[str, int] = msgspec.field(default_factory=dict)
+    write_by_key: dict[str, int] = msgspec.field(default_factory=dict)
     waiters: dict[str, list[Waiter]] = msgspec.field(default_factory=dict)
     waiter_count: int = 0
-    copy_keys: list[str] | None = None
-    is_copied: bool = False
-    finished: collections.deque[Write] = msgspec.field(default_factory=collections.deque)
+    keys_to_copy: list[str] | None = None
+    is_copy_complete: bool = False
+    finished_writes: collections.deque[Write] = msgspec.field(default_factory=collections.deque)
 
     def is_member(self) -> bool:
         """Tell whether this run of the node is a member of the group."""
--- a/packages/bendwind-core/src/bendwind_core/claims/table.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/table.py
@@ -33,7 +33,7 @@
     """Hold a claim and the local time at which it was made."""
 
     claim: Claim
-    made: Seconds
+    created_at: Seconds
 
 
 class ClaimTable(msgspec.Struct):
@@ -46,7 +46,7 @@
     claims: dict[str, StoredClaim] = msgspec.field(default_factory=dict)
     bytes: int = 0
     answer_bytes: int = 0
-    answered: collections.deque[str] = msgspec.field(default_factory=collections.deque)
+    keys_with_answer: collections.deque[str] = msgspec.field(default_factory=collections.deque)
 
     def find(self, key: str) -> Claim | None:
         """Return what is held of a key, or None."""
@@ -62,85 +62,87 @@
         stored = self.claims.get(key)
         if stored is None:
             return True
-        patience = stored.claim.patience_ms / MILLISECONDS_PER_SECOND
-        return stored.claim.state is ClaimState.PENDING and now >= stored.made + patience
+        pending_timeout = stored.claim.pending_timeout_ms / MILLISECONDS_PER_SECOND
+        return (
+            stored.claim.state is ClaimState.PENDING and now >= stored.created_at + pending_timeout
+        )
 
     def age_ms(self, key: str, now: Seconds) -> float:
         """Return the time since the claim of a key was made, in milliseconds."""
-        return (now - self.claims[key].made) * MILLISECONDS_PER_SECOND
+        return (now - self.claims[key].created_at) * MILLISECONDS_PER_SECOND
 
-    def merge(self, claim: Claim, made: Seconds) -> None:
+    def merge(self, claim: Claim, created_at: Seconds) -> None:
         """Store a claim unless a newer state of its key is held."""
-        held = self.claims.get(claim.key)
-        if held is not None and not is_newer(claim, held.claim):
+        current = self.claims.get(claim.key)
+        if current is not None and not is_newer(claim, current.claim):
             return
-        if held is not None and held.claim.call == claim.call:
-            self._count(held.claim, -1)
-            held.claim = claim
+        if current is not None and current.claim.call == claim.call:
+            self._adjust_size(current.claim, -1)
+            current.claim = claim
         else:
-            self._forget(claim.key)
-            self.claims[claim.key] = StoredClaim(claim, made)
-        self._count(claim, 1)
+            self._remove(claim.key)
+            self.claims[claim.key] = StoredClaim(claim, created_at)
+        self._adjust_size(claim, 1)
         if claim.answer is not None:
-            self.answered.append(claim.key)
-            self._forget_old_answers()
+            self.keys_with_answer.append(claim.key)
+            self._evict_old_answers()
 
-    def _forget_old_answers(self) -> None:
+    def _evict_old_answers(self) -> None:
         while self.answer_bytes > self.limits.answer_bytes:
-            stored = self.claims.get(self.answered.popleft())
+            stored = self.claims.get(self.keys_with_answer.popleft())
             if stored is None or stored.claim.answer is None:
                 continue
-            self._count(stored.claim, -1)
+            self._adjust_size(stored.claim, -1)
             stored.claim = msgspec.structs.replace(
                 stored.claim, state=ClaimState.NOT_KEPT, answer=None
             )
-            self._count(stored.claim, 1)
+            self._adjust_size(stored.claim, 1)
 
-    def _forget(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         stored = self.claims.pop(key, None)
         if stored is not None:
-            self._count(stored.claim, -1)
+            self._adjust_size(stored.claim, -1)
 
-    def _count(self, claim: Claim, sign: int) -> None:
-        self.bytes += sign * size_of(claim)
-        self.answer_bytes += sign * size_of_answer(claim)
+    def _adjust_size(self, claim: Claim, sign: int) -> None:
+        self.bytes += sign * estimate_claim_bytes(claim)
+        self.answer_bytes += sign * estimate_answer_bytes(claim)
 
     def expire(self, now: Seconds) -> int:
         """Forget the claims at the old end that are past their retention and count them."""
         horizon = now - self.limits.retention
         expired = []
         for key, stored in self.claims.items():
-            if stored.made > horizon:
+            if stored.created_at > horizon:
                 break
             expired.append(key)
         for key in expired:
-            self._forget(key)
-        while self.answered and self.answered[0] not in self.claims:
-            self.answered.popleft()
+            self._remove(key)
+        while self.keys_with_answer and self.keys_with_answer[0] not in self.claims:
+            self.keys_with_answer.popleft()
         return len(expired)
 
     def clear(self) -> None:
         """Forget every claim."""
         self.claims.clear()
-        self.answered.clear()
+        self.keys_with_answer.clear()
         self.bytes = 0
         self.answer_bytes = 0
 
 
-def is_newer(claim: Claim, held: Claim) -> bool:
+def is_newer(claim: Claim, current: Claim) -> bool:
     """Tell whether a claim is a later state of the same key than the held one."""
-    return (claim.epoch, claim.sequence) > (held.epoch, held.sequence)
+    return (claim.epoch, claim.sequence) > (current.epoch, current.sequence)
 
 
-def size_of(claim: Claim) -> int:
+def estimate_claim_bytes(claim: Claim) -> int:
     """Estimate the memory of a claim.
 
     Units: bytes.
     """
-    return CLAIM_OVERHEAD_BYTES + len(claim.key) + len(claim.call) + size_of_answer(claim)
+    return CLAIM_OVERHEAD_BYTES + len(claim.key) + len(claim.call) + estimate_answer_bytes(claim)
 
 
-def size_of_answer(claim: Claim) -> int:
+def estimate_answer_bytes(claim: Claim) -> int:
     """Estimate the memory of the answer that a claim keeps.
 
     Units: bytes.
--- a/packages/bendwind-core/src/bendwind_core/claims/tests/cluster.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/tests/cluster.py
@@ -25,17 +25,17 @@
     apply_group_change,
     choose_claim_group,
     create_holder,
-    index_alive,
-    member_of,
+    format_member,
+    index_alive_nodes,
 )
 from bendwind_core.claims.entry import (
-    Ask,
     Decide,
     EntryClaims,
     EntryTick,
-    GroupKnown,
+    GroupReceived,
     ReplyReceived,
-    Settle,
+    SettleClaim,
+    StartClaim,
     step_entry,
 )
 from bendwind_core.claims.events import (
@@ -43,10 +43,10 @@
     LeaseRenewed,
     Received,
     Send,
-    SendControl,
+    SendToControl,
     Tick,
 )
-from bendwind_core.claims.holder import step
+from bendwind_core.claims.holder import step_holder
 from bendwind_core.claims.messages import ClaimReply, ClaimSettled
 from bendwind_core.world import Instance
 
@@ -169,7 +169,7 @@
 
     def _start(self, name: str, incarnation: int) -> Node:
         instance = Instance(name, f"dc-{NODES.index(name) % 3}", "", 0, incarnation)
-        return Node(instance, create_holder(member_of(instance), SERVICE, LIMITS))
+        return Node(instance, create_holder(format_member(instance), SERVICE, LIMITS))
 
     # Nodes.
 
@@ -202,11 +202,11 @@
         self.nodes[name] = self._start(name, old.instance.incarnation + 1)
 
     def _step_holder(self, node: Node, event) -> None:
-        for effect in step(node.holder, event, self.now):
+        for effect in step_holder(node.holder, event, self.now):
             match effect:
                 case Send(to, message):
                     self._send(node, to, message)
-                case SendControl(message):
+                case SendToControl(message):
                     self._send(node, CONTROL, message)
 
     def _step_entry(self, node: Node, event) -> None:
@@ -242,7 +242,7 @@
 
     def _push_group(self, node: Node, group: ClaimGroup) -> None:
         if node.has_control and node.hears_groups:
-            self._step_entry(node, GroupKnown(group))
+            self._step_entry(node, GroupReceived(group))
             self._step_holder(node, GroupChanged(group))
 
     def _node_receives(self, node: Node, message) -> None:
@@ -290,10 +290,10 @@
         chosen = choose_claim_group(
             SERVICE,
             group,
-            index_alive(self.alive()),
+            index_alive_nodes(self.alive()),
             self.rng,
             leaving=self.leaving,
-            copied=notice.joining if is_current else None,
+            copied_member=notice.joining if is_current else None,
         )
         if chosen is not None:
             epoch = group.epoch if group else 0
@@ -310,7 +310,7 @@
 
     def accept_loss(self) -> None:
         group = self.groups[SERVICE]
-        members = tuple(member_of(instance) for instance in self.alive()[:3])
+        members = tuple(format_member(instance) for instance in self.alive()[:3])
         if group.lost and members:
             chosen = ClaimGroup(SERVICE, group.epoch + 1, members)
             self.proposals.append(ChangeClaimGroup(chosen, group.epoch, accept_loss=True))
@@ -378,11 +378,11 @@
             return
         node = self.nodes[name] if self.nodes[name] in active else active[0]
         node.calls += 1
-        member = member_of(node.instance)
+        member = format_member(node.instance)
         call = f"{member}/{node.calls}"
         self.oracle.calls[call] = Call(node, key, fingerprint, key in self.oracle.returned)
         request = ClaimRequest(SERVICE, key, fingerprint, call, member, 0.0)
-        self._step_entry(node, Ask(request, self.now + WAIT))
+        self._step_entry(node, StartClaim(request, self.now + WAIT))
 
     def run(self, call_id: str) -> None:
         if self._is_up(call_id):
@@ -398,17 +398,17 @@
             answer = ClaimAnswer(201, (), call_id.encode())
             if call.era == len(self.oracle.accepted_epochs):
                 self.oracle.answers[call.key] = answer
-        member = member_of(call.node.instance)
+        member = format_member(call.node.instance)
         outcome = ClaimOutcome(SERVICE, call.key, call_id, member, state, answer)
-        self._step_entry(call.node, Settle(outcome))
+        self._step_entry(call.node, SettleClaim(outcome))
 
     def prove_not_run(self, call_id: str) -> None:
         if self._is_up(call_id):
             call = self.oracle.calls[call_id]
             self.oracle.release(call_id)
-            member = member_of(call.node.instance)
+            member = format_member(call.node.instance)
             release = ClaimRelease(SERVICE, call.key, call_id, member)
-            self._step_entry(call.node, Settle(release))
+            self._step_entry(call.node, SettleClaim(release))
 
     def _is_up(self, call_id: str) -> bool:
         node = self.oracle.calls[call_id].node
--- a/packages/bendwind-core/src/bendwind_core/claims/tests/test_fuzz_claims.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/tests/test_fuzz_claims.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 import bendwind_core.core.tests.profiles  # noqa: F401
-from bendwind_core.claims import ClaimState, member_of
+from bendwind_core.claims import ClaimState, format_member
 from bendwind_core.claims.tests.cluster import NODES, SERVICE, Cluster
 
 NODE = st.sampled_from(NODES)
@@ -163,7 +163,7 @@
             case "deaf":
                 node.hears_groups = False
             case "leave":
-                self.cluster.leaving.add(member_of(node.instance))
+                self.cluster.leaving.add(format_member(node.instance))
 
     def _recent_keys(self):
         return KEYS[self.newest - RECENT : self.newest]
--- a/packages/bendwind-core/src/bendwind_core/claims/tests/test_table.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/tests/test_table.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bendwind_core.claims import Claim, ClaimAnswer, ClaimLimits, ClaimState
-from bendwind_core.claims.table import ClaimTable, size_of
+from bendwind_core.claims.table import ClaimTable, estimate_claim_bytes
 
 ANSWER = ClaimAnswer(201, (), bytes(1000))
 
@@ -37,7 +37,7 @@
         table.merge(make_claim("k1", 3), 8.0)
         table.expire(12.0)
         self.assertEqual(list(table.claims), ["k1"])
-        self.assertEqual(table.bytes, size_of(table.find("k1")))
+        self.assertEqual(table.bytes, estimate_claim_bytes(table.find("k1")))
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/membership/pushes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/pushes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bendwind_core.claims import ClaimGroup, node_of
+from bendwind_core.claims import ClaimGroup, parse_node_name
 from bendwind_core.core import Seconds
 from bendwind_core.membership.customer_ledger import make_change, take_customers
 from bendwind_core.membership.digest import digest_record
@@ -212,7 +212,10 @@
 
 def _find_holders(registry: VoterRegistry, groups: tuple[ClaimGroup, ...]) -> tuple[Instance, ...]:
     named = {
-        node_of(member) for group in groups for member in (*group.members, group.joining) if member
+        parse_node_name(member)
+        for group in groups
+        for member in (*group.members, group.joining)
+        if member
     }
     known = [registry.members[name].state.node for name in sorted(named & registry.members.keys())]
     return tuple(known)
--- a/packages/bendwind-node/src/bendwind_node/calls/call_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_task.py
@@ -112,7 +112,7 @@
             if not call.is_finished:
                 run.feed(ev.CallerGone())
             if run.quota_grant is not None and not may_have_run(call):
-                self.entry.quotas.give_back(run.quota_grant)
+                self.entry.quotas.return_token(run.quota_grant)
             self.entry.forget(run)
 
     async def _take_token(self, run: CallRun) -> Refusal | None:
@@ -121,7 +121,7 @@
         quotas = self.entry.quotas
         if quotas is None or not quotas.is_limited(call.customer):
             return None
-        match await quotas.take(call.customer, call.target_at, call.deadline_at):
+        match await quotas.acquire_token(call.customer, call.target_at, call.deadline_at):
             case Result(tag="ok", ok=grant):
                 run.quota_grant = grant
                 return None
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_parts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_parts.py
@@ -61,14 +61,14 @@
         await self.pass_through()
         return Granted()
 
-    async def take(self, customer, target_at, deadline_at):
+    async def acquire_token(self, customer, target_at, deadline_at):
         await self.pass_through()
         return Ok(Grant("v0", 1, 1))
 
     def is_limited(self, customer):
         return True
 
-    def give_back(self, grant):
+    def return_token(self, grant):
         pass
 
     def release(self, *claim):
--- a/packages/bendwind-node/src/bendwind_node/claims/placer.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/placer.py
@@ -16,18 +16,18 @@
     ClaimGroup,
     ClaimLeave,
     choose_claim_group,
-    incarnation_of,
-    index_alive,
-    is_whole,
-    node_of,
+    index_alive_nodes,
+    is_group_complete,
+    parse_incarnation,
+    parse_node_name,
 )
 from bendwind_core.core import Seconds
 from bendwind_core.world import Instance, Repeat, Service
 
-PLACE_EVERY: Seconds = 0.5
-REMEMBER_LEAVING: Seconds = 30.0
+PLACEMENT_INTERVAL: Seconds = 0.5
+LEAVE_NOTICE_RETENTION: Seconds = 30.0
 # A lost group serves nobody anyway, and a holder that was only cut off may yet return.
-LOST_AFTER: Seconds = 30.0
+LOSS_CONFIRMATION_DELAY: Seconds = 30.0
 
 _LOG = logging.getLogger("bendwind")
 
@@ -42,13 +42,13 @@
     passed, a node that has not renewed yet is not known to be dead.
     """
 
-    led_for: Seconds
+    leader_for: Seconds
     services: tuple[Service, ...]
     groups: Mapping[str, ClaimGroup]
     alive: tuple[Instance, ...]
     owners: Mapping[str, frozenset[str]]
-    heard: Mapping[str, int]
-    is_settled: bool
+    newest_incarnations: Mapping[str, int]
+    is_return_period_over: bool
 
 
 def needs_claims(service: Service) -> bool:
@@ -69,7 +69,7 @@
 class ClaimPlacer:
     """Propose changes of claim groups while this voter leads."""
 
-    __slots__ = ("copied", "lease", "leaving", "missing_since", "propose", "rng", "view")
+    __slots__ = ("copied", "lease", "leaving", "lost_since", "propose", "rng", "view")
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         self.lease = lease
         self.copied: dict[str, ClaimCopied] = {}
         self.leaving: dict[str, Seconds] = {}
-        self.missing_since: dict[str, Seconds] = {}
+        self.lost_since: dict[str, Seconds] = {}
 
     def receive(self, message: ClaimCopied | ClaimLeave) -> None:
         """Take note of a finished copy or of a member that is about to stop."""
@@ -98,89 +98,95 @@
         """Look at every group twice a second until cancelled."""
         while True:
             await self.place_all()
-            await trio.sleep(PLACE_EVERY)
+            await trio.sleep(PLACEMENT_INTERVAL)
 
     async def place_all(self) -> None:
         """Propose at most one change of each group."""
         view = self.view()
         if view is None:
             return
-        self._forget_old(view)
-        alive = index_alive(view.alive)
-        held = _count_memberships(view.groups)
+        self._remove_expired(view)
+        alive = index_alive_nodes(view.alive)
+        group_counts = _count_memberships(view.groups)
         for service in view.services:
             if not needs_claims(service):
                 continue
-            present = view.groups.get(service.name)
-            if present is not None and self._is_settled(present, alive):
-                self.missing_since.pop(service.name, None)
+            current = view.groups.get(service.name)
+            if current is not None and self._needs_no_change(current, alive):
+                self.lost_since.pop(service.name, None)
                 continue
-            if not self._may_place(service.name, present, view):
+            if not self._can_place(service.name, current, view):
                 continue
-            group = self._choose(service.name, view, alive, held)
-            if self._is_missing_long_enough(service.name, group):
-                epoch = present.epoch if present else 0
+            group = self._choose(service.name, view, alive, group_counts)
+            if self._is_change_due(service.name, group):
+                epoch = current.epoch if current else 0
                 await self.propose(ChangeClaimGroup(group, epoch))
-                held.update(node_of(member) for member in group.members)
+                group_counts.update(parse_node_name(member) for member in group.members)
 
-    def _is_settled(self, group: ClaimGroup, alive: AliveNodes) -> bool:
+    def _needs_no_change(self, group: ClaimGroup, alive: AliveNodes) -> bool:
         is_staying = not any(member in self.leaving for member in group.members)
-        return is_staying and is_whole(group, alive)
+        return is_staying and is_group_complete(group, alive)
 
-    def _may_place(self, service: str, present: ClaimGroup | None, view: PlacementView) -> bool:
-        if present is not None:
-            return _may_judge(present, view)
+    def _can_place(self, service: str, current: ClaimGroup | None, view: PlacementView) -> bool:
+        if current is not None:
+            return _is_absence_conclusive(current, view)
         # Nodes that are still to be heard of may be the better holders, but a lease is enough.
         own = view.owners.get(service, frozenset())
-        return len(own) >= REQUIRED_MEMBERS or view.led_for >= self.lease
+        return len(own) >= REQUIRED_MEMBERS or view.leader_for >= self.lease
 
-    def _is_missing_long_enough(self, service: str, group: ClaimGroup | None) -> bool:
+    def _is_change_due(self, service: str, group: ClaimGroup | None) -> bool:
         """Tell whether a change is due; the loss of every holder only after a while."""
         if group is None or not group.lost:
-            self.missing_since.pop(service, None)
+            self.lost_since.pop(service, None)
             return group is not None
         now = trio.current_time()
-        return now - self.missing_since.setdefault(service, now) >= LOST_AFTER
+        return now - self.lost_since.setdefault(service, now) >= LOSS_CONFIRMATION_DELAY
 
     def _choose(
         self,
         service: str,
         view: PlacementView,
         alive: AliveNodes,
-        held: collections.Counter[str],
+        group_counts: collections.Counter[str],
     ) -> ClaimGroup | None:
-        present = view.groups.get(service)
-        notice = self.copied.get(service)
-        is_current = notice is not None and present is not None and notice.epoch == present.epoch
+        current = view.groups.get(service)
+        copy_report = self.copied.get(service)
+        is_current = (
+            copy_report is not None and current is not None and copy_report.epoch == current.epoch
+        )
         return choose_claim_group(
             service,
-            present,
+            current,
             alive,
             self.rng,
-            own=view.owners.get(service, frozenset()),
+            owners=view.owners.get(service, frozenset()),
             leaving=tuple(self.leaving),
-            copied=notice.joining if is_current else None,
-            held=held,
+            copied_member=copy_report.joining if is_current else None,
+            group_counts=group_counts,
         )
 
-    def _forget_old(self, view: PlacementView) -> None:
-        horizon = trio.current_time() - REMEMBER_LEAVING
+    def _remove_expired(self, view: PlacementView) -> None:
+        horizon = trio.current_time() - LEAVE_NOTICE_RETENTION
         self.leaving = {m: since for m, since in self.leaving.items() if since > horizon}
         names = {service.name for service in view.services}
-        self.copied = {name: notice for name, notice in self.copied.items() if name in names}
+        self.copied = {
+            name: copy_report for name, copy_report in self.copied.items() if name in names
+        }
 
 
-def _may_judge(group: ClaimGroup, view: PlacementView) -> bool:
+def _is_absence_conclusive(group: ClaimGroup, view: PlacementView) -> bool:
     """Tell whether the absence of a member means its end, and not that it was never heard of."""
-    return view.is_settled or all(_is_known(member, view) for member in group.members)
+    return view.is_return_period_over or all(
+        _has_been_reported(member, view) for member in group.members
+    )
 
 
-def _is_known(member: str, view: PlacementView) -> bool:
-    heard = view.heard.get(node_of(member))
-    return heard is not None and incarnation_of(member) <= heard
+def _has_been_reported(member: str, view: PlacementView) -> bool:
+    newest_incarnations = view.newest_incarnations.get(parse_node_name(member))
+    return newest_incarnations is not None and parse_incarnation(member) <= newest_incarnations
 
 
 def _count_memberships(groups: Mapping[str, ClaimGroup]) -> collections.Counter[str]:
     return collections.Counter(
-        node_of(member) for group in groups.values() for member in group.members
+        parse_node_name(member) for group in groups.values() for member in group.members
     )
--- a/packages/bendwind-node/src/bendwind_node/claims/task.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/task.py
@@ -22,19 +22,19 @@
     Granted,
     RefusalReason,
     create_holder,
-    member_of,
-    node_of,
+    format_member,
+    parse_node_name,
 )
 from bendwind_core.claims.entry import (
-    Abandon,
-    Ask,
+    AbandonClaim,
     Decide,
     EntryClaims,
     EntryEvent,
     EntryTick,
-    GroupKnown,
+    GroupReceived,
     ReplyReceived,
-    Settle,
+    SettleClaim,
+    StartClaim,
     step_entry,
 )
 from bendwind_core.claims.events import (
@@ -43,10 +43,10 @@
     LeaseRenewed,
     Received,
     Send,
-    SendControl,
+    SendToControl,
     Tick,
 )
-from bendwind_core.claims.holder import step
+from bendwind_core.claims.holder import step_holder
 from bendwind_core.claims.messages import (
     ClaimAppend,
     ClaimAppended,
@@ -86,7 +86,7 @@
 ClaimInput = PeerClaimMessage | LeaseProven
 
 
-class _Waiting(msgspec.Struct):
+class _PendingClaim(msgspec.Struct):
     decided: trio.Event = msgspec.field(default_factory=trio.Event)
     decision: ClaimDecision | None = None
 
@@ -105,16 +105,16 @@
         "has_work",
         "holders",
         "inbox",
+        "inbox_receiver",
         "instance",
-        "is_draining_local",
+        "is_handling_local",
         "limits",
-        "local",
+        "local_messages",
         "member",
-        "outbox",
+        "pending",
         "recorder",
         "send",
         "voters",
-        "waiting",
         "watch",
     )
 
@@ -128,7 +128,7 @@
         limits: ClaimLimits,
     ):
         self.instance = instance
-        self.member = member_of(instance)
+        self.member = format_member(instance)
         self.voters = voters
         self.send = send
         self.watch = watch
@@ -137,12 +137,12 @@
         self.entry = EntryClaims()
         self.holders: dict[str, ClaimHolder] = {}
         self.fresh_until: Seconds = 0.0
-        self.waiting: dict[str, _Waiting] = {}
-        self.local: collections.deque[ClaimMessage] = collections.deque()
-        self.is_draining_local = False
+        self.pending: dict[str, _PendingClaim] = {}
+        self.local_messages: collections.deque[ClaimMessage] = collections.deque()
+        self.is_handling_local = False
         self.has_work = trio.Event()
         self.has_holders = trio.Event()
-        self.inbox, self.outbox = trio.open_memory_channel[ClaimInput](INBOX_MESSAGES)
+        self.inbox, self.inbox_receiver = trio.open_memory_channel[ClaimInput](INBOX_MESSAGES)
 
     # What the entry task calls.
 
@@ -154,17 +154,17 @@
         Units: `deadline` is on trio's clock.
         """
         request = ClaimRequest(service, key, fingerprint, call, self.member, 0.0)
-        waiting = _Waiting()
-        self.waiting[call] = waiting
+        pending = _PendingClaim()
+        self.pending[call] = pending
         is_delivered = False
         try:
-            self._apply_entry(Ask(request, deadline))
+            self._apply_entry(StartClaim(request, deadline))
             with trio.move_on_at(deadline):
-                await waiting.decided.wait()
+                await pending.decided.wait()
             is_delivered = True
         finally:
-            self._end_claim(request, waiting, is_delivered)
-        return waiting.decision or ClaimRefused(RefusalReason.DEADLINE)
+            self._end_claim(request, pending, is_delivered)
+        return pending.decision or ClaimRefused(RefusalReason.DEADLINE)
 
     def record(
         self,
@@ -175,21 +175,21 @@
         answer: ClaimAnswer | None = None,
     ) -> None:
         """Report the final outcome of a granted call until every member holds it."""
-        self._apply_entry(Settle(ClaimOutcome(service, key, call, self.member, state, answer)))
+        self._apply_entry(SettleClaim(ClaimOutcome(service, key, call, self.member, state, answer)))
 
     def release(self, service: str, key: str, call: str) -> None:
         """Free the key of a granted call after a proof that its request did not run."""
-        self._apply_entry(Settle(ClaimRelease(service, key, call, self.member)))
+        self._apply_entry(SettleClaim(ClaimRelease(service, key, call, self.member)))
 
-    def _end_claim(self, request: ClaimRequest, waiting: _Waiting, is_delivered: bool) -> None:
-        del self.waiting[request.call]
-        self._apply_entry(Abandon(request.call))
-        if isinstance(waiting.decision, Granted) and not is_delivered:
+    def _end_claim(self, request: ClaimRequest, pending: _PendingClaim, is_delivered: bool) -> None:
+        del self.pending[request.call]
+        self._apply_entry(AbandonClaim(request.call))
+        if isinstance(pending.decision, Granted) and not is_delivered:
             self.release(request.service, request.key, request.call)
 
     # What the node's other tasks call.
 
-    async def hand_over(self) -> None:
+    async def leave_groups(self) -> None:
         """Ask control to replace this node in its groups and wait until it is in none.
 
         A caller that cannot wait forever puts a cancel scope around it.
@@ -199,10 +199,10 @@
                 self._deliver(voter, ClaimLeave(self.member))
             await trio.sleep(TICK)
 
-    def learn_groups(self, groups: tuple[ClaimGroup, ...]) -> None:
+    def update_groups(self, groups: tuple[ClaimGroup, ...]) -> None:
         """Take over pushed groups at once, so that no full inbox can lose them."""
         for group in groups:
-            self._learn_group(group)
+            self._update_group(group)
 
     def has_memberships(self) -> bool:
         """Tell whether this node holds claims for any group."""
@@ -212,13 +212,13 @@
         """Carry out what arrives in the inbox, and the passing of time, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_ticks)
-            async for item in self.outbox:
+            async for item in self.inbox_receiver:
                 self._handle(item)
 
     async def _run_ticks(self) -> None:
         while True:
             await self.has_work.wait()
-            is_idle = not self.entry.asking and not self.entry.settling
+            is_idle = not self.entry.pending_requests and not self.entry.pending_settlements
             if is_idle and not self.holders:
                 # A service without keys never needs a tick.
                 self.has_work = trio.Event()
@@ -236,15 +236,15 @@
                 self.fresh_until = max(self.fresh_until, until)
                 for holder in self.holders.values():
                     self._apply_holder(holder, LeaseRenewed(until))
-        self._drain_local()
+        self._handle_local_messages()
 
     def _receive(self, message: ClaimMessage) -> None:
         if isinstance(message, _TO_ENTRY):
             self._apply_entry(ReplyReceived(message))
         elif isinstance(message, _TO_HOLDER):
-            self._apply_holder(self._holder_of(message.service), Received(message))
+            self._apply_holder(self._find_or_create_holder(message.service), Received(message))
 
-    def _holder_of(self, service: str) -> ClaimHolder:
+    def _find_or_create_holder(self, service: str) -> ClaimHolder:
         holder = self.holders.get(service)
         if holder is None:
             holder = create_holder(self.member, service, self.limits)
@@ -255,12 +255,12 @@
             self.watch(service)
         return holder
 
-    def _learn_group(self, group: ClaimGroup) -> None:
-        self._apply_entry(GroupKnown(group))
+    def _update_group(self, group: ClaimGroup) -> None:
+        self._apply_entry(GroupReceived(group))
         is_named = self.member in group.members or self.member == group.joining
         if group.service not in self.holders and not is_named:
             return
-        holder = self._holder_of(group.service)
+        holder = self._find_or_create_holder(group.service)
         is_new = holder.group is None or holder.group.epoch < group.epoch
         self._apply_holder(holder, GroupChanged(group))
         if is_new:
@@ -270,7 +270,7 @@
     # Effects.
 
     def _apply_entry(self, event: EntryEvent) -> None:
-        if isinstance(event, Ask | Settle):
+        if isinstance(event, StartClaim | SettleClaim):
             self.has_work.set()
         for effect in step_entry(self.entry, event, trio.current_time()):
             match effect:
@@ -278,24 +278,24 @@
                     self._deliver(to, message)
                 case Decide(call, decision):
                     self._decide(call, decision)
-        self._drain_local()
+        self._handle_local_messages()
 
     def _apply_holder(self, holder: ClaimHolder, event: HolderEvent) -> None:
-        for effect in step(holder, event, trio.current_time()):
+        for effect in step_holder(holder, event, trio.current_time()):
             match effect:
                 case Send(to, message):
                     self._deliver(to, message)
-                case SendControl(message):
+                case SendToControl(message):
                     for voter in self.voters:
                         self._deliver(voter, message)
-        self._drain_local()
+        self._handle_local_messages()
 
     def _decide(self, call: str, decision: ClaimDecision) -> None:
-        waiting = self.waiting.get(call)
-        if waiting is None:
+        pending = self.pending.get(call)
+        if pending is None:
             return
-        waiting.decision = decision
-        waiting.decided.set()
+        pending.decision = decision
+        pending.decided.set()
         if isinstance(decision, Granted):
             self.recorder.record(EventKind.CLAIM_GRANTED, call=call)
         else:
@@ -306,24 +306,24 @@
     def _deliver(self, to: str, message: ClaimMessage) -> None:
         is_local = to == self.instance.name and not isinstance(message, ClaimCopied | ClaimLeave)
         if is_local:
-            self.local.append(message)
+            self.local_messages.append(message)
         else:
             self.send(to, message)
 
-    def _drain_local(self) -> None:
+    def _handle_local_messages(self) -> None:
         # What a message gives rise to is drained by the call that is draining, not one deeper.
-        if self.is_draining_local:
+        if self.is_handling_local:
             return
-        self.is_draining_local = True
+        self.is_handling_local = True
         try:
-            while self.local:
-                self._receive(self.local.popleft())
+            while self.local_messages:
+                self._receive(self.local_messages.popleft())
         finally:
-            self.is_draining_local = False
+            self.is_handling_local = False
 
 
 def _describe(group: ClaimGroup) -> str:
-    members = ",".join(node_of(member) for member in group.members)
+    members = ",".join(parse_node_name(member) for member in group.members)
     return f"{group.service} epoch {group.epoch} members {members} joining {group.joining}"
 
 
--- a/packages/bendwind-node/src/bendwind_node/claims/tests/test_placer.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/tests/test_placer.py
@@ -4,7 +4,7 @@
 import trio
 import trio.testing
 
-from bendwind_core.claims import ClaimCopied, ClaimGroup, ClaimLeave, member_of
+from bendwind_core.claims import ClaimCopied, ClaimGroup, ClaimLeave, format_member
 from bendwind_core.world import Instance, Service
 from bendwind_node.claims.placer import ClaimPlacer, PlacementView
 
@@ -17,8 +17,8 @@
         async def main():
             self.groups = {}
             self.alive = NODES
-            self.led_for = 0.0
-            self.heard = {}
+            self.leader_for = 0.0
+            self.newest_incarnations = {}
             placer = ClaimPlacer(self.make_view, self.propose, random.Random(1), LEASE)
             await check(placer)
 
@@ -26,17 +26,23 @@
 
     def make_view(self):
         services = (Service("emisor", ("*",)),)
-        self.heard |= {node.name: node.incarnation for node in self.alive}
-        is_settled = self.led_for >= 3 * LEASE
+        self.newest_incarnations |= {node.name: node.incarnation for node in self.alive}
+        is_return_period_over = self.leader_for >= 3 * LEASE
         return PlacementView(
-            self.led_for, services, self.groups, self.alive, {}, self.heard, is_settled
+            self.leader_for,
+            services,
+            self.groups,
+            self.alive,
+            {},
+            self.newest_incarnations,
+            is_return_period_over,
         )
 
     async def propose(self, command):
         self.groups[command.group.service] = command.group
 
-    async def place(self, placer, times=1, alive=None, led_for=1000.0):
-        self.led_for = led_for
+    async def place(self, placer, times=1, alive=None, leader_for=1000.0):
+        self.leader_for = leader_for
         self.alive = NODES if alive is None else alive
         for _ in range(times):
             await placer.place_all()
@@ -45,15 +51,15 @@
 
     def test_makes_the_first_group_soon_after_the_election(self):
         async def check(placer):
-            self.assertIsNone(await self.place(placer, led_for=LEASE - 0.1))
-            self.assertEqual(len((await self.place(placer, led_for=LEASE)).members), 3)
+            self.assertIsNone(await self.place(placer, leader_for=LEASE - 0.1))
+            self.assertEqual(len((await self.place(placer, leader_for=LEASE)).members), 3)
 
         self.run_with(check)
 
     def test_replacement_is_a_member_only_after_its_copy(self):
         async def check(placer):
             group = await self.place(placer)
-            alive = tuple(node for node in NODES if member_of(node) != group.members[0])
+            alive = tuple(node for node in NODES if format_member(node) != group.members[0])
             copying = await self.place(placer, 5, alive=alive)
             self.assertEqual(copying.members, group.members[1:])
             placer.receive(ClaimCopied("emisor", copying.epoch - 1, copying.joining))
@@ -81,10 +87,10 @@
         # A leader that did was found by reading: it took unattached nodes for dead ones.
         async def check(placer):
             group = await self.place(placer)
-            self.heard.clear()
-            alone = tuple(node for node in NODES if member_of(node) == group.members[0])
-            self.assertEqual(await self.place(placer, 4, alive=alone, led_for=2 * LEASE), group)
-            changed = await self.place(placer, alive=alone, led_for=4 * LEASE)
+            self.newest_incarnations.clear()
+            alone = tuple(node for node in NODES if format_member(node) == group.members[0])
+            self.assertEqual(await self.place(placer, 4, alive=alone, leader_for=2 * LEASE), group)
+            changed = await self.place(placer, alive=alone, leader_for=4 * LEASE)
             self.assertEqual(changed.members, group.members[:1])
 
         self.run_with(check)
@@ -92,9 +98,9 @@
     def test_holder_that_was_heard_of_and_fell_silent_is_dropped_at_once(self):
         # Waiting for every holder left a new cluster without keyed calls for three leases.
         async def check(placer):
-            group = await self.place(placer, led_for=LEASE)
-            rest = tuple(node for node in NODES if member_of(node) != group.members[0])
-            changed = await self.place(placer, alive=rest, led_for=LEASE + 1)
+            group = await self.place(placer, leader_for=LEASE)
+            rest = tuple(node for node in NODES if format_member(node) != group.members[0])
+            changed = await self.place(placer, alive=rest, leader_for=LEASE + 1)
             self.assertEqual(changed.members, group.members[1:])
 
         self.run_with(check)
--- a/packages/bendwind-node/src/bendwind_node/claims/tests/test_task.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/tests/test_task.py
@@ -16,7 +16,7 @@
     KeyConflict,
     Recorded,
     RefusalReason,
-    member_of,
+    format_member,
 )
 from bendwind_core.messages import decode_message, encode_message
 from bendwind_core.timeline import Recorder
@@ -49,14 +49,14 @@
     def push(self, group: ClaimGroup) -> None:
         for task in self.tasks.values():
             task.inbox.send_nowait(LeaseProven(1e9))
-            task.learn_groups((group,))
+            task.update_groups((group,))
 
     @contextlib.asynccontextmanager
     async def run(self):
         async with trio.open_nursery() as nursery:
             for task in self.tasks.values():
                 nursery.start_soon(task.run)
-            members = tuple(member_of(task.instance) for task in self.tasks.values())
+            members = tuple(format_member(task.instance) for task in self.tasks.values())
             self.push(ClaimGroup("emisor", 1, members))
             await trio.sleep(0.01)
             yield
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -339,4 +339,4 @@
                 dispatcher.entry.refresh_upstreams(service)
         case ClaimGroupsChanged():
             groups = tuple(dispatcher.membership.claim_groups.values())
-            dispatcher.claims.learn_groups(groups)
+            dispatcher.claims.update_groups(groups)
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -136,7 +136,7 @@
     dispatcher.owner.register.drain()
     daemon.callers_done.set()
     with trio.move_on_after(limits.claims_ms / MILLISECONDS_PER_SECOND):
-        await dispatcher.claims.hand_over()
+        await dispatcher.claims.leave_groups()
     with trio.move_on_after(limits.drain_ms / MILLISECONDS_PER_SECOND):
         await _finish_calls(daemon)
     # Cancelled requests are answered as not run or unknown, see H11Exchange.give_up.
@@ -177,4 +177,4 @@
     has_requests = any(account.in_hand for account in daemon.accounts)
     has_calls = bool(dispatcher.entry.runs) or not dispatcher.owner.is_idle()
     # An outcome that no claim holder has confirmed yet would be told as unknown to a resend.
-    return has_requests or has_calls or bool(dispatcher.claims.entry.settling)
+    return has_requests or has_calls or bool(dispatcher.claims.entry.pending_settlements)
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
@@ -33,9 +33,9 @@
 
 class FakeClaims:
     def __init__(self):
-        self.entry = types.SimpleNamespace(settling=())
+        self.entry = types.SimpleNamespace(pending_settlements=())
 
-    async def hand_over(self):
+    async def leave_groups(self):
         pass
 
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_quotas.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_quotas.py
@@ -71,17 +71,17 @@
 
     async def check(self, quotas):
         # Until the voter has applied the limit and fills its buckets there is no token.
-        while (await quotas.take("maria", None, math.inf)).is_error():
+        while (await quotas.acquire_token("maria", None, math.inf)).is_error():
             await trio.sleep(0.05)
         taken, refusal = 1, None
         while refusal is None:
-            outcome = await quotas.take("maria", None, math.inf)
+            outcome = await quotas.acquire_token("maria", None, math.inf)
             taken += outcome.is_ok()
             refusal = outcome.error if outcome.is_error() else None
         self.assertEqual((refusal.reason, refusal.voter), (NotRunReason.OVER_QUOTA, "a"))
         self.assertGreaterEqual(taken, 30)
         await trio.sleep(refusal.retry_after_ms / MILLISECONDS_PER_SECOND)
-        self.assertTrue((await quotas.take("maria", None, math.inf)).is_ok())
+        self.assertTrue((await quotas.acquire_token("maria", None, math.inf)).is_ok())
 
     def test_a_node_takes_what_its_voter_holds_and_no_more(self):
         trio.run(self.play)
--- a/packages/bendwind-node/src/bendwind_node/operators/claim_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/claim_routes.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from bendwind_core.claims import ChangeClaimGroup, ClaimGroup, choose_claim_group, index_alive
+from bendwind_core.claims import ChangeClaimGroup, ClaimGroup, choose_claim_group, index_alive_nodes
 from bendwind_core.plans import GroupChanged, encode_command
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_core.world import Upstream, UpstreamState
@@ -58,7 +58,7 @@
     ready = [upstream for upstream in upstreams if upstream.state is UpstreamState.READY]
     alive = tuple({upstream.owner.name: upstream.owner for upstream in ready}.values())
     own = {upstream.owner.name for upstream in ready if upstream.service == lost.service}
-    first = choose_claim_group(lost.service, None, index_alive(alive), rng, own=own)
+    first = choose_claim_group(lost.service, None, index_alive_nodes(alive), rng, owners=own)
     if first is None:
         return None
     return msgspec.structs.replace(first, epoch=lost.epoch + 1)
--- a/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
@@ -33,35 +33,35 @@
 
 # The longest wait for a token, which a caller without an objective bears: a voter that does not
 # answer takes 100 ms of it, and a second one has the rest.
-TOKEN_WAIT: Seconds = 0.25
+MAX_TOKEN_WAIT: Seconds = 0.25
 # A request with an objective spares this share of what is left to it. At one second that leaves a
 # second voter 25 ms, a few round trips; below 0.8 s the first voter alone is waited for.
-OBJECTIVE_SHARE = 0.125
+OBJECTIVE_WAIT_SHARE = 0.125
 # A customer stays over its quota for seconds to minutes: that is worth a line of the time line so
 # often, not one a request.
-TELL_EACH: Seconds = 10.0
+EXCESS_RECORD_INTERVAL: Seconds = 10.0
 # A customer's count of refusals not told yet is kept for so long after its last line.
-KEEP: Seconds = 60.0
+EXCESS_RETENTION: Seconds = 60.0
 # An unanswered ask is noticed this late at most, a fifth of the time that an answer may take.
 _TICK: Seconds = 0.02
 # While nothing can be asked, for want of a voter for example, it is tried anew so often.
-_SHORTEST_TICK: Seconds = 0.001
+_MIN_TICK: Seconds = 0.001
 
 
-class _Told(msgspec.Struct):
+class _ExcessRecord(msgspec.Struct):
     """Hold when a customer's excess was last recorded and how much was refused since."""
 
-    at: Seconds
-    untold: int = 0
+    recorded_at: Seconds
+    unrecorded: int = 0
 
 
 class NodeQuotaTask:
     """Own a node's quotas; `find_customer` tells what is known of a name."""
 
     __slots__ = (
+        "_excess_records",
         "_has_work",
-        "_settled",
-        "_told",
+        "_settled_events",
         "_wake_at",
         "find_customer",
         "list_voters",
@@ -83,8 +83,8 @@
         self.send = send
         self.recorder = recorder
         self.find_customer = find_customer
-        self._settled: dict[Waiter, trio.Event] = {}
-        self._told: dict[str, _Told] = {}
+        self._settled_events: dict[Waiter, trio.Event] = {}
+        self._excess_records: dict[str, _ExcessRecord] = {}
         self._has_work = trio.Event()
         self._wake_at = math.inf
 
@@ -92,7 +92,7 @@
         """Ask, turn from silent voters and give back, until cancelled."""
         while True:
             self._has_work = trio.Event()
-            self._wake_at = self._find_wake(trio.current_time())
+            self._wake_at = self._find_wake_at(trio.current_time())
             is_due = True
             with trio.move_on_at(self._wake_at):
                 await self._has_work.wait()
@@ -100,10 +100,10 @@
             if is_due:
                 self._tick(trio.current_time())
 
-    def _find_wake(self, now: Seconds) -> Seconds:
+    def _find_wake_at(self, now: Seconds) -> Seconds:
         if not has_work(self.quotas):
             return math.inf
-        due = max(now + _SHORTEST_TICK, self.quotas.ask_from)
+        due = max(now + _MIN_TICK, self.quotas.ask_from)
         return due if self.quotas.wanting else now + _TICK
 
     def _wake(self) -> None:
@@ -117,7 +117,7 @@
         found = self.find_customer(customer) if customer else None
         return found is not None and found.is_limited
 
-    async def take(
+    async def acquire_token(
         self, customer: str, target_at: Seconds | None, deadline_at: Seconds
     ) -> Result[Grant, QuotaRefusal]:
         """Take a token, waiting shortly for one; `target_at` is when an answer is late.
@@ -125,42 +125,46 @@
         Errors: a refusal for want of tokens or of an answer.
         """
         now = trio.current_time()
-        until = _find_limit(now, target_at, deadline_at)
+        until = _find_wait_end(now, target_at, deadline_at)
         asked = request_token(self.quotas, customer, until, now)
         self._flush(now)
         self._wake()
         outcome = await self._wait(asked) if isinstance(asked, Waiter) else asked
         if outcome.is_error() and outcome.error.reason is NotRunReason.OVER_QUOTA:
-            self._tell(customer, outcome.error.voter, now)
+            self._record_excess(customer, outcome.error.voter, now)
         return outcome
 
-    def _tell(self, customer: str, voter: str, now: Seconds) -> None:
+    def _record_excess(self, customer: str, voter: str, now: Seconds) -> None:
         """Record that a customer is over its quota, once in a while however much is refused."""
-        told = self._told.get(customer)
-        if told is not None and now - told.at < TELL_EACH:
-            told.untold += 1
+        previous = self._excess_records.get(customer)
+        if previous is not None and now - previous.recorded_at < EXCESS_RECORD_INTERVAL:
+            previous.unrecorded += 1
             return
-        untold = 0 if told is None else told.untold
-        self._told = {name: known for name, known in self._told.items() if now - known.at < KEEP}
-        self._told[customer] = _Told(now)
-        detail = f"{customer}, told by {voter}; {untold} more refused before"
+        unrecorded = 0 if previous is None else previous.unrecorded
+        self._excess_records = {
+            name: known
+            for name, known in self._excess_records.items()
+            if now - known.recorded_at < EXCESS_RETENTION
+        }
+        self._excess_records[customer] = _ExcessRecord(now)
+        detail = f"{customer}, told by {voter}; {unrecorded} more refused before"
         self.recorder.record(EventKind.QUOTA_EXCEEDED, detail=detail)
 
     async def _wait(self, waiter: Waiter) -> Result[Grant, QuotaRefusal]:
-        settled = self._settled[waiter] = trio.Event()
+        settled = self._settled_events[waiter] = trio.Event()
         is_taken = False
         try:
             # A voter in this process may have answered already.
-            self._hand_out()
+            self._notify_settled()
             await settled.wait()
             is_taken = True
         finally:
-            self._settled.pop(waiter, None)
+            self._settled_events.pop(waiter, None)
             if not is_taken:
                 cancel_wait(self.quotas, waiter)
         return waiter.outcome
 
-    def give_back(self, grant: Grant) -> None:
+    def return_token(self, grant: Grant) -> None:
         """Give back the token of a request that did not run."""
         return_token(self.quotas, grant)
         self._wake()
@@ -169,35 +173,35 @@
         """Take over what a voter granted."""
         now = trio.current_time()
         hear_reply(self.quotas, sender, reply, now)
-        self._hand_out()
+        self._notify_settled()
         self._flush(now)
         self._wake()
 
     def _tick(self, now: Seconds) -> None:
         for effect in tick_node(self.quotas, now):
-            self._carry_out(effect)
-        self._hand_out()
+            self._send_effect(effect)
+        self._notify_settled()
         self._flush(now)
 
     def _flush(self, now: Seconds) -> None:
         for effect in flush_asks(self.quotas, self.list_voters(), now):
-            self._carry_out(effect)
+            self._send_effect(effect)
 
-    def _carry_out(self, effect: QuotaSend) -> None:
+    def _send_effect(self, effect: QuotaSend) -> None:
         self.send(effect.to, effect.message)
 
-    def _hand_out(self) -> None:
-        settled = [waiter for waiter in self.quotas.settled if waiter in self._settled]
+    def _notify_settled(self) -> None:
+        settled = [waiter for waiter in self.quotas.settled if waiter in self._settled_events]
         self.quotas.settled = [
-            waiter for waiter in self.quotas.settled if waiter not in self._settled
+            waiter for waiter in self.quotas.settled if waiter not in self._settled_events
         ]
         for waiter in settled:
-            self._settled[waiter].set()
+            self._settled_events[waiter].set()
 
 
-def _find_limit(now: Seconds, target_at: Seconds | None, deadline_at: Seconds) -> Seconds:
-    spare = math.inf if target_at is None else max(0.0, target_at - now) * OBJECTIVE_SHARE
-    return min(deadline_at, now + min(TOKEN_WAIT, spare))
+def _find_wait_end(now: Seconds, target_at: Seconds | None, deadline_at: Seconds) -> Seconds:
+    max_wait = math.inf if target_at is None else max(0.0, target_at - now) * OBJECTIVE_WAIT_SHARE
+    return min(deadline_at, now + min(MAX_TOKEN_WAIT, max_wait))
 
 
 def create_node_quota_task(
--- a/packages/bendwind-node/src/bendwind_node/quotas/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/tests/fakes.py
@@ -20,7 +20,7 @@
         self.configuration = configuration
 
 
-class QuotaBench:
+class QuotaTestCluster:
     """Hold some voters and nodes; messages to or from those that are `lost` are lost."""
 
     def __init__(self, nursery, customers, voters=3, bounds=None):
--- a/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
@@ -71,10 +71,10 @@
             if self.quotas.busy:
                 await trio.sleep(_BUSY_TICK)
             else:
-                await self._wait_work()
-            self._carry_out(tick_voter(self.quotas, trio.current_time()))
+                await self._wait_for_work()
+            self._send_effects(tick_voter(self.quotas, trio.current_time()))
 
-    async def _wait_work(self) -> None:
+    async def _wait_for_work(self) -> None:
         self._has_work = trio.Event()
         with trio.move_on_after(_IDLE_TICK if self.quotas.accounts else math.inf):
             await self._has_work.wait()
@@ -107,17 +107,17 @@
         had_accounts = bool(self.quotas.accounts)
         match message:
             case QuotaAsk():
-                self._carry_out(hear_ask(self.quotas, sender, message, now))
+                self._send_effects(hear_ask(self.quotas, sender, message, now))
             case QuotaPull():
-                self._carry_out(hear_pull(self.quotas, sender, message, now))
+                self._send_effects(hear_pull(self.quotas, sender, message, now))
             case QuotaLoan():
-                self._carry_out(hear_loan(self.quotas, sender, message, now))
+                self._send_effects(hear_loan(self.quotas, sender, message, now))
             case QuotaBack():
                 hear_back(self.quotas, message, now)
         if self.quotas.busy or not had_accounts:
             self._has_work.set()
 
-    def _carry_out(self, effects: list[QuotaSend]) -> None:
+    def _send_effects(self, effects: list[QuotaSend]) -> None:
         for effect in effects:
             self.send(effect.to, effect.message)
 
