--- a/packages/bendwind-core/src/bendwind_core/claims/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the claims that make a marked request run at most once."""
+"""Provide the claims that make a marked request run at most once."""
 
 from bendwind_core.claims.commands import ChangeClaimGroup, apply_group_change
 from bendwind_core.claims.decisions import (
--- a/packages/bendwind-core/src/bendwind_core/claims/commands.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/commands.py
@@ -1,4 +1,4 @@
-"""Define the control log's command on claim groups and its effect."""
+"""Define the control log's command that changes a claim group, and its effect."""
 
 from expression import Error, Ok, Result
 
@@ -9,8 +9,8 @@
 class ChangeClaimGroup(Record, frozen=True, array_like=True, tag="change-claim-group"):
     """Replace a service's claim group if its epoch is still the expected one.
 
-    `expected_epoch` is 0 for a service without a group. `accept_loss` is an operator's word that
-    the claims of a lost group may be forgotten; only then may members start with no claims.
+    `expected_epoch` is 0 for a service without a group. `accept_loss` states that an operator
+    accepts the loss of a lost group's claims; only then may members start with no claims.
     """
 
     group: ClaimGroup
@@ -21,7 +21,7 @@
 def apply_group_change(
     groups: dict[str, ClaimGroup], command: ChangeClaimGroup
 ) -> Result[ClaimGroup, str]:
-    """Check a change against the present group and store the new one.
+    """Check a change against the current group and store the new group.
 
     Errors: a text that names the rule which the change would break.
     """
@@ -42,9 +42,9 @@
     if group.epoch != epoch + 1:
         return f"epoch {group.epoch} does not follow {epoch}"
     if not group.members or len(set(group.members)) != len(group.members):
-        return "members are missing or repeated"
+        return "the member list is empty or contains duplicates"
     if group.joining in group.members:
-        return "the joining node is a member already"
+        return "the joining member is already a member"
     if current is None:
         return "a new group cannot be lost" if group.lost else None
     if command.accept_loss:
@@ -55,9 +55,9 @@
 def _find_membership_fault(current: ClaimGroup, group: ClaimGroup) -> str | None:
     holders = set(current.members)
     if group.members[0] not in holders:
-        return "the primary must have been a member"
+        return "the new primary must be a member of the current group"
     if not set(group.members) <= holders | {current.joining}:
-        return "a new member must have been joining"
+        return "a new member must be the joining member of the current group"
     if group.lost and group.members != current.members:
-        return "a lost group keeps its last members"
+        return "a lost group must keep its last members"
     return None
--- a/packages/bendwind-core/src/bendwind_core/claims/decisions.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/decisions.py
@@ -1,4 +1,4 @@
-"""Define what a request for a claim may come to at its entry node."""
+"""Define the possible decisions on a claim request at its entry node."""
 
 import msgspec
 
@@ -10,29 +10,29 @@
 
 
 class Recorded(msgspec.Struct, frozen=True):
-    """Repeat the answer of the call that ran the request."""
+    """Return the stored answer of the call that ran the request."""
 
     answer: ClaimAnswer
 
 
 class AnswerNotKept(msgspec.Struct, frozen=True):
-    """Tell that the request ran and its answer was too large to keep."""
+    """Report that the request ran, but its answer was too large to keep."""
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True):
-    """Tell that the request may have run and that nobody will learn whether it did."""
+    """Report that the request may have run, and that its outcome will never be known."""
 
 
 class StillPending(msgspec.Struct, frozen=True):
-    """Tell that the request of the call that holds the key was still running at the deadline."""
+    """Report that the request of the call that holds the key was still running at the deadline."""
 
 
 class KeyConflict(msgspec.Struct, frozen=True):
-    """Tell that the key was used for a different request."""
+    """Report that the key was used for a different request."""
 
 
 class ClaimRefused(msgspec.Struct, frozen=True):
-    """Tell that the call does not hold the key and must not run its request."""
+    """Report that the call does not hold the key and must not run its request."""
 
     reason: RefusalReason
 
--- a/packages/bendwind-core/src/bendwind_core/claims/entry.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/entry.py
@@ -1,7 +1,7 @@
-"""Decide for an entry node how it asks for claims and settles them until someone confirms.
+"""Decide how an entry node requests claims and settles them until a primary confirms.
 
-Requests, outcomes and releases may be lost with a link or a primary; each is sent again under
-the same call until it is answered or its time is up.
+Requests, outcomes and releases may be lost with a link or a primary. Each is sent again with the
+same call until it is answered or its time is up.
 """
 
 import msgspec
@@ -44,14 +44,14 @@
 
 
 class StartClaim(msgspec.Struct, frozen=True):
-    """Start to ask for a claim; `deadline` is the caller's."""
+    """Start a claim request; `deadline` is the caller's deadline."""
 
     request: ClaimRequest
     deadline: Seconds
 
 
 class AbandonClaim(msgspec.Struct, frozen=True):
-    """Give up asking, because the caller went away or its deadline has come."""
+    """Abandon a claim request because its caller disconnected or its deadline has passed."""
 
     call: str
 
@@ -63,13 +63,13 @@
 
 
 class GroupReceived(msgspec.Struct, frozen=True):
-    """Report the newest group of a service that this node knows."""
+    """Report a service's group that this node received."""
 
     group: ClaimGroup
 
 
 class ReplyReceived(msgspec.Struct, frozen=True):
-    """Report a reply of a primary."""
+    """Report a reply from a primary."""
 
     message: ClaimReply | ClaimSettled
 
@@ -82,7 +82,7 @@
 
 
 class Decide(msgspec.Struct, frozen=True):
-    """Deliver the decision on a call."""
+    """Deliver the decision on a call's claim request."""
 
     call: str
     decision: ClaimDecision
@@ -92,7 +92,7 @@
 
 
 class PendingRequest(msgspec.Struct):
-    """Hold a request that is not decided yet."""
+    """Hold a claim request that is not decided yet."""
 
     request: ClaimRequest
     deadline: Seconds
@@ -110,7 +110,7 @@
 
 
 class EntryClaims(msgspec.Struct):
-    """Hold what an entry node asks of claim groups, by call."""
+    """Hold an entry node's groups by service, and its requests and settlements by call."""
 
     groups: dict[str, ClaimGroup] = msgspec.field(default_factory=dict)
     pending_requests: dict[str, PendingRequest] = msgspec.field(default_factory=dict)
@@ -118,7 +118,7 @@
 
 
 def step_entry(claims: EntryClaims, event: EntryEvent, now: Seconds) -> list[EntryEffect]:
-    """Apply one event and return what to send and what was decided."""
+    """Apply one event and return the messages to send and the decisions."""
     match event:
         case StartClaim(request, deadline):
             return _start_request(claims, request, deadline, now)
@@ -183,8 +183,8 @@
 
 
 def _update_group(claims: EntryClaims, group: ClaimGroup, now: Seconds) -> list[EntryEffect]:
-    known = claims.groups.get(group.service)
-    if known is not None and known.epoch >= group.epoch:
+    current = claims.groups.get(group.service)
+    if current is not None and current.epoch >= group.epoch:
         return []
     claims.groups[group.service] = group
     effects = _refuse_requests_of_lost_group(claims, group, now) if group.lost else []
@@ -214,7 +214,7 @@
 def _receive_reply(claims: EntryClaims, reply: ClaimReply, now: Seconds) -> list[EntryEffect]:
     pending = claims.pending_requests.get(reply.call)
     if pending is None:
-        # Nobody runs an abandoned call: its release is on its way.
+        # An abandoned call never runs its request, and its release is already being sent.
         return []
     match reply:
         case ClaimGranted(epoch=epoch):
@@ -236,7 +236,8 @@
 ) -> list[EntryEffect]:
     group = claims.groups.get(pending.request.service)
     if group is not None and epoch < group.epoch:
-        # An operator may have given up the claims of that epoch; the present primary decides.
+        # An operator may have accepted the loss of that epoch's claims, so the current primary
+        # has to decide.
         pending.next_send_at = now
         return _send_due(claims, now)
     return _decide(claims, pending.request.call, Granted())
@@ -261,7 +262,7 @@
 def _refuse(
     claims: EntryClaims, call: str, reason: RefusalReason | None, now: Seconds
 ) -> list[EntryEffect]:
-    """End a request as refused and release the grant that may be on its way."""
+    """Refuse a request and release the grant that the primary may already have sent."""
     pending = claims.pending_requests.get(call)
     if pending is None:
         return []
@@ -277,7 +278,8 @@
     claims: EntryClaims, message: ClaimOutcome | ClaimRelease, now: Seconds
 ) -> list[EntryEffect]:
     while len(claims.pending_settlements) >= MAX_PENDING_SETTLEMENTS:
-        # The claim stays pending and is told as unknown, which is safe.
+        # The claim whose settlement is dropped stays pending and is later reported as unknown,
+        # which is safe.
         del claims.pending_settlements[next(iter(claims.pending_settlements))]
     claims.pending_settlements[message.call] = PendingSettlement(
         message, now, now + SETTLEMENT_TIMEOUT
--- a/packages/bendwind-core/src/bendwind_core/claims/events.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/events.py
@@ -1,4 +1,4 @@
-"""Define what reaches a holder of claims and what it wants carried out."""
+"""Define the events that a claim holder receives and the effects that it returns."""
 
 import msgspec
 
@@ -8,13 +8,13 @@
 
 
 class GroupChanged(msgspec.Struct, frozen=True):
-    """Report the service's group as control decided it."""
+    """Report the service's group as decided by control."""
 
     group: ClaimGroup
 
 
 class LeaseRenewed(msgspec.Struct, frozen=True):
-    """Report until when this node's view of the configuration is proven fresh."""
+    """Report the time until which this node's configuration is proven fresh."""
 
     until: Seconds
 
@@ -40,7 +40,7 @@
 
 
 class SendToControl(msgspec.Struct, frozen=True):
-    """Send a message to every control voter; only the leader acts on it."""
+    """Send a message to every control voter; only the leader handles it."""
 
     message: ClaimMessage
 
--- a/packages/bendwind-core/src/bendwind_core/claims/fingerprint.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/fingerprint.py
@@ -1,4 +1,4 @@
-"""Digest a request, so that a key used for two different requests is seen."""
+"""Compute the digest of a request, which detects a key that is used for two requests."""
 
 import hashlib
 
@@ -6,7 +6,7 @@
 
 
 def fingerprint_request(method: str, target: bytes, body: bytes) -> bytes:
-    """Return a digest of what makes two requests the same to an upstream.
+    """Return a digest of the parts of a request that distinguish it for an upstream.
 
     >>> len(fingerprint_request("POST", b"/issue", b"{}"))
     16
--- a/packages/bendwind-core/src/bendwind_core/claims/group.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/group.py
@@ -6,8 +6,8 @@
 class ClaimGroup(Record, frozen=True, array_like=True):
     """Name the holders of a service's claims in one epoch; the first member is the primary.
 
-    Every member holds every claim. `joining` is copying the claims and is not yet a member.
-    `lost` is set when no member survived: claims made before are unknown.
+    Every member stores every claim. `joining` receives a copy of the claims and is not yet a
+    member. `lost` is set if no member survived; earlier claims are then unknown.
     """
 
     service: str
--- a/packages/bendwind-core/src/bendwind_core/claims/holder.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/holder.py
@@ -1,7 +1,7 @@
-"""Decide for one node what it does as a holder of one service's claims.
+"""Decide how a node acts as a holder of one service's claims.
 
-The primary grants a key only after every member confirmed that it holds the claim, so the
-next primary, which always was a member, knows every key that was ever granted.
+The primary grants a key only after every member confirmed that it stores the claim. The next
+primary always was a member before, so it knows every key that was ever granted.
 """
 
 from bendwind_core.claims.events import (
@@ -41,7 +41,7 @@
 
 
 def step_holder(holder: ClaimHolder, event: HolderEvent, now: Seconds) -> list[HolderEffect]:
-    """Apply one event and return what to send."""
+    """Apply one event and return the messages to send."""
     effects = _apply(holder, event, now)
     while holder.finished_writes:
         write = holder.finished_writes.popleft()
@@ -84,12 +84,12 @@
     if holder.group is not None and group.epoch <= holder.group.epoch:
         return []
     was_member = holder.is_member()
-    was_joining = holder.is_involved() and not was_member
+    was_joining = holder.is_member_or_joining() and not was_member
     effects = refuse_pending_requests(holder) if holder.is_primary() else []
     holder.group = group
     holder.keys_to_copy = None
     holder.is_copy_complete = False
-    # A member may only keep what it held without a gap in its membership.
+    # A member may keep its claims only if its membership has no gap.
     if not (holder.is_member() and (was_member or was_joining)):
         holder.table.clear()
     if holder.is_primary() and group.joining is not None:
--- a/packages/bendwind-core/src/bendwind_core/claims/members.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/members.py
@@ -1,7 +1,8 @@
-"""Identify one run of a node as a member of claim groups.
+"""Format and parse the members of claim groups.
 
-A member is the text `name#incarnation`: a node that returns with empty memory has a higher
-incarnation, so it never counts as a holder of what its former run held.
+A member is one run of a node, written as `name#incarnation`. A node that restarts with empty
+memory has a higher incarnation, so it never counts as a holder of the claims that its previous
+run held.
 """
 
 from bendwind_core.world import Instance
@@ -10,7 +11,7 @@
 
 
 def format_member(instance: Instance) -> str:
-    """Return the member that this run of a node would be.
+    """Return the member that stands for this run of a node.
 
     >>> format_member(Instance("norte-1", "sala-norte", "127.0.0.1", 7101, 3))
     'norte-1#3'
@@ -19,7 +20,7 @@
 
 
 def parse_node_name(member: str) -> str:
-    """Return the name of the node whose run a member is.
+    """Return the name of a member's node.
 
     >>> parse_node_name("norte-1#3")
     'norte-1'
@@ -28,7 +29,7 @@
 
 
 def parse_incarnation(member: str) -> int:
-    """Return the incarnation of the run that a member is.
+    """Return the incarnation of a member's node.
 
     >>> parse_incarnation("norte-1#3")
     3
--- a/packages/bendwind-core/src/bendwind_core/claims/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages of claims: entry node to primary, primary to members, primary to control."""
+"""Define claim messages: entry node to primary, primary to members, primary to control."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Say what is known of the request that holds a key."""
+    """Define the known states of the request that holds a key."""
 
     PENDING = "pending"
     ANSWERED = "answered"
@@ -19,7 +19,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Say why a claim was neither granted nor found."""
+    """Define why a claim request is neither granted nor answered from an existing claim."""
 
     NOT_PRIMARY = "not-primary"
     STALE = "stale"
@@ -32,7 +32,7 @@
 
 
 class ClaimAnswer(Record, frozen=True, array_like=True):
-    """Hold an upstream's whole answer."""
+    """Hold an upstream's complete answer."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -40,10 +40,11 @@
 
 
 class Claim(Record, frozen=True, array_like=True):
-    """Hold what is known of one key.
+    """Hold the known state of one key.
 
     `epoch` and `sequence` order the states of one key: the highest pair is the newest.
-    Units: `patience_ms` is the time after which a pending claim counts as unknown.
+    Units: `pending_timeout_ms` is the time in milliseconds after which a pending claim counts as
+    unknown.
     """
 
     key: str
@@ -59,9 +60,9 @@
 class ClaimRequest(Record, frozen=True, array_like=True, tag="claim-request"):
     """Ask the primary for the right to run the request of a key.
 
-    `entry` is the asking member (`name#incarnation`); `call` is unique over all entry nodes.
-    Asking again with the same call has the effect of asking once.
-    Units: `remaining_ms` is the time left to the caller's deadline, in milliseconds.
+    `entry` is the requesting member (`name#incarnation`); `call` is unique across all entry nodes.
+    The request is idempotent: a repetition with the same `call` has no further effect.
+    Units: `remaining_ms` is the time left until the caller's deadline, in milliseconds.
     """
 
     service: str
@@ -73,7 +74,7 @@
 
 
 class ClaimGranted(Record, frozen=True, array_like=True, tag="claim-granted"):
-    """Permit one call, and no other, to run the request of a key."""
+    """Permit exactly one call to run the request of a key."""
 
     service: str
     key: str
@@ -82,7 +83,7 @@
 
 
 class ClaimHeld(Record, frozen=True, array_like=True, tag="claim-held"):
-    """Tell that another call holds the key, and what became of its request."""
+    """Report that another call holds the key, and the state and kept answer of its request."""
 
     service: str
     key: str
@@ -92,7 +93,7 @@
 
 
 class ClaimConflict(Record, frozen=True, array_like=True, tag="claim-conflict"):
-    """Tell that the key was used for a different request."""
+    """Report that the key was used for a different request."""
 
     service: str
     key: str
@@ -100,7 +101,7 @@
 
 
 class ClaimUnavailable(Record, frozen=True, array_like=True, tag="claim-unavailable"):
-    """Tell that the key was not granted to this call."""
+    """Report that the key was not granted to this call."""
 
     service: str
     key: str
@@ -109,7 +110,7 @@
 
 
 class ClaimOutcome(Record, frozen=True, array_like=True, tag="claim-outcome"):
-    """Record the final outcome of the call that was granted the key."""
+    """Report the final outcome of the call that was granted the key."""
 
     service: str
     key: str
@@ -120,7 +121,7 @@
 
 
 class ClaimRelease(Record, frozen=True, array_like=True, tag="claim-release"):
-    """Free a key after a proof that the request of this call did not run and never will."""
+    """Release a key after proof that the request of this call did not run and never will."""
 
     service: str
     key: str
@@ -129,7 +130,7 @@
 
 
 class ClaimSettled(Record, frozen=True, array_like=True, tag="claim-settled"):
-    """Confirm that every member holds the outcome or the release of a call."""
+    """Confirm that every member stores the outcome or the release of a call."""
 
     service: str
     key: str
@@ -139,8 +140,8 @@
 class ClaimAppend(Record, frozen=True, array_like=True, tag="claim-append"):
     """Replicate claims to one member, in an ordinary write or as a chunk of a copy.
 
-    `receiver` names the run of the node this is meant for; any other run ignores it.
-    Units: `ages_ms` holds the time since each claim was made, in milliseconds.
+    `receiver` names the run of the destination node; any other run ignores the message.
+    Units: `ages_ms` holds the time since each claim was created, in milliseconds.
     """
 
     service: str
@@ -153,7 +154,7 @@
 
 
 class ClaimAppended(Record, frozen=True, array_like=True, tag="claim-appended"):
-    """Confirm that a member holds the claims of an append."""
+    """Confirm that a member stores the claims of an append."""
 
     service: str
     epoch: int
@@ -162,7 +163,7 @@
 
 
 class ClaimCopied(Record, frozen=True, array_like=True, tag="claim-copied"):
-    """Tell control that the joining member of this epoch holds every claim."""
+    """Report to control that the joining member of this epoch stores every claim."""
 
     service: str
     epoch: int
--- a/packages/bendwind-core/src/bendwind_core/claims/placement.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/placement.py
@@ -1,4 +1,4 @@
-"""Decide which nodes hold the claims of a service, one change of the group at a time."""
+"""Choose the nodes that hold a service's claims, one change of the group at a time."""
 
 import collections
 import random
@@ -11,12 +11,13 @@
 from bendwind_core.world import Instance
 
 REQUIRED_MEMBERS = 3
-# Ranking every node for every group would keep a leader of many nodes busy for seconds.
+# If every node were ranked for every group, the leader of a large cluster would be busy for
+# seconds.
 MAX_SAMPLED_NODES = 64
 
 
 class AliveNodes(msgspec.Struct, frozen=True):
-    """Hold the living nodes, found by member and by name; made once for many groups."""
+    """Index the live nodes by member and by name; one index serves many groups."""
 
     by_member: Mapping[str, Instance]
     by_name: Mapping[str, str]
@@ -24,7 +25,7 @@
 
 
 def index_alive_nodes(alive: Iterable[Instance]) -> AliveNodes:
-    """Index the living nodes."""
+    """Return an index of the live nodes."""
     by_member = {format_member(instance): instance for instance in alive}
     by_name = {instance.name: member for member, instance in by_member.items()}
     return AliveNodes(by_member, by_name, tuple(by_member))
@@ -33,7 +34,7 @@
 def is_group_complete(
     group: ClaimGroup, alive: AliveNodes, required: int = REQUIRED_MEMBERS
 ) -> bool:
-    """Tell whether a group has all its members, alive, and nobody joining."""
+    """Return whether a group has all required members, all alive, and no joining member."""
     is_complete = len(group.members) == required and group.joining is None
     return is_complete and all(member in alive.by_member for member in group.members)
 
@@ -50,11 +51,11 @@
     group_counts: collections.Counter[str] | None = None,
     required: int = REQUIRED_MEMBERS,
 ) -> ClaimGroup | None:
-    """Return the next group of a service, or None when the present one should stay.
+    """Return the next group of a service, or None if the current group should stay.
 
-    `own` names the nodes beside the service's upstreams, which are taken first; `leaving` holds
-    members that are about to stop; `copied` is the joining member once it holds every claim;
-    `held` counts the groups that each node is in already.
+    `owners` names the nodes beside the service's upstreams, which are preferred; `leaving` holds
+    members that are about to stop; `copied_member` is the joining member as soon as it stores
+    every claim; `group_counts` counts the groups to which each node already belongs.
     """
     candidates = _Candidates(alive, owners, frozenset(leaving), group_counts or {}, rng)
     if group is None:
@@ -67,7 +68,7 @@
 
 
 class _Candidates:
-    """Rank the nodes that may join a group: the service's own and a sample of the others."""
+    """Rank the nodes that may join a group: the service's owners and a sample of the others."""
 
     __slots__ = ("alive", "group_counts", "leaving", "owners", "rng")
 
@@ -86,7 +87,7 @@
         self.rng = rng
 
     def pick(self, members: tuple[str, ...], count: int) -> tuple[str, ...]:
-        """Return up to `count` further members, spread over data centres."""
+        """Return up to `count` additional members, spread over data centres."""
         pool = self._find_pool()
         picked: list[str] = []
         for _ in range(count):
@@ -146,7 +147,7 @@
     joiners = candidates.pick(remaining, 1)
     if joiners:
         return _create_next_group(group, remaining, joiners[0])
-    # Nobody can replace a leaving member, so only one that is not the last holder may go.
+    # No replacement for a leaving member exists, so it may leave only if another member stays.
     return _change_if_different(group, staying or remaining, None)
 
 
--- a/packages/bendwind-core/src/bendwind_core/claims/replication.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/replication.py
@@ -1,4 +1,4 @@
-"""Replicate claims from the primary to every member, and copy them to a joining one."""
+"""Replicate claims from the primary to every member, and copy them to a joining member."""
 
 import msgspec
 
@@ -21,7 +21,7 @@
 
 
 def allocate_version(holder: ClaimHolder) -> tuple[int, int]:
-    """Return the epoch and sequence of the next state that this primary writes."""
+    """Allocate the epoch and sequence of the next state that this primary writes."""
     holder.sequence += 1
     return holder.group.epoch, holder.sequence
 
@@ -33,13 +33,16 @@
     request: ClaimRequest | None = None,
     settlement: ClaimOutcome | ClaimRelease | None = None,
 ) -> list[HolderEffect]:
-    """Store a claim and send it to every member; whoever waits for it is told when all hold it."""
+    """Store a claim and send it to every member.
+
+    `request` and `settlement` wait for this write; they get a reply when all members confirmed it.
+    """
     holder.table.merge(claim, now)
     is_joining = holder.group.joining is not None
     write = Write((claim,), _list_other_members(holder), now, is_joining_unconfirmed=is_joining)
-    earlier = holder.write_by_key.get(claim.key)
+    earlier = holder.write_sequences.get(claim.key)
     if earlier is not None:
-        # The newer state stands for the older one; whoever waits is answered from it.
+        # The newer state replaces the older one, and waiting requests are answered from it.
         old = holder.writes.pop(earlier)
         write.requests += old.requests
         write.settlements += old.settlements
@@ -47,18 +50,18 @@
         write.requests.append(request)
     if settlement is not None:
         write.settlements.append(settlement)
-    holder.write_by_key[claim.key] = claim.sequence
+    holder.write_sequences[claim.key] = claim.sequence
     return _start_write(holder, claim.sequence, write, now)
 
 
 def renew_claim_version(holder: ClaimHolder, claim: Claim) -> Claim:
-    """Return a claim of an earlier epoch as this primary's own newest state."""
+    """Return a claim of an earlier epoch with a new version of this primary."""
     epoch, sequence = allocate_version(holder)
     return msgspec.structs.replace(claim, epoch=epoch, sequence=sequence)
 
 
 def resend_writes(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
-    """Send again what members have not confirmed for some time."""
+    """Resend the writes that members have not confirmed within the resend interval."""
     effects: list[HolderEffect] = []
     for sequence, write in holder.writes.items():
         if now - write.sent_at >= WRITE_RESEND_INTERVAL:
@@ -67,7 +70,7 @@
 
 
 def confirm_write(holder: ClaimHolder, message: ClaimAppended) -> None:
-    """Take note that a member holds the claims of a write."""
+    """Record that a member stores the claims of a write."""
     if not holder.is_primary() or message.epoch != holder.group.epoch:
         return
     write = holder.writes.get(message.sequence)
@@ -81,10 +84,10 @@
 
 
 def append_claims(holder: ClaimHolder, message: ClaimAppend, now: Seconds) -> list[HolderEffect]:
-    """Store what the primary of the present epoch sent, at a member or joining member."""
+    """Store the claims of the current epoch's primary at a member or joining member."""
     group = holder.group
     is_current = group is not None and message.epoch == group.epoch and not group.lost
-    if not is_current or message.receiver != holder.member or not holder.is_involved():
+    if not is_current or message.receiver != holder.member or not holder.is_member_or_joining():
         return []
     if message.sender != group.members[0]:
         return []
@@ -116,7 +119,7 @@
     if write.is_copy:
         return
     key = write.claims[0].key
-    del holder.write_by_key[key]
+    del holder.write_sequences[key]
     if holder.keys_to_copy is not None and write.is_joining_unconfirmed:
         holder.keys_to_copy.append(key)
 
@@ -151,7 +154,7 @@
 
 
 def start_copy(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
-    """Begin to copy every claim to the joining member."""
+    """Start to copy every claim to the joining member."""
     holder.keys_to_copy = list(holder.table.claims)
     return copy_next_chunk(holder, now)
 
@@ -169,7 +172,7 @@
 
 
 def copy_next_chunk(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
-    """Send the next chunk of the copy, or end it when nothing is lacking."""
+    """Send the next chunk of the copy, or end the copy when no key is left to copy."""
     if holder.keys_to_copy is None:
         return []
     chunk = _pop_chunk(holder)
@@ -181,7 +184,10 @@
 
 
 def _finish_copy(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
-    """Tell control, after which every unfinished and later write needs the joining member."""
+    """End the copy and report it to control.
+
+    From now on every unfinished and later write needs the joining member's confirmation too.
+    """
     holder.keys_to_copy = None
     holder.is_copy_complete = True
     for write in holder.writes.values():
@@ -191,6 +197,6 @@
 
 
 def report_copied(holder: ClaimHolder) -> list[HolderEffect]:
-    """Tell control that the joining member holds every claim."""
+    """Report to control that the joining member stores every claim."""
     group = holder.group
     return [SendToControl(ClaimCopied(group.service, group.epoch, group.joining))]
--- a/packages/bendwind-core/src/bendwind_core/claims/requests.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/requests.py
@@ -1,4 +1,4 @@
-"""Answer requests, outcomes and releases of entry nodes, at the primary."""
+"""Handle the claim requests, outcomes and releases of entry nodes at the primary."""
 
 from bendwind_core.claims.events import HolderEffect, Send
 from bendwind_core.claims.members import parse_node_name
@@ -27,7 +27,10 @@
 
 
 def handle_request(holder: ClaimHolder, request: ClaimRequest, now: Seconds) -> list[HolderEffect]:
-    """Grant a key to a call, or tell what became of the call that holds it."""
+    """Grant a key to a call, or reply with the state of the call that holds it.
+
+    The reply to a request that waits for another call, or for replication, follows later.
+    """
     reason = _find_refusal(holder, now)
     if reason:
         return [_refuse(request, reason)]
@@ -86,8 +89,8 @@
 def _reply_when_replicated(
     holder: ClaimHolder, request: ClaimRequest, current: Claim, now: Seconds
 ) -> list[HolderEffect]:
-    """Answer from a claim once no member can know an older state of it."""
-    sequence = holder.write_by_key.get(request.key)
+    """Reply from a claim after no member can hold an older state of it."""
+    sequence = holder.write_sequences.get(request.key)
     if sequence is not None:
         requests = holder.writes[sequence].requests
         if all(queued.call != request.call for queued in requests):
@@ -126,13 +129,13 @@
     holder: ClaimHolder, message: ClaimOutcome | ClaimRelease, now: Seconds
 ) -> list[HolderEffect]:
     """Write the outcome or the release of the call that holds a key."""
-    # Without a reply the entry node asks again, by then perhaps another primary.
+    # An entry node without a reply sends its message again, possibly to a newer primary.
     if _find_refusal(holder, now):
         return []
     current = holder.table.find(message.key)
     target = ClaimState.RELEASED if isinstance(message, ClaimRelease) else message.state
     if current is not None and current.call != message.call:
-        # Another call holds the key, so this call's claim had been released before.
+        # Another call holds the key, so the claim of this call was released earlier.
         return [_reply(message, _create_settled_reply(message))]
     if current is None and (target is not ClaimState.RELEASED or holder.table.is_full()):
         return [_reply(message, _create_settled_reply(message))]
@@ -153,7 +156,7 @@
 def _confirm_settlement(
     holder: ClaimHolder, message: ClaimOutcome | ClaimRelease, current: Claim, now: Seconds
 ) -> list[HolderEffect]:
-    sequence = holder.write_by_key.get(message.key)
+    sequence = holder.write_sequences.get(message.key)
     if sequence is not None:
         settlements = holder.writes[sequence].settlements
         if message not in settlements:
@@ -169,7 +172,7 @@
 
 
 def reply_after_write(holder: ClaimHolder, write: Write, now: Seconds) -> list[HolderEffect]:
-    """Tell everyone who waited for a write, now that every member holds it."""
+    """Reply to all requests and settlements that waited until every member confirmed a write."""
     claim = write.claims[0]
     effects: list[HolderEffect] = [
         _reply(settlement, _create_settled_reply(settlement)) for settlement in write.settlements
@@ -204,19 +207,19 @@
 
 
 def refuse_pending_requests(holder: ClaimHolder) -> list[HolderEffect]:
-    """Send back everyone who waits; each asks again in the new epoch."""
+    """Refuse all waiting requests; their entry nodes send them again in the new epoch."""
     requests = [request for write in holder.writes.values() for request in write.requests]
     for waiters in holder.waiters.values():
         requests += [waiter.request for waiter in waiters]
     holder.writes.clear()
-    holder.write_by_key.clear()
+    holder.write_sequences.clear()
     holder.waiters.clear()
     holder.waiter_count = 0
     return [_refuse(request, RefusalReason.NOT_PRIMARY) for request in requests]
 
 
 def expire_waiters(holder: ClaimHolder, now: Seconds) -> list[HolderEffect]:
-    """Answer those whose wait, or whose holder's time, has ended."""
+    """Reply to waiters whose own deadline, or whose key's pending claim, has timed out."""
     effects: list[HolderEffect] = []
     for key in list(holder.waiters):
         if holder.table.find(key) is None or holder.table.is_overdue(key, now):
--- a/packages/bendwind-core/src/bendwind_core/claims/state.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/state.py
@@ -1,4 +1,4 @@
-"""Hold the state of one run of a node as a holder of one service's claims."""
+"""Define the state of one run of a node as a holder of one service's claims."""
 
 import collections
 
@@ -13,8 +13,8 @@
 class Write(msgspec.Struct):
     """Hold a claim, or a chunk of a copy, that some members have not confirmed yet.
 
-    `joining_lacks` is set until the joining member confirms an ordinary write; if that write
-    finishes first, its key goes back to the keys to copy.
+    `is_joining_unconfirmed` is set until the joining member confirms an ordinary write. If the
+    write finishes before that, its key is added to the keys to copy again.
     """
 
     claims: tuple[Claim, ...]
@@ -27,7 +27,7 @@
 
 
 class Waiter(msgspec.Struct, frozen=True):
-    """Hold a request that waits for the outcome of the call that holds its key."""
+    """Hold a request that waits for the outcome of another call that holds its key."""
 
     request: ClaimRequest
     until: Seconds
@@ -36,10 +36,11 @@
 class ClaimHolder(msgspec.Struct):
     """Hold the state of one run of a node as a member of one service's claim group.
 
-    `writes` is keyed by sequence; `writing` finds the unconfirmed write of a key.
-    `finished` holds the writes that everyone confirmed and nobody was told of yet.
-    `copy_keys` are the keys that the joining member still lacks; None when no copy runs.
-    `is_copied` stays set until the next epoch: from then on a grant needs the joining member too.
+    `writes` is keyed by sequence; `write_sequences` holds, by key, the sequence of the key's unconfirmed write.
+    `finished_writes` holds the writes that every member confirmed and that have no replies yet.
+    `keys_to_copy` are the keys that the joining member still lacks; None when no copy runs.
+    `is_copy_complete` is set from the end of the copy until the next epoch; while it is set, a
+    grant needs the joining member's confirmation too.
     """
 
     member: str
@@ -49,7 +50,7 @@
     fresh_until: Seconds = 0.0
     sequence: int = 0
     writes: dict[int, Write] = msgspec.field(default_factory=dict)
-    write_by_key: dict[str, int] = msgspec.field(default_factory=dict)
+    write_sequences: dict[str, int] = msgspec.field(default_factory=dict)
     waiters: dict[str, list[Waiter]] = msgspec.field(default_factory=dict)
     waiter_count: int = 0
     keys_to_copy: list[str] | None = None
@@ -57,19 +58,19 @@
     finished_writes: collections.deque[Write] = msgspec.field(default_factory=collections.deque)
 
     def is_member(self) -> bool:
-        """Tell whether this run of the node is a member of the group."""
+        """Return whether this run of the node is a member of the group."""
         return self.group is not None and self.member in self.group.members
 
     def is_primary(self) -> bool:
-        """Tell whether this run of the node is the primary of a group that is not lost."""
+        """Return whether this run of the node is the primary of a group that is not lost."""
         group = self.group
         return group is not None and group.members[0] == self.member and not group.lost
 
-    def is_involved(self) -> bool:
-        """Tell whether this run of the node is a member or is joining."""
+    def is_member_or_joining(self) -> bool:
+        """Return whether this run of the node is a member or is joining."""
         return self.is_member() or (self.group is not None and self.group.joining == self.member)
 
 
 def create_holder(member: str, service: str, limits: ClaimLimits) -> ClaimHolder:
-    """Create a holder that knows no group and holds no claim."""
+    """Create a holder without a group and without claims."""
     return ClaimHolder(member, service, ClaimTable(limits))
--- a/packages/bendwind-core/src/bendwind_core/claims/table.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/table.py
@@ -1,4 +1,4 @@
-"""Hold one service's claims in bounded memory."""
+"""Store one service's claims in bounded memory."""
 
 import collections
 
@@ -7,17 +7,17 @@
 from bendwind_core.claims.messages import Claim, ClaimState
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
 
-# What a claim and its answer cost besides their texts, rounded up from a measurement
-# (python -m bendwind_bench.slopes_claims).
+# Memory overhead of a claim and of its answer in addition to their texts. The values are rounded
+# up from the output of `python -m bendwind_bench.slopes_claims`.
 CLAIM_OVERHEAD_BYTES = 370
 ANSWER_OVERHEAD_BYTES = 260
 
 
 class ClaimLimits(msgspec.Struct, frozen=True):
-    """Bound what a node keeps of one service's claims.
+    """Limit the memory that a node uses for one service's claims.
 
-    Answers may take `answer_bytes`; beyond that the oldest are forgotten, but never their keys.
-    `copy_claims` and `copy_bytes` bound a chunk of the copy to a joining member.
+    Answers may take `answer_bytes`; beyond that the oldest answers are evicted, but never their
+    keys. `copy_claims` and `copy_bytes` limit a chunk of the copy to a joining member.
     Units: `retention` is in seconds.
     """
 
@@ -30,16 +30,16 @@
 
 
 class StoredClaim(msgspec.Struct):
-    """Hold a claim and the local time at which it was made."""
+    """Hold a claim and the local time at which it was created."""
 
     claim: Claim
     created_at: Seconds
 
 
 class ClaimTable(msgspec.Struct):
-    """Hold claims by key, oldest first; the newest state of a key wins.
+    """Hold claims by key, oldest first, with only the newest state of each key.
 
-    `answered` lists the keys whose answers are kept, oldest first.
+    `keys_with_answer` lists the keys whose answers are kept, oldest first.
     """
 
     limits: ClaimLimits = ClaimLimits()
@@ -49,16 +49,16 @@
     keys_with_answer: collections.deque[str] = msgspec.field(default_factory=collections.deque)
 
     def find(self, key: str) -> Claim | None:
-        """Return what is held of a key, or None."""
+        """Return the claim of a key, or None."""
         stored = self.claims.get(key)
         return stored.claim if stored else None
 
     def is_full(self) -> bool:
-        """Tell whether a new key would exceed a limit."""
+        """Return whether a new key would exceed a limit."""
         return len(self.claims) >= self.limits.claims or self.bytes >= self.limits.bytes
 
     def is_overdue(self, key: str, now: Seconds) -> bool:
-        """Tell whether a pending claim has had all the time it asked for."""
+        """Return whether a pending claim has reached its timeout; True for an absent key."""
         stored = self.claims.get(key)
         if stored is None:
             return True
@@ -68,11 +68,11 @@
         )
 
     def age_ms(self, key: str, now: Seconds) -> float:
-        """Return the time since the claim of a key was made, in milliseconds."""
+        """Return the time since the claim of a key was created, in milliseconds."""
         return (now - self.claims[key].created_at) * MILLISECONDS_PER_SECOND
 
     def merge(self, claim: Claim, created_at: Seconds) -> None:
-        """Store a claim unless a newer state of its key is held."""
+        """Store a claim unless the table holds a newer state of its key."""
         current = self.claims.get(claim.key)
         if current is not None and not is_newer(claim, current.claim):
             return
@@ -108,7 +108,7 @@
         self.answer_bytes += sign * estimate_answer_bytes(claim)
 
     def expire(self, now: Seconds) -> int:
-        """Forget the claims at the old end that are past their retention and count them."""
+        """Remove the oldest claims whose retention has ended, and return their number."""
         horizon = now - self.limits.retention
         expired = []
         for key, stored in self.claims.items():
@@ -122,7 +122,7 @@
         return len(expired)
 
     def clear(self) -> None:
-        """Forget every claim."""
+        """Remove every claim."""
         self.claims.clear()
         self.keys_with_answer.clear()
         self.bytes = 0
@@ -130,12 +130,12 @@
 
 
 def is_newer(claim: Claim, current: Claim) -> bool:
-    """Tell whether a claim is a later state of the same key than the held one."""
+    """Return whether a claim is a later state of the same key than the stored claim."""
     return (claim.epoch, claim.sequence) > (current.epoch, current.sequence)
 
 
 def estimate_claim_bytes(claim: Claim) -> int:
-    """Estimate the memory of a claim.
+    """Return the estimated memory of a claim.
 
     Units: bytes.
     """
@@ -143,7 +143,7 @@
 
 
 def estimate_answer_bytes(claim: Claim) -> int:
-    """Estimate the memory of the answer that a claim keeps.
+    """Return the estimated memory of the answer that a claim keeps.
 
     Units: bytes.
     """
--- a/packages/bendwind-core/src/bendwind_core/claims/tests/cluster.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Stand in for five nodes, their links and control, and judge each decision with an oracle."""
+"""Simulate five nodes, their links and control, and check each decision with an oracle."""
 
 import random
 from dataclasses import dataclass, field
@@ -54,7 +54,7 @@
 NODES = ("a", "b", "c", "d", "e")
 CONTROL = "control"
 LEASE = 4.0
-# Control waits longer than a node trusts its lease, for clocks that run at different rates.
+# Control waits longer than a node trusts its lease, because clocks may run at different rates.
 CONTROL_LEASE = 4.5
 WAIT = 2.0
 LIMITS = ClaimLimits(copy_claims=1)
@@ -72,12 +72,15 @@
     is_paused: bool = False
     has_control: bool = True
     has_peers: bool = True
-    hears_groups: bool = True
+    receives_groups: bool = True
 
 
 @dataclass(slots=True)
 class Call:
-    """Hold what the oracle knows of one call; `era` counts the losses its entry knows accepted."""
+    """Hold the oracle's data on one call.
+
+    `era` counts the accepted losses of claims of which the call's entry node knows.
+    """
 
     node: Node
     key: str
@@ -87,11 +90,11 @@
 
 
 class Oracle:
-    """Count runs and compare every decision with what was decided before."""
+    """Count runs and compare every decision with the earlier decisions."""
 
     def __init__(self):
         self.calls: dict[str, Call] = {}
-        self.holding: dict[tuple[str, int], str] = {}
+        self.holding_calls: dict[tuple[str, int], str] = {}
         self.runs: dict[tuple[str, int], int] = {}
         self.answers: dict[str, ClaimAnswer] = {}
         self.returned: dict[str, ClaimAnswer] = {}
@@ -99,15 +102,17 @@
         self.running: set[str] = set()
         self.accepted_epochs: list[int] = []
 
-    def judge(self, call_id: str, decision, known_epoch: int) -> None:
+    def check_decision(self, call_id: str, decision, known_epoch: int) -> None:
         call = self.calls[call_id]
         call.era = sum(epoch <= known_epoch for epoch in self.accepted_epochs)
-        place = (call.key, call.era)
+        key_and_era = (call.key, call.era)
         match decision:
             case Granted():
-                assert place not in self.holding, f"{call_id} and {self.holding[place]} granted"
+                assert (
+                    key_and_era not in self.holding_calls
+                ), f"{call_id} and {self.holding_calls[key_and_era]} granted"
                 assert not call.is_after_recorded, "granted after a recorded outcome"
-                self.holding[place] = call_id
+                self.holding_calls[key_and_era] = call_id
                 self.granted.add(call_id)
             case Recorded(answer):
                 expected = self.answers.get(call.key)
@@ -125,16 +130,16 @@
 
     def run(self, call_id: str) -> None:
         call = self.calls[call_id]
-        place = (call.key, call.era)
+        key_and_era = (call.key, call.era)
         self.granted.discard(call_id)
         self.running.add(call_id)
-        self.runs[place] = self.runs.get(place, 0) + 1
-        assert self.runs[place] == 1, f"{call.key} ran twice"
+        self.runs[key_and_era] = self.runs.get(key_and_era, 0) + 1
+        assert self.runs[key_and_era] == 1, f"{call.key} ran twice"
 
     def release(self, call_id: str) -> None:
         call = self.calls[call_id]
         self.granted.discard(call_id)
-        del self.holding[(call.key, call.era)]
+        del self.holding_calls[(call.key, call.era)]
 
     def accept_loss(self, epoch: int) -> None:
         self.accepted_epochs.append(epoch)
@@ -145,11 +150,13 @@
 
     def check_sent(self, message) -> None:
         if isinstance(message, ClaimGranted) and self.accepted_epochs:
-            assert message.epoch >= self.accepted_epochs[-1], "granted in a given-up epoch"
+            assert (
+                message.epoch >= self.accepted_epochs[-1]
+            ), "granted in an epoch whose claims were lost"
 
 
 class Cluster:
-    """Carry messages between nodes, in any order, and decide groups as control does."""
+    """Deliver messages between nodes in any order, and decide groups as control does."""
 
     def __init__(self):
         self.now = 100.0
@@ -163,7 +170,7 @@
         self.leaving: set[str] = set()
         self.rng = random.Random(5)
         self.advance(0.1)
-        self.place()
+        self.propose_change()
         self.commit(0)
         self.deliver_all()
 
@@ -186,7 +193,10 @@
             self._step_holder(node, Tick())
 
     def _renew_lease(self, node: Node) -> None:
-        """Renew a lease, which proves that the node has the newest configuration in force."""
+        """Renew a node's lease, or push the newest group to a node that lacks it.
+
+        A lease proves that the node applies the newest configuration.
+        """
         group = self.groups.get(SERVICE)
         known = node.entry.groups.get(SERVICE)
         if group is not None and (known is None or known.epoch < group.epoch):
@@ -216,7 +226,7 @@
                     self._send(node, to, message)
                 case Decide(call, decision):
                     group = node.entry.groups.get(SERVICE)
-                    self.oracle.judge(call, decision, group.epoch if group else 0)
+                    self.oracle.check_decision(call, decision, group.epoch if group else 0)
 
     # Links.
 
@@ -241,7 +251,7 @@
             self._node_receives(node, message)
 
     def _push_group(self, node: Node, group: ClaimGroup) -> None:
-        if node.has_control and node.hears_groups:
+        if node.has_control and node.receives_groups:
             self._step_entry(node, GroupReceived(group))
             self._step_holder(node, GroupChanged(group))
 
@@ -252,7 +262,7 @@
             self._step_holder(node, Received(message))
 
     def deliver_some(self, rng: random.Random, count: int, loss: float) -> None:
-        """Deliver in any order, with some messages lost and some delivered twice."""
+        """Deliver messages in random order, with some lost and some delivered twice."""
         for _ in range(count):
             if not self.network:
                 return
@@ -283,17 +293,19 @@
         horizon = self.now - CONTROL_LEASE
         return tuple(instance for instance, since in self.renewed.values() if since > horizon)
 
-    def place(self) -> None:
+    def propose_change(self) -> None:
         group = self.groups.get(SERVICE)
-        notice = self.copied
-        is_current = notice is not None and group is not None and notice.epoch == group.epoch
+        copy_report = self.copied
+        is_current = (
+            copy_report is not None and group is not None and copy_report.epoch == group.epoch
+        )
         chosen = choose_claim_group(
             SERVICE,
             group,
             index_alive_nodes(self.alive()),
             self.rng,
             leaving=self.leaving,
-            copied_member=notice.joining if is_current else None,
+            copied_member=copy_report.joining if is_current else None,
         )
         if chosen is not None:
             epoch = group.epoch if group else 0
@@ -316,34 +328,34 @@
             self.proposals.append(ChangeClaimGroup(chosen, group.epoch, accept_loss=True))
             self.commit(len(self.proposals) - 1)
 
-    def settle(self, rounds: int) -> None:
-        """Let time pass with every message delivered and every repair made."""
+    def advance_with_repairs(self, rounds: int) -> None:
+        """Advance the time, deliver every message and make every repair."""
         for _ in range(rounds):
             self.advance(0.25)
             self.deliver_all()
-            self.place()
+            self.propose_change()
             while self.proposals:
                 self.commit(0)
             self.deliver_all()
 
     def advance_until_lease_ends(self) -> None:
-        """Let control notice who is gone before it acts."""
+        """Advance the time until the leases of all failed nodes have ended for control."""
         for _ in range(round(CONTROL_LEASE / 0.25) + 1):
             self.advance(0.25)
             self.deliver_all()
 
-    def change_group_at_once(self) -> None:
-        """Let control act and be heard by every node before any other message arrives."""
+    def change_group_immediately(self) -> None:
+        """Change the group and deliver control's messages before any other message."""
         self.advance(0.02)
-        self.place()
+        self.propose_change()
         while self.proposals:
             self.commit(0)
         for index in reversed(range(len(self.network))):
             if self.network[index][0] == CONTROL:
                 self.deliver_one(index)
 
-    def live(self, rng: random.Random, rounds: int, keys: str, loss: float) -> None:
-        """Let callers, entry nodes and control act at random while messages are lost."""
+    def run_random_traffic(self, rng: random.Random, rounds: int, keys: str, loss: float) -> None:
+        """Run random requests, outcomes and group changes while messages are lost."""
         for _ in range(rounds):
             self.advance(rng.choice([0.02, 0.1, 0.25]))
             self.request(rng.choice(NODES), rng.choice(keys), rng.choice([b"f"] * 9 + [b"g"]))
@@ -354,21 +366,21 @@
                 state = rng.choice([ClaimState.ANSWERED, ClaimState.ANSWERED, ClaimState.UNKNOWN])
                 rng.choice([self.finish, lambda call, state: None])(call, state)
             if rng.random() < 0.3:
-                self.place()
+                self.propose_change()
             if self.proposals and rng.random() < 0.5:
                 self.commit(rng.randrange(len(self.proposals)))
 
-    def heal(self) -> None:
-        """Bring every node and link back and let control make its repairs."""
+    def restore_all(self) -> None:
+        """Restore every node and link, and let control make its repairs."""
         for name, node in self.nodes.items():
             node.is_paused = False
             node.has_control = True
             node.has_peers = True
-            node.hears_groups = True
+            node.receives_groups = True
             if not node.is_running:
                 self.restart(name)
         self.leaving.clear()
-        self.settle(12)
+        self.advance_with_repairs(12)
 
     # Callers.
 
--- a/packages/bendwind-core/src/bendwind_core/claims/tests/test_table.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Test what a table of claims forgets, and what it never does."""
+"""Test which answers and keys a claim table removes, and which it keeps."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class ClaimTableTest(unittest.TestCase):
-    def test_old_answers_are_forgotten_but_not_their_keys(self):
+    def test_old_answers_are_evicted_but_their_keys_stay(self):
         table = ClaimTable(ClaimLimits(answer_bytes=3000))
         for sequence in range(5):
             table.merge(make_claim(f"k{sequence}", sequence, ANSWER), 0.0)
@@ -30,7 +30,7 @@
         self.assertFalse(table.is_full())
         self.assertIsNotNone(table.find("k2"))
 
-    def test_a_key_claimed_anew_is_kept_for_its_own_retention(self):
+    def test_a_key_claimed_again_gets_a_new_retention(self):
         table = ClaimTable(ClaimLimits(retention=10.0))
         table.merge(make_claim("k1", 1), 0.0)
         table.merge(make_claim("k2", 2), 1.0)
--- a/packages/bendwind-node/src/bendwind_node/claims/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the tasks that hold claims, ask for them and place their groups."""
+"""Provide the tasks that store claims, request them and place their groups."""
 
 from bendwind_node.claims.placer import ClaimPlacer, PlacementView, needs_claims
 from bendwind_node.claims.task import (
--- a/packages/bendwind-node/src/bendwind_node/claims/placer.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/placer.py
@@ -1,4 +1,4 @@
-"""Keep every service's claim group whole, as a task of the control leader."""
+"""Keep every service's claim group complete, as a task of the control leader."""
 
 import collections
 import logging
@@ -26,20 +26,21 @@
 
 PLACEMENT_INTERVAL: Seconds = 0.5
 LEAVE_NOTICE_RETENTION: Seconds = 30.0
-# A lost group serves nobody anyway, and a holder that was only cut off may yet return.
+# A group without live holders grants nothing anyway, and a holder that is only disconnected may
+# still reconnect before the group is declared lost.
 LOSS_CONFIRMATION_DELAY: Seconds = 30.0
 
 _LOG = logging.getLogger("bendwind")
 
 
 class PlacementView(msgspec.Struct, frozen=True):
-    """Hold what the leader knows: services, groups, living nodes and each service's own nodes.
+    """Hold the leader's view: services, groups, live nodes and each service's owner nodes.
 
-    `heard` gives the newest incarnation of every node this voter has heard of since it started or
-    since control was last without a quorum; `is_settled` says that this was long enough ago for
-    every living node to have come back.
-    Units: `led_for` is the time since this voter became leader, in seconds; before a lease has
-    passed, a node that has not renewed yet is not known to be dead.
+    `newest_incarnations` holds the newest incarnation of every node that was reported to this voter
+    since it started, or since control was last without a quorum. `is_return_period_over` is set if
+    that was long enough ago for every live node to have reconnected.
+    Units: `leader_for` is the time since this voter became leader, in seconds. Before one lease has
+    passed, a node that has not renewed its lease is not known to be dead.
     """
 
     leader_for: Seconds
@@ -52,9 +53,9 @@
 
 
 def needs_claims(service: Service) -> bool:
-    """Tell whether any request of a service may be marked not to be repeated.
+    """Return whether a service may have requests that are marked as not repeatable.
 
-    Routes ask for no keys, so that a service which only they lead to needs no claims.
+    Routes require no keys, so a service that only routes lead to needs no claims.
     """
     if service.routed_only:
         return False
@@ -67,9 +68,9 @@
 
 
 class ClaimPlacer:
-    """Propose changes of claim groups while this voter leads."""
+    """Propose changes of claim groups while this voter is the leader."""
 
-    __slots__ = ("copied", "lease", "leaving", "lost_since", "propose", "rng", "view")
+    __slots__ = ("copy_reports", "lease", "leaving", "lost_since", "propose", "rng", "view")
 
     def __init__(
         self,
@@ -82,26 +83,26 @@
         self.propose = propose
         self.rng = rng
         self.lease = lease
-        self.copied: dict[str, ClaimCopied] = {}
+        self.copy_reports: dict[str, ClaimCopied] = {}
         self.leaving: dict[str, Seconds] = {}
         self.lost_since: dict[str, Seconds] = {}
 
     def receive(self, message: ClaimCopied | ClaimLeave) -> None:
-        """Take note of a finished copy or of a member that is about to stop."""
+        """Record a finished copy, or a member that is about to stop."""
         match message:
             case ClaimCopied(service=service):
-                self.copied[service] = message
+                self.copy_reports[service] = message
             case ClaimLeave(member=member):
                 self.leaving[member] = trio.current_time()
 
     async def run(self) -> None:
-        """Look at every group twice a second until cancelled."""
+        """Check every group twice a second until cancelled."""
         while True:
-            await self.place_all()
+            await self.propose_changes()
             await trio.sleep(PLACEMENT_INTERVAL)
 
-    async def place_all(self) -> None:
-        """Propose at most one change of each group."""
+    async def propose_changes(self) -> None:
+        """Propose at most one change for each group."""
         view = self.view()
         if view is None:
             return
@@ -117,7 +118,7 @@
                 continue
             if not self._can_place(service.name, current, view):
                 continue
-            group = self._choose(service.name, view, alive, group_counts)
+            group = self._choose_group(service.name, view, alive, group_counts)
             if self._is_change_due(service.name, group):
                 epoch = current.epoch if current else 0
                 await self.propose(ChangeClaimGroup(group, epoch))
@@ -130,19 +131,20 @@
     def _can_place(self, service: str, current: ClaimGroup | None, view: PlacementView) -> bool:
         if current is not None:
             return _is_absence_conclusive(current, view)
-        # Nodes that are still to be heard of may be the better holders, but a lease is enough.
-        own = view.owners.get(service, frozenset())
-        return len(own) >= REQUIRED_MEMBERS or view.leader_for >= self.lease
+        # Nodes that have not connected yet may be better holders, but one lease is long enough to
+        # wait for them.
+        owners = view.owners.get(service, frozenset())
+        return len(owners) >= REQUIRED_MEMBERS or view.leader_for >= self.lease
 
     def _is_change_due(self, service: str, group: ClaimGroup | None) -> bool:
-        """Tell whether a change is due; the loss of every holder only after a while."""
+        """Return whether a change is due; the loss of every holder counts only after a delay."""
         if group is None or not group.lost:
             self.lost_since.pop(service, None)
             return group is not None
         now = trio.current_time()
         return now - self.lost_since.setdefault(service, now) >= LOSS_CONFIRMATION_DELAY
 
-    def _choose(
+    def _choose_group(
         self,
         service: str,
         view: PlacementView,
@@ -150,7 +152,7 @@
         group_counts: collections.Counter[str],
     ) -> ClaimGroup | None:
         current = view.groups.get(service)
-        copy_report = self.copied.get(service)
+        copy_report = self.copy_reports.get(service)
         is_current = (
             copy_report is not None and current is not None and copy_report.epoch == current.epoch
         )
@@ -169,21 +171,21 @@
         horizon = trio.current_time() - LEAVE_NOTICE_RETENTION
         self.leaving = {m: since for m, since in self.leaving.items() if since > horizon}
         names = {service.name for service in view.services}
-        self.copied = {
-            name: copy_report for name, copy_report in self.copied.items() if name in names
+        self.copy_reports = {
+            name: copy_report for name, copy_report in self.copy_reports.items() if name in names
         }
 
 
 def _is_absence_conclusive(group: ClaimGroup, view: PlacementView) -> bool:
-    """Tell whether the absence of a member means its end, and not that it was never heard of."""
+    """Return whether an absent member is known to be dead, rather than not reported yet."""
     return view.is_return_period_over or all(
         _has_been_reported(member, view) for member in group.members
     )
 
 
 def _has_been_reported(member: str, view: PlacementView) -> bool:
-    newest_incarnations = view.newest_incarnations.get(parse_node_name(member))
-    return newest_incarnations is not None and parse_incarnation(member) <= newest_incarnations
+    newest = view.newest_incarnations.get(parse_node_name(member))
+    return newest is not None and parse_incarnation(member) <= newest
 
 
 def _count_memberships(groups: Mapping[str, ClaimGroup]) -> collections.Counter[str]:
--- a/packages/bendwind-node/src/bendwind_node/claims/task.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/task.py
@@ -1,4 +1,4 @@
-"""Run the claims of one node: as an entry node that asks for them and as a holder of them."""
+"""Run the claims of one node, which acts as an entry node and as a holder."""
 
 import collections
 from collections.abc import Callable
@@ -92,10 +92,10 @@
 
 
 class ClaimTask:
-    """Own the holders and the open requests of one node.
+    """Own the holders and the pending claim requests of one node.
 
-    `send` hands a message to the link to a node and must not block; a lost message is sent again.
-    `watch` asks for the configuration of a service that this node was told to hold claims of.
+    `send` passes a message to the link to a node and must not block; a lost message is sent again.
+    `watch` requests the configuration of a service for which this node became a claim holder.
     """
 
     __slots__ = (
@@ -144,7 +144,7 @@
         self.has_holders = trio.Event()
         self.inbox, self.inbox_receiver = trio.open_memory_channel[ClaimInput](INBOX_MESSAGES)
 
-    # What the entry task calls.
+    # Methods for the entry task.
 
     async def claim(
         self, service: str, key: str, fingerprint: bytes, call: str, deadline: Seconds
@@ -174,11 +174,11 @@
         state: ClaimState,
         answer: ClaimAnswer | None = None,
     ) -> None:
-        """Report the final outcome of a granted call until every member holds it."""
+        """Report the final outcome of a granted call until every member stores it."""
         self._apply_entry(SettleClaim(ClaimOutcome(service, key, call, self.member, state, answer)))
 
     def release(self, service: str, key: str, call: str) -> None:
-        """Free the key of a granted call after a proof that its request did not run."""
+        """Release the key of a granted call after proof that its request did not run."""
         self._apply_entry(SettleClaim(ClaimRelease(service, key, call, self.member)))
 
     def _end_claim(self, request: ClaimRequest, pending: _PendingClaim, is_delivered: bool) -> None:
@@ -187,12 +187,12 @@
         if isinstance(pending.decision, Granted) and not is_delivered:
             self.release(request.service, request.key, request.call)
 
-    # What the node's other tasks call.
+    # Methods for the node's other tasks.
 
     async def leave_groups(self) -> None:
-        """Ask control to replace this node in its groups and wait until it is in none.
+        """Ask control to replace this node in its groups, and wait until it is in no group.
 
-        A caller that cannot wait forever puts a cancel scope around it.
+        The wait has no time limit; use a cancel scope to set one.
         """
         while self.has_memberships():
             for voter in self.voters:
@@ -200,16 +200,16 @@
             await trio.sleep(TICK)
 
     def update_groups(self, groups: tuple[ClaimGroup, ...]) -> None:
-        """Take over pushed groups at once, so that no full inbox can lose them."""
+        """Apply pushed groups immediately, so that a full inbox cannot lose them."""
         for group in groups:
             self._update_group(group)
 
     def has_memberships(self) -> bool:
-        """Tell whether this node holds claims for any group."""
-        return any(holder.is_involved() for holder in self.holders.values())
+        """Return whether this node is a member, or a joining member, of any group."""
+        return any(holder.is_member_or_joining() for holder in self.holders.values())
 
     async def run(self) -> None:
-        """Carry out what arrives in the inbox, and the passing of time, until cancelled."""
+        """Handle the inbox and the periodic ticks until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_ticks)
             async for item in self.inbox_receiver:
@@ -220,7 +220,7 @@
             await self.has_work.wait()
             is_idle = not self.entry.pending_requests and not self.entry.pending_settlements
             if is_idle and not self.holders:
-                # A service without keys never needs a tick.
+                # A node whose services use no keys needs no ticks.
                 self.has_work = trio.Event()
                 continue
             await trio.sleep(IDLE_TICK if is_idle else TICK)
@@ -311,7 +311,8 @@
             self.send(to, message)
 
     def _handle_local_messages(self) -> None:
-        # What a message gives rise to is drained by the call that is draining, not one deeper.
+        # Messages that result from handling a message are handled by the outer call's loop, which
+        # bounds the depth of the recursion.
         if self.is_handling_local:
             return
         self.is_handling_local = True
@@ -335,5 +336,5 @@
     recorder: Recorder,
     limits: ClaimLimits = DEFAULT_LIMITS,
 ) -> ClaimTask:
-    """Create the claim task of a node; `limits` bounds the claims of each service."""
+    """Create the claim task of a node; `limits` applies to the claims of each service."""
     return ClaimTask(instance, voters, send, watch, recorder, limits)
--- a/packages/bendwind-node/src/bendwind_node/claims/tests/test_placer.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/tests/test_placer.py
@@ -45,11 +45,11 @@
         self.leader_for = leader_for
         self.alive = NODES if alive is None else alive
         for _ in range(times):
-            await placer.place_all()
+            await placer.propose_changes()
             await trio.sleep(0.5)
         return self.groups.get("emisor")
 
-    def test_makes_the_first_group_soon_after_the_election(self):
+    def test_first_group_is_created_one_lease_after_the_election(self):
         async def check(placer):
             self.assertIsNone(await self.place(placer, leader_for=LEASE - 0.1))
             self.assertEqual(len((await self.place(placer, leader_for=LEASE)).members), 3)
@@ -70,7 +70,7 @@
 
         self.run_with(check)
 
-    def test_leaving_member_goes_only_after_its_replacement_has_come(self):
+    def test_leaving_member_is_removed_only_after_its_replacement_joined(self):
         async def check(placer):
             leaving = (await self.place(placer)).members[0]
             placer.receive(ClaimLeave(leaving))
@@ -83,8 +83,8 @@
 
         self.run_with(check)
 
-    def test_new_leader_drops_no_holder_before_nodes_had_time_to_return(self):
-        # A leader that did was found by reading: it took unattached nodes for dead ones.
+    def test_new_leader_keeps_holders_until_nodes_had_time_to_reconnect(self):
+        # A leader that drops them too early takes nodes that are not connected yet for dead nodes.
         async def check(placer):
             group = await self.place(placer)
             self.newest_incarnations.clear()
@@ -95,8 +95,9 @@
 
         self.run_with(check)
 
-    def test_holder_that_was_heard_of_and_fell_silent_is_dropped_at_once(self):
-        # Waiting for every holder left a new cluster without keyed calls for three leases.
+    def test_known_holder_that_stops_renewing_is_removed_immediately(self):
+        # A leader that waits for every holder leaves a new cluster without keyed calls for three
+        # leases.
         async def check(placer):
             group = await self.place(placer, leader_for=LEASE)
             rest = tuple(node for node in NODES if format_member(node) != group.members[0])
@@ -105,13 +106,13 @@
 
         self.run_with(check)
 
-    def test_group_counts_as_lost_only_after_its_holders_stay_away(self):
+    def test_group_is_lost_only_after_all_holders_are_missing_for_the_delay(self):
         async def check(placer):
             group = await self.place(placer)
-            beats = 60
-            self.assertEqual(await self.place(placer, beats - 1, alive=()), group)
+            rounds = 60
+            self.assertEqual(await self.place(placer, rounds - 1, alive=()), group)
             self.assertEqual(await self.place(placer), group)
-            self.assertEqual(await self.place(placer, beats, alive=()), group)
+            self.assertEqual(await self.place(placer, rounds, alive=()), group)
             lost = await self.place(placer, 1, alive=())
             self.assertEqual((lost.lost, lost.epoch), (True, group.epoch + 1))
             self.assertIsInstance(lost, ClaimGroup)
--- a/packages/bendwind-node/src/bendwind_node/claims/tests/test_task.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/tests/test_task.py
@@ -1,4 +1,4 @@
-"""Test the claim tasks of three nodes over a loss-free stand-in network."""
+"""Test the claim tasks of three nodes over a simulated network without message loss."""
 
 import contextlib
 import unittest
@@ -32,14 +32,14 @@
 
 class Network:
     def __init__(self, names: tuple[str, ...]):
-        self.cut: set[str] = set()
+        self.disconnected: set[str] = set()
         self.tasks = {name: self._create(name) for name in names}
 
     def _create(self, name: str):
         instance = Instance(name, f"dc-{name}", "127.0.0.1", 0, 1)
 
         def send(to, message):
-            if to in self.tasks and not {name, to} & self.cut:
+            if to in self.tasks and not {name, to} & self.disconnected:
                 copy = decode_message(encode_message(message)).ok
                 self.tasks[to].inbox.send_nowait(PeerClaimMessage(name, copy))
 
@@ -78,25 +78,25 @@
 
 
 class ClaimTaskTest(unittest.TestCase):
-    def test_many_claims_at_their_own_primary_that_wait_for_members_that_are_cut_off(self):
+    def test_many_claims_at_a_primary_with_disconnected_members_are_refused(self):
         async def scenario(network):
-            network.cut.update("abc")
+            network.disconnected.update("abc")
             task = network.tasks["a"]
             refused = []
 
-            async def ask(number):
+            async def request_claim(number):
                 deadline = trio.current_time() + 2.0
                 decision = await task.claim("emisor", f"k{number}", b"f", f"a/{number}", deadline)
                 refused.append(isinstance(decision, ClaimRefused))
 
             async with trio.open_nursery() as nursery:
                 for number in range(1000):
-                    nursery.start_soon(ask, number)
+                    nursery.start_soon(request_claim, number)
             self.assertEqual(refused, [True] * 1000)
 
         run(scenario)
 
-    def test_a_resend_through_another_node_gets_the_recorded_answer(self):
+    def test_a_retry_through_another_node_gets_the_recorded_answer(self):
         async def scenario(network):
             self.assertEqual(await claim(network, "b", "b/1"), Granted())
             network.tasks["b"].record("emisor", "key", "b/1", ClaimState.ANSWERED, ANSWER)
@@ -105,7 +105,7 @@
 
         run(scenario)
 
-    def test_a_released_key_is_granted_to_the_resend_that_waits(self):
+    def test_a_released_key_is_granted_to_the_waiting_retry(self):
         async def scenario(network):
             await claim(network, "a", "a/1")
             async with trio.open_nursery() as nursery:
@@ -118,16 +118,16 @@
         await trio.sleep(0.5)
         network.tasks["a"].release("emisor", "key", "a/1")
 
-    def test_a_silent_member_stops_grants_until_the_group_changes(self):
+    def test_an_unreachable_member_blocks_grants_until_the_group_changes(self):
         async def scenario(network):
-            network.cut = {"b"}
+            network.disconnected = {"b"}
             self.assertIsInstance(await claim(network, "c", "c/1"), ClaimRefused)
             network.push(ClaimGroup("emisor", 2, ("a#1", "c#1")))
             self.assertEqual(await claim(network, "c", "c/2"), Granted())
 
         run(scenario)
 
-    def test_a_lost_group_refuses_at_once(self):
+    def test_a_lost_group_refuses_immediately(self):
         async def scenario(network):
             network.push(ClaimGroup("emisor", 2, ("a#1", "b#1", "c#1"), lost=True))
             await trio.sleep(0.01)
@@ -137,19 +137,19 @@
 
         run(scenario)
 
-    def test_node_without_claims_never_wakes_for_them(self):
+    def test_node_without_claims_runs_no_ticks(self):
         async def main():
             recorder = Recorder("a", lambda: 0, 100)
-            own = Instance("a", "dc", "127.0.0.1", 0, 1)
+            instance = Instance("a", "dc", "127.0.0.1", 0, 1)
             task = create_claim_task(
-                own, ("voter",), lambda *sent: None, lambda *seen: None, recorder
+                instance, ("voter",), lambda *sent: None, lambda *seen: None, recorder
             )
-            with unittest.mock.patch("bendwind_node.claims.task.step_entry") as stepped:
+            with unittest.mock.patch("bendwind_node.claims.task.step_entry") as step_mock:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(task.run)
                     await trio.sleep(60)
                     nursery.cancel_scope.cancel()
-            self.assertEqual(stepped.call_count, 0)
+            self.assertEqual(step_mock.call_count, 0)
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
--- a/packages/bendwind-node/src/bendwind_node/quotas/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Run the tasks of customers' quotas on nodes and voters."""
+"""Provide the tasks that run customers' quotas on nodes and voters."""
 
 from bendwind_node.quotas.node_task import NodeQuotaTask, create_node_quota_task
 from bendwind_node.quotas.voter_task import VoterQuotaTask, create_voter_quota_task
--- a/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
@@ -1,4 +1,4 @@
-"""Take a token for each request of a customer with a quota."""
+"""Acquire a token for each request of a customer with a quota."""
 
 import math
 from collections.abc import Callable
@@ -31,32 +31,34 @@
 
 Send = Callable[[str, Record], object]
 
-# The longest wait for a token, which a caller without an objective bears: a voter that does not
-# answer takes 100 ms of it, and a second one has the rest.
+# The longest wait for a token; it applies to a request without a latency objective. A voter that
+# does not answer uses 100 ms of it, and a second voter has the rest.
 MAX_TOKEN_WAIT: Seconds = 0.25
-# A request with an objective spares this share of what is left to it. At one second that leaves a
-# second voter 25 ms, a few round trips; below 0.8 s the first voter alone is waited for.
+# A request with a latency objective may spend this share of its remaining time on the wait. With
+# one second left, a second voter has 25 ms, a few round trips; with less than 0.8 s left, the
+# request waits for the first voter only.
 OBJECTIVE_WAIT_SHARE = 0.125
-# A customer stays over its quota for seconds to minutes: that is worth a line of the time line so
-# often, not one a request.
+# The shortest interval between two timeline events for a customer's excess. A customer stays over
+# its quota for seconds to minutes, so one event per request would be too many.
 EXCESS_RECORD_INTERVAL: Seconds = 10.0
-# A customer's count of refusals not told yet is kept for so long after its last line.
+# A customer's count of unrecorded refusals is kept for this time after its last event.
 EXCESS_RETENTION: Seconds = 60.0
-# An unanswered ask is noticed this late at most, a fifth of the time that an answer may take.
+# An unanswered quota request is detected with at most this delay, a fifth of the time that an
+# answer may take.
 _TICK: Seconds = 0.02
-# While nothing can be asked, for want of a voter for example, it is tried anew so often.
+# The retry interval while no quota request can be sent, for example because no voter is known.
 _MIN_TICK: Seconds = 0.001
 
 
 class _ExcessRecord(msgspec.Struct):
-    """Hold when a customer's excess was last recorded and how much was refused since."""
+    """Hold when a customer's excess was last recorded, and the number of refusals since then."""
 
     recorded_at: Seconds
     unrecorded: int = 0
 
 
 class NodeQuotaTask:
-    """Own a node's quotas; `find_customer` tells what is known of a name."""
+    """Own a node's quotas; `find_customer` returns the known customer of a name."""
 
     __slots__ = (
         "_excess_records",
@@ -89,7 +91,7 @@
         self._wake_at = math.inf
 
     async def run(self) -> None:
-        """Ask, turn from silent voters and give back, until cancelled."""
+        """Request tokens, switch from unresponsive voters and return tokens, until cancelled."""
         while True:
             self._has_work = trio.Event()
             self._wake_at = self._find_wake_at(trio.current_time())
@@ -107,70 +109,70 @@
         return due if self.quotas.wanting else now + _TICK
 
     def _wake(self) -> None:
-        """Have the task look anew if there is something to do before it would next wake."""
+        """Wake the task if something is due before its next wake-up time."""
         due = self.quotas.ask_from if self.quotas.wanting else trio.current_time() + _TICK
         if due < self._wake_at:
             self._has_work.set()
 
     def is_limited(self, customer: str) -> bool:
-        """Tell whether a customer has a quota."""
+        """Return whether a customer has a quota."""
         found = self.find_customer(customer) if customer else None
         return found is not None and found.is_limited
 
     async def acquire_token(
         self, customer: str, target_at: Seconds | None, deadline_at: Seconds
     ) -> Result[Grant, QuotaRefusal]:
-        """Take a token, waiting shortly for one; `target_at` is when an answer is late.
+        """Acquire a token, with a short wait; an answer after `target_at` misses the objective.
 
-        Errors: a refusal for want of tokens or of an answer.
+        Errors: a refusal because no token is left or no voter answered.
         """
         now = trio.current_time()
         until = _find_wait_end(now, target_at, deadline_at)
-        asked = request_token(self.quotas, customer, until, now)
+        result = request_token(self.quotas, customer, until, now)
         self._flush(now)
         self._wake()
-        outcome = await self._wait(asked) if isinstance(asked, Waiter) else asked
+        outcome = await self._wait(result) if isinstance(result, Waiter) else result
         if outcome.is_error() and outcome.error.reason is NotRunReason.OVER_QUOTA:
             self._record_excess(customer, outcome.error.voter, now)
         return outcome
 
     def _record_excess(self, customer: str, voter: str, now: Seconds) -> None:
-        """Record that a customer is over its quota, once in a while however much is refused."""
+        """Record that a customer is over its quota, at most once per interval."""
         previous = self._excess_records.get(customer)
         if previous is not None and now - previous.recorded_at < EXCESS_RECORD_INTERVAL:
             previous.unrecorded += 1
             return
         unrecorded = 0 if previous is None else previous.unrecorded
         self._excess_records = {
-            name: known
-            for name, known in self._excess_records.items()
-            if now - known.recorded_at < EXCESS_RETENTION
+            name: record
+            for name, record in self._excess_records.items()
+            if now - record.recorded_at < EXCESS_RETENTION
         }
         self._excess_records[customer] = _ExcessRecord(now)
-        detail = f"{customer}, told by {voter}; {unrecorded} more refused before"
+        detail = f"{customer}, refused by {voter}; {unrecorded} more refused before"
         self.recorder.record(EventKind.QUOTA_EXCEEDED, detail=detail)
 
     async def _wait(self, waiter: Waiter) -> Result[Grant, QuotaRefusal]:
         settled = self._settled_events[waiter] = trio.Event()
-        is_taken = False
+        is_received = False
         try:
-            # A voter in this process may have answered already.
+            # A voter in the same process may already have answered.
             self._notify_settled()
             await settled.wait()
-            is_taken = True
+            is_received = True
         finally:
             self._settled_events.pop(waiter, None)
-            if not is_taken:
+            if not is_received:
                 cancel_wait(self.quotas, waiter)
         return waiter.outcome
 
     def return_token(self, grant: Grant) -> None:
-        """Give back the token of a request that did not run."""
+        """Return the token of a request that did not run."""
         return_token(self.quotas, grant)
         self._wake()
 
     def receive(self, sender: str, reply: QuotaReply) -> None:
-        """Take over what a voter granted."""
+        """Handle a voter's reply."""
         now = trio.current_time()
         hear_reply(self.quotas, sender, reply, now)
         self._notify_settled()
--- a/packages/bendwind-node/src/bendwind_node/quotas/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Wire quota tasks of nodes and voters without links."""
+"""Connect quota tasks of nodes and voters without links."""
 
 import trio
 
@@ -12,7 +12,7 @@
 
 
 class FakeControl:
-    """Stand for the log beside a voter."""
+    """Replace the control voter beside a voter's quotas."""
 
     def __init__(self, voter_id, names, configuration):
         self.voter_id = voter_id
@@ -21,7 +21,7 @@
 
 
 class QuotaTestCluster:
-    """Hold some voters and nodes; messages to or from those that are `lost` are lost."""
+    """Hold some voters and nodes; messages to or from `unreachable` processes are lost."""
 
     def __init__(self, nursery, customers, voters=3, bounds=None):
         self.nursery = nursery
@@ -29,7 +29,7 @@
         self.bounds = bounds or QuotaBounds()
         self.customers = {customer.name: customer for customer in customers}
         self.names = tuple(f"v{index}" for index in range(voters))
-        self.lost = set()
+        self.unreachable = set()
         self.voters = {}
         self.nodes = {}
         self.sent = []
@@ -59,7 +59,7 @@
 
     def confirm(self):
         for name, voter in self.voters.items():
-            if name not in self.lost:
+            if name not in self.unreachable:
                 voter.note_confirmed(trio.current_time())
 
     async def keep_confirming(self):
@@ -87,7 +87,7 @@
 
     async def _deliver(self, sender, to, message):
         await trio.sleep(DELAY)
-        if sender in self.lost or to in self.lost:
+        if sender in self.unreachable or to in self.unreachable:
             return
         if isinstance(message, QuotaReply):
             self.nodes[to].receive(sender, message)
--- a/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
@@ -29,15 +29,15 @@
 
 Send = Callable[[str, Record], object]
 
-# While nodes wait for a loan, lenders that do not answer are noticed this late at most, a quarter
-# of the time that they have.
+# While nodes wait for a loan, a lender that does not answer is detected with at most this delay, a
+# quarter of the time that it has.
 _BUSY_TICK: Seconds = 0.01
-# Full buckets are looked for so often: nobody waits for it.
+# The interval between searches for full buckets, which no request waits for.
 _IDLE_TICK: Seconds = 0.5
 
 
 class QuotaControl(Protocol):
-    """State what the quotas ask of the voter beside them."""
+    """Define what the quotas need from the control voter in the same process."""
 
     @property
     def configuration(self) -> Configuration:
@@ -66,7 +66,7 @@
         self._has_work = trio.Event()
 
     async def run(self) -> None:
-        """Answer who waits for a loan and forget what is full, until cancelled."""
+        """Answer nodes that wait for a loan and remove full buckets, until cancelled."""
         while True:
             if self.quotas.busy:
                 await trio.sleep(_BUSY_TICK)
@@ -80,7 +80,7 @@
             await self._has_work.wait()
 
     def take_state(self) -> None:
-        """Take over who votes and what the customers' limits are."""
+        """Apply the current voters and the customers' limits."""
         now = trio.current_time()
         voters = (self.control.voter_id, self.control.voter_names)
         if voters != self._voters:
@@ -89,8 +89,8 @@
             others = tuple(name for name in names if name != self.quotas.name)
             note_voters(self.quotas, voter_id, others, now)
         configuration = self.control.configuration
-        # Most changes of the configuration leave the customers alone; of the first one the quotas
-        # have to know even so.
+        # Most changes of the configuration do not change the customers. The quotas need the first
+        # configuration even if it does not either.
         is_first = configuration.version > 0 and not self.quotas.is_configured
         if is_first or configuration.customers is not self._customers:
             self._customers = configuration.customers
@@ -98,11 +98,11 @@
             self._has_work.set()
 
     def note_confirmed(self, started_at: Seconds) -> None:
-        """Hear that all that was accepted before a time is known here."""
+        """Record that this voter has applied everything that was accepted before a time."""
         note_confirmed(self.quotas, started_at)
 
     def receive(self, sender: str, message: Record) -> None:
-        """Answer a node or another voter."""
+        """Handle a message of a node or of another voter."""
         now = trio.current_time()
         had_accounts = bool(self.quotas.accounts)
         match message:
