--- a/packages/bendwind-core/src/bendwind_core/claims/state.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/state.py
@@ -36,7 +36,7 @@
 class ClaimHolder(msgspec.Struct):
     """Hold the state of one run of a node as a member of one service's claim group.
 
-    `writes` is keyed by sequence; `write_sequences` holds, by key, the sequence of the key's unconfirmed write.
+    `writes` is keyed by sequence; `write_sequences` maps a key to its unconfirmed write's sequence.
     `finished_writes` holds the writes that every member confirmed and that have no replies yet.
     `keys_to_copy` are the keys that the joining member still lacks; None when no copy runs.
     `is_copy_complete` is set from the end of the copy until the next epoch; while it is set, a
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -392,7 +392,7 @@
     def _record_claim(self, run: CallRun, outcome: ev.ClaimOutcome) -> None:
         state, answer = _describe_claim(run, outcome)
         call = run.call
-        self.claims.record(call.service.name, run.key, call.call_id, state, answer)
+        self.claims.report_outcome(call.service.name, run.key, call.call_id, state, answer)
 
     def forget(self, run: CallRun) -> None:
         """Drop a finished call: later messages for its attempts are late."""
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_parts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_parts.py
@@ -74,7 +74,7 @@
     def release(self, *claim):
         pass
 
-    def record(self, *claim):
+    def report_outcome(self, *claim):
         pass
 
 
--- a/packages/bendwind-node/src/bendwind_node/claims/task.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/task.py
@@ -166,7 +166,7 @@
             self._end_claim(request, pending, is_delivered)
         return pending.decision or ClaimRefused(RefusalReason.DEADLINE)
 
-    def record(
+    def report_outcome(
         self,
         service: str,
         key: str,
--- a/packages/bendwind-node/src/bendwind_node/claims/tests/test_task.py
+++ b/packages/bendwind-node/src/bendwind_node/claims/tests/test_task.py
@@ -99,7 +99,7 @@
     def test_a_retry_through_another_node_gets_the_recorded_answer(self):
         async def scenario(network):
             self.assertEqual(await claim(network, "b", "b/1"), Granted())
-            network.tasks["b"].record("emisor", "key", "b/1", ClaimState.ANSWERED, ANSWER)
+            network.tasks["b"].report_outcome("emisor", "key", "b/1", ClaimState.ANSWERED, ANSWER)
             self.assertEqual(await claim(network, "c", "c/1"), Recorded(ANSWER))
             self.assertEqual(await claim(network, "c", "c/2", b"other"), KeyConflict())
 
