--- a/packages/bendwind-core/src/bendwind_core/claims/entry.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/entry.py
@@ -125,7 +125,7 @@
         case AbandonClaim(call):
             return _refuse(claims, call, None, now)
         case SettleClaim(message):
-            return _start_settling(claims, message, now)
+            return _start_settlement(claims, message, now)
         case GroupReceived(group):
             return _update_group(claims, group, now)
         case ReplyReceived(ClaimSettled(call=call)):
@@ -270,11 +270,11 @@
     if pending.is_sent:
         request = pending.request
         release = ClaimRelease(request.service, request.key, call, request.entry)
-        effects += _start_settling(claims, release, now)
+        effects += _start_settlement(claims, release, now)
     return effects
 
 
-def _start_settling(
+def _start_settlement(
     claims: EntryClaims, message: ClaimOutcome | ClaimRelease, now: Seconds
 ) -> list[EntryEffect]:
     while len(claims.pending_settlements) >= MAX_PENDING_SETTLEMENTS:
--- a/packages/bendwind-core/src/bendwind_core/claims/replication.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/replication.py
@@ -98,10 +98,10 @@
 
 
 def _list_other_members(holder: ClaimHolder) -> set[str]:
-    member_ids = set(holder.group.members) - {holder.member}
+    other_members = set(holder.group.members) - {holder.member}
     if holder.group.joining is not None and holder.is_copy_complete:
-        member_ids.add(holder.group.joining)
-    return member_ids
+        other_members.add(holder.group.joining)
+    return other_members
 
 
 def _start_write(
--- a/packages/bendwind-core/src/bendwind_core/claims/tests/cluster.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/tests/cluster.py
@@ -345,7 +345,7 @@
             self.deliver_all()
 
     def change_group_immediately(self) -> None:
-        """Change the group and deliver control's messages before any other message."""
+        """Change the group and deliver it to every node before any other message."""
         self.advance(0.02)
         self.propose_change()
         while self.proposals:
@@ -355,7 +355,7 @@
                 self.deliver_one(index)
 
     def run_random_traffic(self, rng: random.Random, rounds: int, keys: str, loss: float) -> None:
-        """Run random requests, outcomes and group changes while messages are lost."""
+        """Run random requests, outcomes, releases and group changes while messages are lost."""
         for _ in range(rounds):
             self.advance(rng.choice([0.02, 0.1, 0.25]))
             self.request(rng.choice(NODES), rng.choice(keys), rng.choice([b"f"] * 9 + [b"g"]))
--- a/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
@@ -137,7 +137,7 @@
         return outcome
 
     def _record_excess(self, customer: str, voter: str, now: Seconds) -> None:
-        """Record that a customer is over its quota, at most once per interval."""
+        """Record a customer's excess at most once per interval, despite any number of refusals."""
         previous = self._excess_records.get(customer)
         if previous is not None and now - previous.recorded_at < EXCESS_RECORD_INTERVAL:
             previous.unrecorded += 1
--- a/packages/bendwind-node/src/bendwind_node/quotas/tests/test_tasks.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/tests/test_tasks.py
@@ -53,7 +53,7 @@
 
         run(scenario)
 
-    def test_one_node_gets_the_burst_and_further_requests_a_retry_time(self):
+    def test_one_node_gets_the_burst_and_refusals_have_a_retry_time(self):
         async def scenario(nursery):
             cluster = QuotaTestCluster(nursery, [make_customer(10.0, 30.0)])
             nursery.start_soon(cluster.keep_confirming)
@@ -87,7 +87,7 @@
 
         run(scenario)
 
-    def test_requests_just_after_a_quota_request_share_the_next_one(self):
+    def test_requests_just_after_a_quota_request_soon_share_the_next_one(self):
         async def scenario(nursery):
             cluster = QuotaTestCluster(nursery, [make_customer()])
             nursery.start_soon(cluster.keep_confirming)
