--- a/packages/bendwind-core/src/bendwind_core/claims/members.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/members.py
@@ -1,7 +1,8 @@
-"""Identify one run of a node as a member of claim groups.
+"""Format and parse the members of claim groups.
 
-A member is the text `name#incarnation`: a node that returns with empty memory has a higher
-incarnation, so it never counts as a holder of what its former run held.
+A member is one run of a node, written as `name#incarnation`. A node that restarts with empty
+memory has a higher incarnation, so it never counts as a holder of the claims that its previous
+run held.
 """
 
 from bendwind_core.world import Instance
@@ -9,28 +10,28 @@
 _SEPARATOR = "#"
 
 
-def member_of(instance: Instance) -> str:
-    """Return the member that this run of a node would be.
+def format_member(instance: Instance) -> str:
+    """Return the member that stands for this run of a node.
 
-    >>> member_of(Instance("norte-1", "sala-norte", "127.0.0.1", 7101, 3))
+    >>> format_member(Instance("norte-1", "sala-norte", "127.0.0.1", 7101, 3))
     'norte-1#3'
     """
     return f"{instance.name}{_SEPARATOR}{instance.incarnation}"
 
 
-def node_of(member: str) -> str:
-    """Return the name of the node whose run a member is.
+def parse_node_name(member: str) -> str:
+    """Return the name of a member's node.
 
-    >>> node_of("norte-1#3")
+    >>> parse_node_name("norte-1#3")
     'norte-1'
     """
     return member.rpartition(_SEPARATOR)[0]
 
 
-def incarnation_of(member: str) -> int:
-    """Return the incarnation of the run that a member is.
+def parse_incarnation(member: str) -> int:
+    """Return the incarnation of a member's node.
 
-    >>> incarnation_of("norte-1#3")
+    >>> parse_incarnation("norte-1#3")
     3
     """
     return int(member.rpartition(_SEPARATOR)[2])
--- a/packages/bendwind-core/src/bendwind_core/claims/tests/test_table.py
+++ b/packages/bendwind-core/src/bendwind_core/claims/tests/test_table.py
@@ -1,9 +1,9 @@
-"""Test what a table of claims forgets, and what it never does."""
+"""Test which answers and keys a claim table removes, and which it keeps."""
 
 import unittest
 
 from bendwind_core.claims import Claim, ClaimAnswer, ClaimLimits, ClaimState
-from bendwind_core.claims.table import ClaimTable, size_of
+from bendwind_core.claims.table import ClaimTable, estimate_claim_bytes
 
 ANSWER = ClaimAnswer(201, (), bytes(1000))
 
@@ -14,7 +14,7 @@
 
 
 class ClaimTableTest(unittest.TestCase):
-    def test_old_answers_are_forgotten_but_not_their_keys(self):
+    def test_old_answers_are_evicted_but_their_keys_stay(self):
         table = ClaimTable(ClaimLimits(answer_bytes=3000))
         for sequence in range(5):
             table.merge(make_claim(f"k{sequence}", sequence, ANSWER), 0.0)
@@ -30,14 +30,14 @@
         self.assertFalse(table.is_full())
         self.assertIsNotNone(table.find("k2"))
 
-    def test_a_key_claimed_anew_is_kept_for_its_own_retention(self):
+    def test_a_key_claimed_again_gets_a_new_retention(self):
         table = ClaimTable(ClaimLimits(retention=10.0))
         table.merge(make_claim("k1", 1), 0.0)
         table.merge(make_claim("k2", 2), 1.0)
         table.merge(make_claim("k1", 3), 8.0)
         table.expire(12.0)
         self.assertEqual(list(table.claims), ["k1"])
-        self.assertEqual(table.bytes, size_of(table.find("k1")))
+        self.assertEqual(table.bytes, estimate_claim_bytes(table.find("k1")))
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/node_task.py
@@ -1,4 +1,4 @@
-"""Take a token for each request of a customer with a quota."""
+"""Acquire a token for each request of a customer with a quota."""
 
 import math
 from collections.abc import Callable
@@ -31,37 +31,39 @@
 
 Send = Callable[[str, Record], object]
 
-# The longest wait for a token, which a caller without an objective bears: a voter that does not
-# answer takes 100 ms of it, and a second one has the rest.
-TOKEN_WAIT: Seconds = 0.25
-# A request with an objective spares this share of what is left to it. At one second that leaves a
-# second voter 25 ms, a few round trips; below 0.8 s the first voter alone is waited for.
-OBJECTIVE_SHARE = 0.125
-# A customer stays over its quota for seconds to minutes: that is worth a line of the time line so
-# often, not one a request.
-TELL_EACH: Seconds = 10.0
-# A customer's count of refusals not told yet is kept for so long after its last line.
-KEEP: Seconds = 60.0
-# An unanswered ask is noticed this late at most, a fifth of the time that an answer may take.
+# The longest wait for a token; it applies to a request without a latency objective. A voter that
+# does not answer uses 100 ms of it, and a second voter has the rest.
+MAX_TOKEN_WAIT: Seconds = 0.25
+# A request with a latency objective may spend this share of its remaining time on the wait. With
+# one second left, a second voter has 25 ms, a few round trips; with less than 0.8 s left, the
+# request waits for the first voter only.
+OBJECTIVE_WAIT_SHARE = 0.125
+# The shortest interval between two timeline events for a customer's excess. A customer stays over
+# its quota for seconds to minutes, so one event per request would be too many.
+EXCESS_RECORD_INTERVAL: Seconds = 10.0
+# A customer's count of unrecorded refusals is kept for this time after its last event.
+EXCESS_RETENTION: Seconds = 60.0
+# An unanswered quota request is detected with at most this delay, a fifth of the time that an
+# answer may take.
 _TICK: Seconds = 0.02
-# While nothing can be asked, for want of a voter for example, it is tried anew so often.
-_SHORTEST_TICK: Seconds = 0.001
+# The retry interval while no quota request can be sent, for example because no voter is known.
+_MIN_TICK: Seconds = 0.001
 
 
-class _Told(msgspec.Struct):
-    """Hold when a customer's excess was last recorded and how much was refused since."""
+class _ExcessRecord(msgspec.Struct):
+    """Hold when a customer's excess was last recorded, and the number of refusals since then."""
 
-    at: Seconds
-    untold: int = 0
+    recorded_at: Seconds
+    unrecorded: int = 0
 
 
 class NodeQuotaTask:
-    """Own a node's quotas; `find_customer` tells what is known of a name."""
+    """Own a node's quotas; `find_customer` returns the known customer of a name."""
 
     __slots__ = (
+        "_excess_records",
         "_has_work",
-        "_settled",
-        "_told",
+        "_settled_events",
         "_wake_at",
         "find_customer",
         "list_voters",
@@ -83,16 +85,16 @@
         self.send = send
         self.recorder = recorder
         self.find_customer = find_customer
-        self._settled: dict[Waiter, trio.Event] = {}
-        self._told: dict[str, _Told] = {}
+        self._settled_events: dict[Waiter, trio.Event] = {}
+        self._excess_records: dict[str, _ExcessRecord] = {}
         self._has_work = trio.Event()
         self._wake_at = math.inf
 
     async def run(self) -> None:
-        """Ask, turn from silent voters and give back, until cancelled."""
+        """Request tokens, switch from unresponsive voters and return tokens, until cancelled."""
         while True:
             self._has_work = trio.Event()
-            self._wake_at = self._find_wake(trio.current_time())
+            self._wake_at = self._find_wake_at(trio.current_time())
             is_due = True
             with trio.move_on_at(self._wake_at):
                 await self._has_work.wait()
@@ -100,104 +102,108 @@
             if is_due:
                 self._tick(trio.current_time())
 
-    def _find_wake(self, now: Seconds) -> Seconds:
+    def _find_wake_at(self, now: Seconds) -> Seconds:
         if not has_work(self.quotas):
             return math.inf
-        due = max(now + _SHORTEST_TICK, self.quotas.next_request_at)
+        due = max(now + _MIN_TICK, self.quotas.next_request_at)
         return due if self.quotas.to_request else now + _TICK
 
     def _wake(self) -> None:
-        """Have the task look anew if there is something to do before it would next wake."""
+        """Wake the task if something is due before its next wake-up time."""
         due = self.quotas.next_request_at if self.quotas.to_request else trio.current_time() + _TICK
         if due < self._wake_at:
             self._has_work.set()
 
     def is_limited(self, customer: str) -> bool:
-        """Tell whether a customer has a quota."""
+        """Return whether a customer has a quota."""
         found = self.find_customer(customer) if customer else None
         return found is not None and found.is_limited
 
-    async def take(
+    async def acquire_token(
         self, customer: str, target_at: Seconds | None, deadline_at: Seconds
     ) -> Result[Grant, QuotaRefusal]:
-        """Take a token, waiting shortly for one; `target_at` is when an answer is late.
+        """Acquire a token, with a short wait; an answer after `target_at` misses the objective.
 
-        Errors: a refusal for want of tokens or of an answer.
+        Errors: a refusal because no token is left or no voter answered.
         """
         now = trio.current_time()
-        until = _find_limit(now, target_at, deadline_at)
-        asked = request_token(self.quotas, customer, until, now)
+        until = _find_wait_end(now, target_at, deadline_at)
+        result = request_token(self.quotas, customer, until, now)
         self._flush(now)
         self._wake()
-        outcome = await self._wait(asked) if isinstance(asked, Waiter) else asked
+        outcome = await self._wait(result) if isinstance(result, Waiter) else result
         if outcome.is_error() and outcome.error.reason is NotRunReason.OVER_QUOTA:
-            self._tell(customer, outcome.error.voter, now)
+            self._record_excess(customer, outcome.error.voter, now)
         return outcome
 
-    def _tell(self, customer: str, voter: str, now: Seconds) -> None:
-        """Record that a customer is over its quota, once in a while however much is refused."""
-        told = self._told.get(customer)
-        if told is not None and now - told.at < TELL_EACH:
-            told.untold += 1
+    def _record_excess(self, customer: str, voter: str, now: Seconds) -> None:
+        """Record a customer's excess at most once per interval, despite any number of refusals."""
+        previous = self._excess_records.get(customer)
+        if previous is not None and now - previous.recorded_at < EXCESS_RECORD_INTERVAL:
+            previous.unrecorded += 1
             return
-        untold = 0 if told is None else told.untold
-        self._told = {name: known for name, known in self._told.items() if now - known.at < KEEP}
-        self._told[customer] = _Told(now)
-        detail = f"{customer}, told by {voter}; {untold} more refused before"
+        unrecorded = 0 if previous is None else previous.unrecorded
+        self._excess_records = {
+            name: record
+            for name, record in self._excess_records.items()
+            if now - record.recorded_at < EXCESS_RETENTION
+        }
+        self._excess_records[customer] = _ExcessRecord(now)
+        detail = f"{customer}, refused by {voter}; {unrecorded} more refused before"
         self.recorder.record(EventKind.QUOTA_EXCEEDED, detail=detail)
 
     async def _wait(self, waiter: Waiter) -> Result[Grant, QuotaRefusal]:
-        settled = self._settled[waiter] = trio.Event()
-        is_taken = False
+        settled = self._settled_events[waiter] = trio.Event()
+        is_received = False
         try:
-            # A voter in this process may have answered already.
-            self._hand_out()
+            # A voter in the same process may already have answered.
+            self._notify_settled()
             await settled.wait()
-            is_taken = True
+            is_received = True
         finally:
-            self._settled.pop(waiter, None)
-            if not is_taken:
+            self._settled_events.pop(waiter, None)
+            if not is_received:
                 cancel_wait(self.quotas, waiter)
         return waiter.outcome
 
-    def give_back(self, grant: Grant) -> None:
-        """Give back the token of a request that did not run."""
+    def return_token(self, grant: Grant) -> None:
+        """Return the token of a request that did not run."""
         return_token(self.quotas, grant)
         self._wake()
 
     def receive(self, sender: str, reply: QuotaReply) -> None:
-        """Take over what a voter granted."""
+        """Handle a voter's reply."""
         now = trio.current_time()
         handle_quota_reply(self.quotas, sender, reply, now)
-        self._hand_out()
+        self._notify_settled()
         self._flush(now)
         self._wake()
 
     def _tick(self, now: Seconds) -> None:
         for effect in tick_node(self.quotas, now):
-            self._carry_out(effect)
-        self._hand_out()
+            self._send_effect(effect)
+        self._notify_settled()
         self._flush(now)
 
     def _flush(self, now: Seconds) -> None:
         for effect in flush_quota_requests(self.quotas, self.list_voters(), now):
-            self._carry_out(effect)
+            self._send_effect(effect)
 
-    def _carry_out(self, effect: QuotaSend) -> None:
+    def _send_effect(self, effect: QuotaSend) -> None:
         self.send(effect.to, effect.message)
 
-    def _hand_out(self) -> None:
-        settled = [waiter for waiter in self.quotas.settled if waiter in self._settled]
+    def _notify_settled(self) -> None:
+        settled = [waiter for waiter in self.quotas.settled if waiter in self._settled_events]
         self.quotas.settled = [
-            waiter for waiter in self.quotas.settled if waiter not in self._settled
+            waiter for waiter in self.quotas.settled if waiter not in self._settled_events
         ]
         for waiter in settled:
-            self._settled[waiter].set()
+            self._settled_events[waiter].set()
 
 
-def _find_limit(now: Seconds, target_at: Seconds | None, deadline_at: Seconds) -> Seconds:
-    spare = math.inf if target_at is None else max(0.0, target_at - now) * OBJECTIVE_SHARE
-    return min(deadline_at, now + min(TOKEN_WAIT, spare))
+def _find_wait_end(now: Seconds, target_at: Seconds | None, deadline_at: Seconds) -> Seconds:
+    max_wait = math.inf if target_at is None else max(0.0, target_at - now) * OBJECTIVE_WAIT_SHARE
+    return min(deadline_at, now + min(MAX_TOKEN_WAIT, max_wait))
 
 
 def create_node_quota_task(
