--- a/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
@@ -5,7 +5,7 @@
 from bendwind_bench.emulator.agenda import PausableAgenda
 from bendwind_bench.emulator.scenario import Scenario
 from bendwind_bench.emulator.upstream import SHED, Run, UpstreamModel
-from bendwind_core.admission import WarmUp, WarmUpLimits
+from bendwind_core.admission import WarmUpLimits, WarmUpState
 from bendwind_core.attempts import (
     AttemptId,
     CutReason,
@@ -84,7 +84,7 @@
 
     def _create_owner_state(self, incarnation: int, suspects: SuspectTable) -> owner.OwnerState:
         warm_up = self.upstream.table.warm_up
-        state = WarmUp(sent_at=self.agenda.now, assumed_at=self.agenda.now)
+        state = WarmUpState(last_sent_at=self.agenda.now, assumed_cold_at=self.agenda.now)
         if warm_up is not None and self.scenario.policy.spares_cold:
             state.rule = WarmUpRule(warm_up.seconds, warm_up.per_second)
             state.limits = WarmUpLimits(warm_up.overage, warm_up.slack)
@@ -228,7 +228,7 @@
         per_second = self.upstream.limit.per_second
         if per_second is not None:
             self.feed(ov.LimitNamed(per_second, sent_at))
-        elif limit.per_second is not None or not limit.is_heard:
+        elif limit.per_second is not None or not limit.has_read_answer:
             self.feed(ov.LimitNotNamed(sent_at))
         if self.upstream.is_leaving and not self.owner_state.is_leaving:
             self.feed(ov.LeavingSaid())
--- a/packages/bendwind-core/src/bendwind_core/admission/dependency.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/dependency_overload.py
@@ -17,85 +17,85 @@
 
 # A run tells only at its end, when others have begun: with steps five times as long the share
 # swings, and a fifth of the room is left unused (model of runs of 0.7 s, 30 requests a second).
-STEP_UP = 0.02
+SHARE_INCREASE = 0.02
 # Falling by so much for each run that succeeds, the share settles where one in six runs fails.
-STEP_DOWN = 0.004
+SHARE_DECREASE = 0.004
 # What is let through even then tells when there is room again.
-MOST_TURNED_AWAY = 0.9
+MAX_REFUSED_SHARE = 0.9
 # A share that no run has told of for so long is forgotten: slow phases and most bursts last less.
-FORGET_AFTER: Seconds = 3.0
+SHARE_EXPIRY: Seconds = 3.0
 # Routes that lead to one service; of more, those noted first are forgotten.
 MAX_ROUTES = 256
 
 
-class TurnedAway(msgspec.Struct):
+class RouteRefusals(msgspec.Struct):
     """Hold the share of a route's requests that is turned away, and the part of one that is due.
 
     Units: `told_at` is when a run last told, in seconds of the owner's clock.
     """
 
     share: float = 0.0
-    due: float = 0.0
-    told_at: Seconds = 0.0
+    accumulated: float = 0.0
+    updated_at: Seconds = 0.0
 
 
-class Dependency(msgspec.Struct):
+class DependencyOverload(msgspec.Struct):
     """Hold what an owner knows of the calls that its upstream makes.
 
     Units: `refused_at` is when such a call was last refused, in seconds of the owner's clock.
     """
 
-    refused_at: Seconds = -math.inf
-    routes: dict[str, TurnedAway] = msgspec.field(default_factory=dict)
+    last_refused_at: Seconds = -math.inf
+    routes: dict[str, RouteRefusals] = msgspec.field(default_factory=dict)
 
 
-def note_call_refused(dependency: Dependency, now: Seconds) -> None:
+def record_refused_call(overload: DependencyOverload, now: Seconds) -> None:
     """Take notice that a call of the upstream was refused."""
-    dependency.refused_at = now
+    overload.last_refused_at = now
 
 
-def note_run_ended(
-    dependency: Dependency, route: str, started_at: Seconds, now: Seconds, *, is_error: bool
+def record_run_end(
+    overload: DependencyOverload, route: str, started_at: Seconds, now: Seconds, *, is_error: bool
 ) -> None:
     """Learn from a run: an error counts only if a call was refused while it ran."""
     if is_error:
-        if dependency.refused_at >= started_at:
-            _raise_share(dependency, route, now)
+        if overload.last_refused_at >= started_at:
+            _raise_share(overload, route, now)
         return
-    turned = _find_turned(dependency, route, now)
-    if turned is None:
+    refusals = _find_refusals(overload, route, now)
+    if refusals is None:
         return
-    turned.told_at = now
-    turned.share -= STEP_DOWN
-    if turned.share <= 0.0:
-        del dependency.routes[route]
-
-
-def _raise_share(dependency: Dependency, route: str, now: Seconds) -> None:
-    turned = _find_turned(dependency, route, now)
-    if turned is None:
-        if len(dependency.routes) >= MAX_ROUTES:
-            dependency.routes.pop(next(iter(dependency.routes)))
-        turned = dependency.routes[route] = TurnedAway()
-    turned.told_at = now
-    turned.share = min(MOST_TURNED_AWAY, turned.share + STEP_UP)
-
-
-def _find_turned(dependency: Dependency, route: str, now: Seconds) -> TurnedAway | None:
-    turned = dependency.routes.get(route)
-    if turned is not None and now - turned.told_at > FORGET_AFTER:
-        del dependency.routes[route]
+    refusals.updated_at = now
+    refusals.share -= SHARE_DECREASE
+    if refusals.share <= 0.0:
+        del overload.routes[route]
+
+
+def _raise_share(overload: DependencyOverload, route: str, now: Seconds) -> None:
+    refusals = _find_refusals(overload, route, now)
+    if refusals is None:
+        if len(overload.routes) >= MAX_ROUTES:
+            overload.routes.pop(next(iter(overload.routes)))
+        refusals = overload.routes[route] = RouteRefusals()
+    refusals.updated_at = now
+    refusals.share = min(MAX_REFUSED_SHARE, refusals.share + SHARE_INCREASE)
+
+
+def _find_refusals(overload: DependencyOverload, route: str, now: Seconds) -> RouteRefusals | None:
+    refusals = overload.routes.get(route)
+    if refusals is not None and now - refusals.updated_at > SHARE_EXPIRY:
+        del overload.routes[route]
         return None
-    return turned
+    return refusals
 
 
-def turns_away(dependency: Dependency, route: str, now: Seconds) -> bool:
+def should_refuse_for_dependency(overload: DependencyOverload, route: str, now: Seconds) -> bool:
     """Tell whether the next request of a route is one of those turned away, and count it."""
-    turned = _find_turned(dependency, route, now)
-    if turned is None:
+    refusals = _find_refusals(overload, route, now)
+    if refusals is None:
         return False
-    turned.due += turned.share
-    if turned.due < 1.0:
+    refusals.accumulated += refusals.share
+    if refusals.accumulated < 1.0:
         return False
-    turned.due -= 1.0
+    refusals.accumulated -= 1.0
     return True
--- a/packages/bendwind-core/src/bendwind_core/admission/origins.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/origins.py
@@ -8,24 +8,24 @@
 import msgspec
 
 # So many requests of a route tell where its requests come from.
-LEAST_SEEN = 20
+MIN_REQUESTS = 20
 # Once so many of a route were seen the older ones count by half.
-MOST_SEEN = 256
+HALVING_COUNT = 256
 # Requests of one origin to at least this share are an upstream's calls,
-INNER_SHARE = 0.98
+MIN_INNER_SHARE = 0.98
 # if at most this share of the other routes' requests has the same origin.
-OUTER_SHARE = 0.8
+MAX_OTHERS_SHARE = 0.8
 # Routes that are told apart; of more, those seen first are forgotten.
 MAX_ROUTES = 256
 
 
-class Origins(msgspec.Struct):
+class RouteOrigins(msgspec.Struct):
     """Count the requests of each route by the service beside which they began."""
 
     counts: dict[str, dict[str, float]] = msgspec.field(default_factory=dict)
 
 
-def note_origin(origins: Origins, route: str, origin: str) -> None:
+def record_origin(origins: RouteOrigins, route: str, origin: str) -> None:
     """Count one request; an empty origin says that nothing runs beside its entry node."""
     counts = origins.counts.get(route)
     if counts is None:
@@ -33,20 +33,20 @@
             origins.counts.pop(next(iter(origins.counts)))
         counts = origins.counts.setdefault(route, {})
     counts[origin] = counts.get(origin, 0.0) + 1.0
-    if sum(counts.values()) >= MOST_SEEN:
-        origins.counts[route] = {name: n / 2 for name, n in counts.items() if n >= 1.0}
+    if sum(counts.values()) >= HALVING_COUNT:
+        origins.counts[route] = {name: count / 2 for name, count in counts.items() if count >= 1.0}
 
 
-def is_inner_call(origins: Origins, route: str) -> bool:
+def is_inner_call(origins: RouteOrigins, route: str) -> bool:
     """Tell whether a route's requests are calls that upstreams make while they run another."""
-    own = origins.counts.get(route, {})
-    seen = sum(own.values())
-    if seen < LEAST_SEEN:
+    own_counts = origins.counts.get(route, {})
+    own_total = sum(own_counts.values())
+    if own_total < MIN_REQUESTS:
         return False
-    origin = max(own, key=own.get)
-    if not origin or own[origin] < INNER_SHARE * seen:
+    origin = max(own_counts, key=own_counts.get)
+    if not origin or own_counts[origin] < MIN_INNER_SHARE * own_total:
         return False
-    others = [counts for name, counts in origins.counts.items() if name != route]
-    of_others = sum(sum(counts.values()) for counts in others)
-    alike = sum(counts.get(origin, 0.0) for counts in others)
-    return of_others >= LEAST_SEEN and alike <= OUTER_SHARE * of_others
+    other_routes = [counts for name, counts in origins.counts.items() if name != route]
+    others_total = sum(sum(counts.values()) for counts in other_routes)
+    others_same_origin = sum(counts.get(origin, 0.0) for counts in other_routes)
+    return others_total >= MIN_REQUESTS and others_same_origin <= MAX_OTHERS_SHARE * others_total
--- a/packages/bendwind-core/src/bendwind_core/admission/rate_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/rate_limit.py
@@ -19,14 +19,14 @@
 BURST = 2.0
 # An upstream that takes nothing is still sent a request every four seconds: only an answer can say
 # that its limit has ended, and these few are within what any limit allows.
-LEAST_PER_S = 0.25
+MIN_RATE_PER_S = 0.25
 # While a former owner may still send at the full rate, the new one sends at half of it: together
 # they stay within one and a half times the limit, and their bursts within four requests more.
-SHARE_BESIDE_FORMER = 0.5
+TAKEOVER_SHARE = 0.5
 # An answer that was read this shortly after a newer one may have been overtaken by it.
-OVERTAKING: Seconds = 0.25
+REORDER_WINDOW: Seconds = 0.25
 # Waits are computed and compared in floating point; without it a timer may fire for nothing.
-_ROUNDING = 1e-6
+_TOKEN_TOLERANCE = 1e-6
 
 
 class LimitChange(enum.StrEnum):
@@ -51,77 +51,77 @@
     """
 
     per_second: float | None = None
-    is_heard: bool = False
-    named_at: Seconds = -math.inf
-    newest_at: Seconds = -math.inf
-    read_at: Seconds = -math.inf
+    has_read_answer: bool = False
+    named_sent_at: Seconds = -math.inf
+    newest_sent_at: Seconds = -math.inf
+    newest_read_at: Seconds = -math.inf
     alone_from: Seconds = -math.inf
     tokens: float = 0.0
-    counted_at: Seconds = -math.inf
-    told_until: Seconds = -math.inf
+    refilled_at: Seconds = -math.inf
+    last_retry_at: Seconds = -math.inf
 
 
-def note_named(
+def record_named_limit(
     limit: RateLimit, per_second: float, sent_at: Seconds, now: Seconds
 ) -> LimitChange | None:
     """Hear the limit that an answer named, to a request that was sent at a time."""
-    is_overtaken = sent_at < limit.newest_at and now - limit.read_at < OVERTAKING
-    limit.is_heard = True
-    if is_overtaken:
+    is_reordered = sent_at < limit.newest_sent_at and now - limit.newest_read_at < REORDER_WINDOW
+    limit.has_read_answer = True
+    if is_reordered:
         return None
-    limit.named_at = max(limit.named_at, sent_at)
-    _note_read(limit, sent_at, now)
-    return _set(limit, per_second, now, LimitChange.NAMED)
+    limit.named_sent_at = max(limit.named_sent_at, sent_at)
+    _record_read(limit, sent_at, now)
+    return _set_rate(limit, per_second, now, LimitChange.NAMED)
 
 
-def note_not_named(limit: RateLimit, sent_at: Seconds, now: Seconds) -> LimitChange | None:
+def record_no_limit(limit: RateLimit, sent_at: Seconds, now: Seconds) -> LimitChange | None:
     """Hear that an answer named no limit; it ends one if its request was sent after the last."""
-    limit.is_heard = True
-    is_later = sent_at > limit.named_at
-    if sent_at >= limit.newest_at:
-        _note_read(limit, sent_at, now)
+    limit.has_read_answer = True
+    is_later = sent_at > limit.named_sent_at
+    if sent_at >= limit.newest_sent_at:
+        _record_read(limit, sent_at, now)
     if limit.per_second is None or not is_later:
         return None
     limit.per_second = None
     return LimitChange.LIFTED
 
 
-def note_carried(limit: RateLimit, per_second: float, now: Seconds) -> LimitChange | None:
+def record_carried_limit(limit: RateLimit, per_second: float, now: Seconds) -> LimitChange | None:
     """Hear from an entry node which limit it had heard of; the upstream's own word goes first."""
-    if limit.is_heard:
+    if limit.has_read_answer:
         return None
-    limit.named_at = now
-    return _set(limit, per_second, now, LimitChange.CARRIED)
+    limit.named_sent_at = now
+    return _set_rate(limit, per_second, now, LimitChange.CARRIED)
 
 
-def forget(limit: RateLimit) -> LimitChange | None:
+def reset_rate_limit(limit: RateLimit) -> LimitChange | None:
     """Turn to another run of the upstream, which begins without a limit."""
     had_one = limit.per_second is not None
     limit.per_second = None
-    limit.is_heard = False
-    limit.named_at = limit.newest_at = limit.read_at = -math.inf
+    limit.has_read_answer = False
+    limit.named_sent_at = limit.newest_sent_at = limit.newest_read_at = -math.inf
     return LimitChange.FORGOTTEN if had_one else None
 
 
-def _note_read(limit: RateLimit, sent_at: Seconds, now: Seconds) -> None:
-    limit.newest_at = max(limit.newest_at, sent_at)
-    limit.read_at = now
+def _record_read(limit: RateLimit, sent_at: Seconds, now: Seconds) -> None:
+    limit.newest_sent_at = max(limit.newest_sent_at, sent_at)
+    limit.newest_read_at = now
 
 
-def _set(
-    limit: RateLimit, per_second: float, now: Seconds, first: LimitChange
+def _set_rate(
+    limit: RateLimit, per_second: float, now: Seconds, initial_change: LimitChange
 ) -> LimitChange | None:
-    before = limit.per_second
-    if before == per_second:
+    previous = limit.per_second
+    if previous == per_second:
         return None
-    if before is None:
+    if previous is None:
         limit.tokens = 0.0
-        limit.told_until = now
+        limit.last_retry_at = now
     else:
         limit.tokens = _count_tokens(limit, now)
-    limit.counted_at = now
+    limit.refilled_at = now
     limit.per_second = per_second
-    return first if before is None else LimitChange.CHANGED
+    return initial_change if previous is None else LimitChange.CHANGED
 
 
 def is_limited(limit: RateLimit) -> bool:
@@ -129,58 +129,62 @@
     return limit.per_second is not None
 
 
-def find_told_limit(limit: RateLimit) -> float | None:
+def find_reported_limit(limit: RateLimit) -> float | None:
     """Return what entry nodes are told: None where this run has named no limit since its start.
 
     Units: requests a second; infinite once a limit has ended.
     """
-    if limit.per_second is None and limit.is_heard and limit.named_at > -math.inf:
+    if limit.per_second is None and limit.has_read_answer and limit.named_sent_at > -math.inf:
         return math.inf
     return limit.per_second
 
 
-def note_taken(limit: RateLimit, now: Seconds) -> None:
+def consume_token(limit: RateLimit, now: Seconds) -> None:
     """Note that a request goes out, whether it had waited for its turn or not."""
     if is_limited(limit):
         limit.tokens = max(-BURST, _count_tokens(limit, now) - 1.0)
-        limit.counted_at = now
+        limit.refilled_at = now
 
 
-def find_rate(limit: RateLimit, now: Seconds) -> float:
+def find_send_rate(limit: RateLimit, now: Seconds) -> float:
     """Return how many requests a second may go out now; only where there is a limit."""
-    rate = max(LEAST_PER_S, limit.per_second)
-    return rate * SHARE_BESIDE_FORMER if now < limit.alone_from else rate
+    rate = max(MIN_RATE_PER_S, limit.per_second)
+    return rate * TAKEOVER_SHARE if now < limit.alone_from else rate
 
 
-def find_turn_at(limit: RateLimit, ahead: int, now: Seconds) -> Seconds:
+def find_limited_send_at(limit: RateLimit, ahead: int, now: Seconds) -> Seconds:
     """Return when a request may go out that has so many others ahead of it."""
     if not is_limited(limit):
         return now
     missing = 1.0 + ahead - _count_tokens(limit, now)
-    if missing <= _ROUNDING:
+    if missing <= _TOKEN_TOLERANCE:
         return now
-    turn_at = now + missing / find_rate(limit, now)
-    if turn_at <= limit.alone_from or now >= limit.alone_from:
-        return turn_at
+    send_at = now + missing / find_send_rate(limit, now)
+    if send_at <= limit.alone_from or now >= limit.alone_from:
+        return send_at
     # From then on the whole limit is this owner's.
-    missing -= (limit.alone_from - now) * find_rate(limit, now)
-    return limit.alone_from + missing / find_rate(limit, limit.alone_from)
+    missing -= (limit.alone_from - now) * find_send_rate(limit, now)
+    return limit.alone_from + missing / find_send_rate(limit, limit.alone_from)
 
 
-def tell_return_at(limit: RateLimit, now: Seconds, longest: Seconds) -> Seconds:
+def assign_retry_at(limit: RateLimit, now: Seconds, max_delay: Seconds) -> Seconds:
     """Return when a refused caller should come back: each a turn later than the one before.
 
     Told the same moment, all would come back at once, and all but one be refused again.
     """
-    turn_at = max(find_turn_at(limit, 0, now), limit.told_until + 1.0 / find_rate(limit, now))
-    limit.told_until = min(turn_at, now + longest)
-    return limit.told_until
+    retry_at = max(
+        find_limited_send_at(limit, 0, now), limit.last_retry_at + 1.0 / find_send_rate(limit, now)
+    )
+    limit.last_retry_at = min(retry_at, now + max_delay)
+    return limit.last_retry_at
 
 
 def _count_tokens(limit: RateLimit, now: Seconds) -> float:
     spans = (
-        (limit.counted_at, min(now, limit.alone_from)),
-        (max(limit.counted_at, limit.alone_from), now),
+        (limit.refilled_at, min(now, limit.alone_from)),
+        (max(limit.refilled_at, limit.alone_from), now),
+    )
+    earned = sum(
+        (end - begin) * find_send_rate(limit, begin) for begin, end in spans if end > begin
     )
-    earned = sum((end - begin) * find_rate(limit, begin) for begin, end in spans if end > begin)
     return min(BURST, limit.tokens + earned)
--- a/packages/bendwind-core/src/bendwind_core/admission/room.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/starvation.py
@@ -14,12 +14,12 @@
 # A rank whose requests start less often than this, as a share of how often all do, goes first. The
 # bound that callers are promised is a quarter; a twentieth more, since what is offered is counted
 # at one upstream and may go to another one.
-LEAST_SERVED = 0.3
+MIN_SERVED_RATIO = 0.3
 # Counts fade by half in so long: longer than requests run and wait, shorter than what a caller
 # would call starving.
-COUNT_HALF_TIME: Seconds = 10.0
+COUNT_HALF_LIFE: Seconds = 10.0
 # So many requests of a rank tell how often it is served; of fewer, none may have had its turn yet.
-LEAST_OFFERED = 3.0
+MIN_OFFERED = 3.0
 # Ranks that are counted apart; configurations state a few.
 MAX_RANKS = 64
 
@@ -29,7 +29,7 @@
 
     offered: float = 0.0
     started: float = 0.0
-    at: Seconds = 0.0
+    updated_at: Seconds = 0.0
 
 
 class RankCounts(msgspec.Struct):
@@ -38,14 +38,14 @@
     ranks: dict[float, RankCount] = msgspec.field(default_factory=dict)
 
 
-def note_offered(counts: RankCounts, rank: float, now: Seconds) -> None:
+def record_offered(counts: RankCounts, rank: float, now: Seconds) -> None:
     """Count a request that would wait or run."""
     count = _find_count(counts, rank, now)
     if count is not None:
         count.offered += 1.0
 
 
-def note_started(counts: RankCounts, rank: float, now: Seconds) -> None:
+def record_started(counts: RankCounts, rank: float, now: Seconds) -> None:
     """Count a request that was started."""
     count = _find_count(counts, rank, now)
     if count is not None:
@@ -57,32 +57,32 @@
     if count is None:
         if len(counts.ranks) >= MAX_RANKS:
             return None
-        count = counts.ranks[rank] = RankCount(at=now)
-    _fade(count, now)
+        count = counts.ranks[rank] = RankCount(updated_at=now)
+    _decay_count(count, now)
     return count
 
 
-def _fade(count: RankCount, now: Seconds) -> None:
-    left = 0.5 ** ((now - count.at) / COUNT_HALF_TIME)
-    count.offered *= left
-    count.started *= left
-    count.at = now
+def _decay_count(count: RankCount, now: Seconds) -> None:
+    decay = 0.5 ** ((now - count.updated_at) / COUNT_HALF_LIFE)
+    count.offered *= decay
+    count.started *= decay
+    count.updated_at = now
 
 
 def find_starved_rank(counts: RankCounts, now: Seconds) -> float | None:
     """Return the rank that has to go first since it was served too seldom, or None."""
     for count in counts.ranks.values():
-        _fade(count, now)
+        _decay_count(count, now)
     offered = sum(count.offered for count in counts.ranks.values())
     if not offered:
         return None
-    overall = sum(count.started for count in counts.ranks.values()) / offered
-    shares = {
+    overall_ratio = sum(count.started for count in counts.ranks.values()) / offered
+    served_ratios = {
         rank: count.started / count.offered
         for rank, count in counts.ranks.items()
-        if count.offered >= LEAST_OFFERED
+        if count.offered >= MIN_OFFERED
     }
-    worst = min(shares, key=lambda rank: (shares[rank], rank), default=None)
-    if worst is None or shares[worst] >= LEAST_SERVED * overall:
+    worst = min(served_ratios, key=lambda rank: (served_ratios[rank], rank), default=None)
+    if worst is None or served_ratios[worst] >= MIN_SERVED_RATIO * overall_ratio:
         return None
     return worst
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_constants_page.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_constants_page.py
@@ -10,7 +10,7 @@
 import bendwind_core.attempts
 import bendwind_core.routing
 import bendwind_core.suspicion
-from bendwind_core.limits import retry_budget, turns
+from bendwind_core.limits import customer_work, retry_budget
 
 PAGE = Path(__file__).parents[6] / "docs" / "design" / "policy-constants.md"
 PACKAGES = (
@@ -28,7 +28,7 @@
             if not found.ispkg:
                 yield importlib.import_module(f"{package.__name__}.{found.name}")
     yield retry_budget
-    yield turns
+    yield customer_work
 
 
 def list_constants():
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_dependency.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_dependency_overload.py
@@ -2,12 +2,12 @@
 import random
 import unittest
 
-from bendwind_core.admission.dependency import (
+from bendwind_core.admission.dependency_overload import (
     MAX_ROUTES,
-    Dependency,
-    note_call_refused,
-    note_run_ended,
-    turns_away,
+    DependencyOverload,
+    record_refused_call,
+    record_run_end,
+    should_refuse_for_dependency,
 )
 
 RUN = 0.7
@@ -25,7 +25,7 @@
         self.find_room = find_room
         self.error_rate = error_rate
         self.rng = random.Random(seed)
-        self.dependency = Dependency()
+        self.dependency = DependencyOverload()
         self.room = 0.0
         self.room_at = 0.0
         self.turned_away = self.served = self.wasted = self.failed = 0
@@ -48,14 +48,14 @@
         while events:
             now, kind, started = heapq.heappop(events)
             if kind == 0:
-                if turns_away(self.dependency, "lookup", now):
+                if should_refuse_for_dependency(self.dependency, "lookup", now):
                     self.turned_away += 1
                 else:
                     heapq.heappush(events, (now + CALL_AT, 1, now))
             elif kind == 1:
                 is_refused = not self.has_room(now)
                 if is_refused:
-                    note_call_refused(self.dependency, now)
+                    record_refused_call(self.dependency, now)
                 heapq.heappush(events, (started + RUN, 3 if is_refused else 2, started))
             else:
                 is_own = self.rng.random() < self.error_rate
@@ -64,7 +64,7 @@
                 self.failed += is_own
                 self.served += not is_error
                 if self.learns:
-                    note_run_ended(self.dependency, "lookup", started, now, is_error=is_error)
+                    record_run_end(self.dependency, "lookup", started, now, is_error=is_error)
 
     def clear(self):
         self.turned_away = self.served = self.wasted = self.failed = 0
@@ -113,10 +113,10 @@
         self.assertLess(load.wasted, 0.25 * 600)
 
     def test_memory_is_bounded(self):
-        dependency = Dependency()
-        note_call_refused(dependency, 1.0)
+        dependency = DependencyOverload()
+        record_refused_call(dependency, 1.0)
         for number in range(3 * MAX_ROUTES):
-            note_run_ended(dependency, f"r{number}", 0.5, 1.0, is_error=True)
+            record_run_end(dependency, f"r{number}", 0.5, 1.0, is_error=True)
         self.assertLessEqual(len(dependency.routes), MAX_ROUTES)
 
 
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_origins.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_origins.py
@@ -1,23 +1,23 @@
 import unittest
 
 from bendwind_core.admission.origins import (
+    HALVING_COUNT,
     MAX_ROUTES,
-    MOST_SEEN,
-    Origins,
+    RouteOrigins,
     is_inner_call,
-    note_origin,
+    record_origin,
 )
 
 
 def note(origins, route, **counts):
     for origin, number in counts.items():
         for _ in range(number):
-            note_origin(origins, route, origin)
+            record_origin(origins, route, origin)
 
 
 class OriginsTest(unittest.TestCase):
     def setUp(self):
-        self.origins = Origins()
+        self.origins = RouteOrigins()
 
     def test_route_that_one_service_alone_asks_for_is_an_inner_call(self):
         note(self.origins, "status", till=40)
@@ -42,7 +42,7 @@
         self.assertFalse(is_inner_call(self.origins, "front"))
 
     def test_a_route_that_callers_begin_to_use_is_one_of_theirs(self):
-        note(self.origins, "status", till=2 * MOST_SEEN)
+        note(self.origins, "status", till=2 * HALVING_COUNT)
         note(self.origins, "redeem", till=10, ledger=30)
         note(self.origins, "status", ledger=20)
         self.assertFalse(is_inner_call(self.origins, "status"))
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_rate_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_rate_limit.py
@@ -4,14 +4,14 @@
 from bendwind_core.admission import (
     LimitChange,
     RateLimit,
-    find_told_limit,
-    find_turn_at,
-    forget,
-    note_carried,
-    note_named,
-    note_not_named,
-    note_taken,
-    tell_return_at,
+    assign_retry_at,
+    consume_token,
+    find_limited_send_at,
+    find_reported_limit,
+    record_carried_limit,
+    record_named_limit,
+    record_no_limit,
+    reset_rate_limit,
 )
 from bendwind_core.admission.rate_limit import BURST
 
@@ -20,8 +20,8 @@
     """Send whenever there is a turn, as an owner with a full queue does; return when that was."""
     sent_at = []
     now = begin
-    while (now := find_turn_at(limit, 0, now)) < end:
-        note_taken(limit, now)
+    while (now := find_limited_send_at(limit, 0, now)) < end:
+        consume_token(limit, now)
         sent_at.append(now)
     return sent_at
 
@@ -31,7 +31,7 @@
         self.limit = RateLimit()
 
     def name(self, per_second, sent_at, now=None):
-        return note_named(self.limit, per_second, sent_at, sent_at if now is None else now)
+        return record_named_limit(self.limit, per_second, sent_at, sent_at if now is None else now)
 
     def test_requests_go_out_evenly_and_use_the_whole_limit(self):
         self.name(6.2, 100.0)
@@ -53,28 +53,28 @@
 
     def test_only_an_answer_to_a_later_request_ends_it(self):
         self.name(5.0, 100.0, 100.2)
-        self.assertIsNone(note_not_named(self.limit, 99.9, 100.3))
-        self.assertIsNone(note_not_named(self.limit, 100.0, 100.3))
+        self.assertIsNone(record_no_limit(self.limit, 99.9, 100.3))
+        self.assertIsNone(record_no_limit(self.limit, 100.0, 100.3))
         self.assertEqual(self.limit.per_second, 5.0)
-        self.assertIs(note_not_named(self.limit, 100.1, 100.3), LimitChange.LIFTED)
+        self.assertIs(record_no_limit(self.limit, 100.1, 100.3), LimitChange.LIFTED)
 
     def test_overtaken_answer_neither_brings_an_old_figure_back_nor_a_limit_that_has_ended(self):
         self.name(5.0, 100.0)
         self.name(60.0, 101.0)
         self.assertIsNone(self.name(5.0, 100.9, 101.1))
         self.assertEqual(self.limit.per_second, 60.0)
-        note_not_named(self.limit, 102.0, 102.0)
+        record_no_limit(self.limit, 102.0, 102.0)
         self.assertIsNone(self.name(60.0, 101.9, 102.1))
         self.assertIsNone(self.limit.per_second)
 
     def test_long_request_that_ends_late_is_believed(self):
-        note_not_named(self.limit, 104.0, 104.1)
+        record_no_limit(self.limit, 104.0, 104.1)
         self.assertIs(self.name(5.0, 100.0, 109.0), LimitChange.NAMED)
 
     def test_word_of_an_entry_node_counts_until_the_upstream_itself_has_answered(self):
-        self.assertIs(note_carried(self.limit, 5.0, 100.0), LimitChange.CARRIED)
-        self.assertIs(note_not_named(self.limit, 100.1, 100.2), LimitChange.LIFTED)
-        self.assertIsNone(note_carried(self.limit, 5.0, 100.3))
+        self.assertIs(record_carried_limit(self.limit, 5.0, 100.0), LimitChange.CARRIED)
+        self.assertIs(record_no_limit(self.limit, 100.1, 100.2), LimitChange.LIFTED)
+        self.assertIsNone(record_carried_limit(self.limit, 5.0, 100.3))
         self.assertIsNone(self.limit.per_second)
 
     def test_fall_leaves_nothing_of_the_former_rate(self):
@@ -85,7 +85,7 @@
 
     def test_owner_beside_a_former_one_sends_half_until_it_is_alone(self):
         self.limit.alone_from = 105.0
-        note_carried(self.limit, 10.0, 100.0)
+        record_carried_limit(self.limit, 10.0, 100.0)
         self.assertAlmostEqual(len(send_all(self.limit, 100.0, 105.0)), 25, delta=1)
         self.assertAlmostEqual(len(send_all(self.limit, 105.0, 110.0)), 50, delta=1)
 
@@ -93,29 +93,29 @@
         self.name(5.0, 100.0)
         send_all(self.limit, 100.0, 102.0)
         for _ in range(2):
-            note_taken(self.limit, 102.0)
+            consume_token(self.limit, 102.0)
         self.assertLessEqual(len(send_all(self.limit, 102.0, 103.0)), 4)
 
     def test_new_run_begins_without(self):
         self.name(5.0, 100.0)
-        self.assertIs(forget(self.limit), LimitChange.FORGOTTEN)
-        self.assertEqual(find_turn_at(self.limit, 10, 101.0), 101.0)
+        self.assertIs(reset_rate_limit(self.limit), LimitChange.FORGOTTEN)
+        self.assertEqual(find_limited_send_at(self.limit, 10, 101.0), 101.0)
 
     def test_entry_nodes_are_told_of_an_end_but_not_of_what_was_never_named(self):
-        note_not_named(self.limit, 99.0, 99.0)
-        self.assertIsNone(find_told_limit(self.limit))
+        record_no_limit(self.limit, 99.0, 99.0)
+        self.assertIsNone(find_reported_limit(self.limit))
         self.name(5.0, 100.0)
-        self.assertEqual(find_told_limit(self.limit), 5.0)
-        note_not_named(self.limit, 101.0, 101.0)
-        self.assertEqual(find_told_limit(self.limit), math.inf)
+        self.assertEqual(find_reported_limit(self.limit), 5.0)
+        record_no_limit(self.limit, 101.0, 101.0)
+        self.assertEqual(find_reported_limit(self.limit), math.inf)
 
     def test_refused_callers_are_told_to_come_back_one_after_the_other(self):
         self.name(5.0, 100.0)
-        told = [tell_return_at(self.limit, 100.0, 5.0) - 100.0 for _ in range(4)]
+        told = [assign_retry_at(self.limit, 100.0, 5.0) - 100.0 for _ in range(4)]
         spaces = [later - at for at, later in zip(told, told[1:], strict=False)]
         self.assertEqual([round(space, 6) for space in spaces], [0.2, 0.2, 0.2])
         for _ in range(100):
-            self.assertLessEqual(tell_return_at(self.limit, 100.0, 5.0), 105.0)
+            self.assertLessEqual(assign_retry_at(self.limit, 100.0, 5.0), 105.0)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_warm_up.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_warm_up.py
@@ -1,17 +1,17 @@
 import unittest
 
 from bendwind_core.admission import (
-    WarmUp,
     WarmUpLimits,
+    WarmUpState,
     assume_cold,
-    find_room_at,
+    find_cold_send_at,
     is_assumed_cold,
     is_cold,
-    note_asked,
-    note_sent,
-    note_told,
+    record_cold_announcement,
+    record_cold_reply,
+    record_request_sent,
 )
-from bendwind_core.admission.warm_up import SPAN
+from bendwind_core.admission.warm_up import SPACING_WINDOW
 from bendwind_core.world import WarmUpRule
 
 # Twelve requests in any second.
@@ -22,7 +22,7 @@
 
 class WarmUpTest(unittest.TestCase):
     def setUp(self):
-        self.warm_up = WarmUp(LIMITS, RULE)
+        self.warm_up = WarmUpState(LIMITS, RULE)
 
     def test_upstream_of_which_nothing_is_known_is_cold_for_as_long_as_a_warm_up(self):
         assume_cold(self.warm_up, 10.0)
@@ -31,59 +31,61 @@
 
     def test_answer_to_a_question_that_was_asked_later_ends_the_assumption(self):
         assume_cold(self.warm_up, 10.0)
-        note_asked(self.warm_up, 0.0, asked_at=9.9, now=10.1)
+        record_cold_reply(self.warm_up, 0.0, asked_at=9.9, now=10.1)
         self.assertTrue(is_assumed_cold(self.warm_up, 10.1))
-        note_asked(self.warm_up, 0.0, asked_at=10.0, now=10.1)
+        record_cold_reply(self.warm_up, 0.0, asked_at=10.0, now=10.1)
         self.assertFalse(is_cold(self.warm_up, 10.1))
 
     def test_late_announcement_never_makes_an_upstream_warm(self):
-        note_asked(self.warm_up, 2000.0, asked_at=10.0, now=10.0)
-        note_told(self.warm_up, 0.0, 10.5)
+        record_cold_reply(self.warm_up, 2000.0, asked_at=10.0, now=10.0)
+        record_cold_announcement(self.warm_up, 0.0, 10.5)
         self.assertTrue(is_cold(self.warm_up, 11.9))
         self.assertFalse(is_cold(self.warm_up, 12.0))
 
     def test_upstream_of_a_service_without_warm_up_is_never_cold(self):
-        warm_up = WarmUp(LIMITS)
+        warm_up = WarmUpState(LIMITS)
         assume_cold(warm_up, 10.0)
-        note_told(warm_up, 2000.0, 10.0)
+        record_cold_announcement(warm_up, 2000.0, 10.0)
         self.assertFalse(is_cold(warm_up, 10.0))
 
     def test_requests_are_spaced_so_that_any_second_holds_no_more_than_is_borne(self):
-        note_told(self.warm_up, 3000.0, 0.0)
+        record_cold_announcement(self.warm_up, 3000.0, 0.0)
         sent_at = []
         now = 0.0
         while now < 2.5:
-            now = find_room_at(self.warm_up, 0, now)
-            note_sent(self.warm_up, now)
+            now = find_cold_send_at(self.warm_up, 0, now)
+            record_request_sent(self.warm_up, now)
             sent_at.append(now)
         busiest = max(sum(1 for at in sent_at if first <= at <= first + 1) for first in sent_at)
         self.assertEqual(busiest, LIMIT)
 
     def test_those_ahead_take_a_space_each(self):
-        note_told(self.warm_up, 3000.0, 0.0)
-        note_sent(self.warm_up, 0.2)
-        space = SPAN / LIMIT
-        self.assertAlmostEqual(find_room_at(self.warm_up, 0, 0.21), 0.2 + space)
-        self.assertAlmostEqual(find_room_at(self.warm_up, 3, 0.21), 0.2 + 4 * space)
+        record_cold_announcement(self.warm_up, 3000.0, 0.0)
+        record_request_sent(self.warm_up, 0.2)
+        spacing = SPACING_WINDOW / LIMIT
+        self.assertAlmostEqual(find_cold_send_at(self.warm_up, 0, 0.21), 0.2 + spacing)
+        self.assertAlmostEqual(find_cold_send_at(self.warm_up, 3, 0.21), 0.2 + 4 * spacing)
 
     def test_nobody_waits_longer_than_the_upstream_is_cold(self):
-        note_told(self.warm_up, 1500.0, 0.0)
-        note_sent(self.warm_up, 1.0)
-        self.assertEqual(find_room_at(self.warm_up, 30, 1.0), 1.5)
+        record_cold_announcement(self.warm_up, 1500.0, 0.0)
+        record_request_sent(self.warm_up, 1.0)
+        self.assertEqual(find_cold_send_at(self.warm_up, 30, 1.0), 1.5)
 
     def test_earlier_life_of_the_process_may_have_sent_one_just_before(self):
-        warm_up = WarmUp(LIMITS, RULE, cold_until=5.0, sent_at=1.0)
-        self.assertAlmostEqual(find_room_at(warm_up, 0, 1.01), 1.0 + SPAN / LIMIT)
+        warm_up = WarmUpState(LIMITS, RULE, cold_until=5.0, last_sent_at=1.0)
+        self.assertAlmostEqual(find_cold_send_at(warm_up, 0, 1.01), 1.0 + SPACING_WINDOW / LIMIT)
 
     def test_request_that_may_still_be_on_its_way_takes_room_when_it_goes_out(self):
-        note_told(self.warm_up, 3000.0, 0.0)
-        room_at = find_room_at(self.warm_up, 0, 0.5, has_unsent=True)
-        self.assertAlmostEqual(room_at, 0.5 + SPAN / LIMIT)
+        record_cold_announcement(self.warm_up, 3000.0, 0.0)
+        send_at = find_cold_send_at(self.warm_up, 0, 0.5, has_unsent=True)
+        self.assertAlmostEqual(send_at, 0.5 + SPACING_WINDOW / LIMIT)
 
     def test_what_a_warm_upstream_was_sent_counts_when_it_turns_cold(self):
-        note_sent(self.warm_up, 0.99)
-        note_told(self.warm_up, 3000.0, 1.0)
-        self.assertAlmostEqual(find_room_at(self.warm_up, 0, 1.0), 0.99 + SPAN / LIMIT)
+        record_request_sent(self.warm_up, 0.99)
+        record_cold_announcement(self.warm_up, 3000.0, 1.0)
+        self.assertAlmostEqual(
+            find_cold_send_at(self.warm_up, 0, 1.0), 0.99 + SPACING_WINDOW / LIMIT
+        )
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/admission/warm_up.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/warm_up.py
@@ -18,7 +18,7 @@
 
 # The bound is stated for any span of one second; one request may take a little longer on its way
 # to the upstream, which is on the same instance, than the one after it.
-SPAN: Seconds = 1.05
+SPACING_WINDOW: Seconds = 1.05
 
 
 class WarmUpLimits(Record, frozen=True, array_like=True):
@@ -31,7 +31,7 @@
     slack: float = 1.0
 
 
-class WarmUp(msgspec.Struct):
+class WarmUpState(msgspec.Struct):
     """Hold what is known of how warm an upstream is, and when it was sent the last request.
 
     `assumed_at` is when it was last taken for cold without being told so, None once it has told.
@@ -41,16 +41,16 @@
     limits: WarmUpLimits = WarmUpLimits()
     rule: WarmUpRule | None = None
     cold_until: Seconds = -math.inf
-    assumed_at: Seconds | None = None
-    sent_at: Seconds = -math.inf
+    assumed_cold_at: Seconds | None = None
+    last_sent_at: Seconds = -math.inf
 
 
-def assume_cold(warm_up: WarmUp, now: Seconds) -> None:
+def assume_cold(warm_up: WarmUpState, now: Seconds) -> None:
     """Take an upstream for cold until it says otherwise or has had the time to warm up."""
-    warm_up.assumed_at = now
+    warm_up.assumed_cold_at = now
 
 
-def note_told(warm_up: WarmUp, left_ms: Milliseconds, now: Seconds) -> None:
+def record_cold_announcement(warm_up: WarmUpState, left_ms: Milliseconds, now: Seconds) -> None:
     """Note how much longer the upstream stays cold by a message that may be old.
 
     A late one makes the time longer than it is, never shorter, so that the longest told holds.
@@ -58,53 +58,57 @@
     warm_up.cold_until = max(warm_up.cold_until, now + left_ms / MILLISECONDS_PER_SECOND)
 
 
-def note_asked(warm_up: WarmUp, left_ms: Milliseconds, asked_at: Seconds, now: Seconds) -> None:
+def record_cold_reply(
+    warm_up: WarmUpState, left_ms: Milliseconds, asked_at: Seconds, now: Seconds
+) -> None:
     """Note how much longer the upstream stays cold by its answer to a question."""
-    note_told(warm_up, left_ms, now)
-    if warm_up.assumed_at is not None and asked_at >= warm_up.assumed_at:
-        warm_up.assumed_at = None
+    record_cold_announcement(warm_up, left_ms, now)
+    if warm_up.assumed_cold_at is not None and asked_at >= warm_up.assumed_cold_at:
+        warm_up.assumed_cold_at = None
 
 
-def is_assumed_cold(warm_up: WarmUp, now: Seconds) -> bool:
+def is_assumed_cold(warm_up: WarmUpState, now: Seconds) -> bool:
     """Tell whether the upstream counts as cold only because nothing is known of it."""
-    if warm_up.rule is None or warm_up.assumed_at is None:
+    if warm_up.rule is None or warm_up.assumed_cold_at is None:
         return False
-    return now < warm_up.assumed_at + warm_up.rule.seconds
+    return now < warm_up.assumed_cold_at + warm_up.rule.seconds
 
 
-def is_cold(warm_up: WarmUp, now: Seconds) -> bool:
+def is_cold(warm_up: WarmUpState, now: Seconds) -> bool:
     """Tell whether the upstream has to be spared."""
     if warm_up.rule is None:
         return False
     return now < warm_up.cold_until or is_assumed_cold(warm_up, now)
 
 
-def note_sent(warm_up: WarmUp, now: Seconds) -> None:
+def record_request_sent(warm_up: WarmUpState, now: Seconds) -> None:
     """Note that a request went out, also to a warm upstream: it may turn cold at any moment."""
-    warm_up.sent_at = now
+    warm_up.last_sent_at = now
 
 
-def find_room_at(warm_up: WarmUp, ahead: int, now: Seconds, *, has_unsent: bool = False) -> Seconds:
+def find_cold_send_at(
+    warm_up: WarmUpState, ahead: int, now: Seconds, *, has_unsent: bool = False
+) -> Seconds:
     """Return when a request may go out that has so many others ahead of it.
 
     `has_unsent` says that one is still waiting for a connection, and may go out at any moment.
     """
     if not is_cold(warm_up, now):
         return now
-    space = find_space(warm_up.rule, warm_up.limits)
-    last = now if has_unsent else warm_up.sent_at
-    room_at = max(now, last + space) + ahead * space
-    return min(room_at, max(now, _find_warm_at(warm_up)))
+    spacing = find_spacing(warm_up.rule, warm_up.limits)
+    last = now if has_unsent else warm_up.last_sent_at
+    send_at = max(now, last + spacing) + ahead * spacing
+    return min(send_at, max(now, _find_warm_at(warm_up)))
 
 
-def find_space(rule: WarmUpRule, limits: WarmUpLimits) -> Seconds:
+def find_spacing(rule: WarmUpRule, limits: WarmUpLimits) -> Seconds:
     """Return the time between two requests by which any second holds no more than it may."""
     most = max(1, math.floor(rule.per_second * limits.overage + limits.slack))
-    return SPAN / most
+    return SPACING_WINDOW / most
 
 
-def _find_warm_at(warm_up: WarmUp) -> Seconds:
+def _find_warm_at(warm_up: WarmUpState) -> Seconds:
     assumed_until = -math.inf
-    if warm_up.assumed_at is not None:
-        assumed_until = warm_up.assumed_at + warm_up.rule.seconds
+    if warm_up.assumed_cold_at is not None:
+        assumed_until = warm_up.assumed_cold_at + warm_up.rule.seconds
     return max(warm_up.cold_until, assumed_until)
--- a/packages/bendwind-core/src/bendwind_core/attempts/admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/admission.py
@@ -47,7 +47,7 @@
     """Tell whether there is room for an attempt that came now, and nothing as urgent waits."""
     if not has_room(owner_state, now, find_slots(owner_state, queued, now)):
         return False
-    return not owner_state.queue.size and not urgency_queue.has_as_urgent(
+    return not owner_state.queue.size and not urgency_queue.has_at_least_as_urgent(
         owner_state.timed, queued.rank
     )
 
@@ -93,7 +93,7 @@
     """
     hand_over = queued.hand_over
     is_free = has_room(owner_state, now, find_slots(owner_state, queued, now))
-    is_free = is_free and not urgency_queue.has_as_urgent(owner_state.timed, queued.rank)
+    is_free = is_free and not urgency_queue.has_at_least_as_urgent(owner_state.timed, queued.rank)
     if is_free and (hand_over.insist or _is_late_anyway(owner_state, hand_over, now)):
         return None
     expected_ms = find_expected_ms(owner_state, hand_over.route, now)
--- a/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
@@ -1,6 +1,12 @@
 """Decide on each attempt that is handed over: refused, started or waiting."""
 
-from bendwind_core.admission import is_limited, note_arrival, note_offered, note_origin, turns_away
+from bendwind_core.admission import (
+    is_limited,
+    record_arrival,
+    record_offered,
+    record_origin,
+    should_refuse_for_dependency,
+)
 from bendwind_core.attempts.admission import (
     ask_for_next,
     find_due,
@@ -67,15 +73,17 @@
         return
     take_carried(owner_state, hand_over, now, effects)
     guess_route_time(owner_state, hand_over)
-    note_origin(owner_state.origins, hand_over.route, hand_over.origin)
+    record_origin(owner_state.origins, hand_over.route, hand_over.origin)
     queued = _create_queued(owner_state, hand_over, event.epoch, now)
     if not queued.is_inner:
-        note_arrival(owner_state.arrivals, hand_over.rank, now)
+        record_arrival(owner_state.arrivals, hand_over.rank, now)
     refusal = _find_refusal(owner_state, queued, now)
     # A try that is sent back is offered elsewhere; one that is taken counts like any other.
     if not queued.is_inner and (hand_over.may_wait or refusal is None):
-        note_offered(owner_state.rank_counts, hand_over.rank, now)
-    if refusal is None and turns_away(owner_state.dependency, hand_over.route, now):
+        record_offered(owner_state.rank_counts, hand_over.rank, now)
+    if refusal is None and should_refuse_for_dependency(
+        owner_state.dependency, hand_over.route, now
+    ):
         refusal = NotRunReason.DEPENDENCY_FULL
     if refusal is not None:
         record_ended(owner_state.log, attempt, Fate.NEVER_STARTED)
--- a/packages/bendwind-core/src/bendwind_core/attempts/entry.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/entry.py
@@ -58,7 +58,7 @@
 from bendwind_core.attempts.sending import Choose, reply_margin, send_first, send_hedge, try_again
 from bendwind_core.attempts.tries import NO_ROOM
 from bendwind_core.core import Seconds
-from bendwind_core.limits import may_retry, pay_sent_back
+from bendwind_core.limits import may_retry, spend_on_refusal
 
 FENCE_WAIT: Seconds = 0.5
 CLAIM_PENDING_RETRY_MS = 1000.0
@@ -225,7 +225,7 @@
     attempt.load = proof.load
     attempt.wait_ms = proof.wait_ms
     if proof.reason in NO_ROOM:
-        pay_sent_back(call.budget.tries, is_try=not attempt.may_wait)
+        spend_on_refusal(call.budget.no_wait, is_no_wait=not attempt.may_wait)
     if proof.reason in _FINAL_REFUSALS:
         give_up(call, effects)
         return
--- a/packages/bendwind-core/src/bendwind_core/attempts/limits.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/limits.py
@@ -2,10 +2,10 @@
 
 from bendwind_core.admission import (
     LimitChange,
-    find_turn_at,
+    assign_retry_at,
+    find_limited_send_at,
     is_limited,
-    note_carried,
-    tell_return_at,
+    record_carried_limit,
 )
 from bendwind_core.attempts.messages import HandOver, NotRunReason
 from bendwind_core.attempts.owner_events import LimitChanged, OwnerEffect
@@ -35,8 +35,8 @@
     owner_state: OwnerState, hand_over: HandOver, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     """Take over the limit that an entry node had heard of before this owner did."""
-    if hand_over.limit_per_s is not None and not owner_state.rate_limit.is_heard:
-        change = note_carried(owner_state.rate_limit, hand_over.limit_per_s, now)
+    if hand_over.limit_per_s is not None and not owner_state.rate_limit.has_read_answer:
+        change = record_carried_limit(owner_state.rate_limit, hand_over.limit_per_s, now)
         take_change(owner_state, change, now, effects)
 
 
@@ -47,7 +47,7 @@
     others = [one for one in owner_state.waiting.values() if id(one) not in is_timed]
     ahead = 0
     for queued in (*timed, *others):
-        if find_turn_at(owner_state.rate_limit, ahead, now) <= find_end(queued):
+        if find_limited_send_at(owner_state.rate_limit, ahead, now) <= find_end(queued):
             ahead += 1
             continue
         take_off_queue(owner_state, queued)
@@ -64,4 +64,4 @@
 def tell_return_ms(owner_state: OwnerState, now: Seconds) -> Milliseconds:
     """Return in how long the caller of an attempt that the limit leaves no room should be back."""
     longest = LONGEST_MS / MILLISECONDS_PER_SECOND
-    return (tell_return_at(owner_state.rate_limit, now, longest) - now) * MILLISECONDS_PER_SECOND
+    return (assign_retry_at(owner_state.rate_limit, now, longest) - now) * MILLISECONDS_PER_SECOND
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -8,12 +8,12 @@
 
 from bendwind_core.admission import (
     assume_cold,
-    note_asked,
-    note_call_refused,
-    note_named,
-    note_not_named,
-    note_taken,
-    note_told,
+    consume_token,
+    record_cold_announcement,
+    record_cold_reply,
+    record_named_limit,
+    record_no_limit,
+    record_refused_call,
 )
 from bendwind_core.attempts.admission import (
     ask_if_held,
@@ -126,30 +126,30 @@
             if running is not None and not is_failure(running.status):
                 note_success(owner_state, running, now)
         case CallRefused():
-            note_call_refused(owner_state.dependency, now)
+            record_refused_call(owner_state.dependency, now)
         case LoadReported(slow_factor=slow_factor):
             note_report(owner_state.pace, slow_factor, now)
             note_alive(owner_state.ends, now)
         case LoadNotReported(may_ask=may_ask):
             owner_state.may_ask = may_ask
         case LimitNamed(per_second=per_second, sent_at=sent_at):
-            change = note_named(owner_state.rate_limit, per_second, sent_at, now)
+            change = record_named_limit(owner_state.rate_limit, per_second, sent_at, now)
             take_change(owner_state, change, now, effects)
         case LimitNotNamed(sent_at=sent_at):
-            change = note_not_named(owner_state.rate_limit, sent_at, now)
+            change = record_no_limit(owner_state.rate_limit, sent_at, now)
             take_change(owner_state, change, now, effects)
         case LeavingSaid():
             hear_leaving(owner_state, now, effects)
         case UpstreamAsked():
-            note_taken(owner_state.rate_limit, now)
+            consume_token(owner_state.rate_limit, now)
         case WarmUpRuled(rule=rule):
             owner_state.warm_up.rule = rule
         case ColdAssumed():
             assume_cold(owner_state.warm_up, now)
         case WarmUpTold(left_ms=left_ms, asked_at=None):
-            note_told(owner_state.warm_up, left_ms, now)
+            record_cold_announcement(owner_state.warm_up, left_ms, now)
         case WarmUpTold(left_ms=left_ms, asked_at=asked_at):
-            note_asked(owner_state.warm_up, left_ms, asked_at, now)
+            record_cold_reply(owner_state.warm_up, left_ms, asked_at, now)
         case UpstreamChecked(is_refused=is_refused):
             take_check(owner_state, now, effects, is_refused=is_refused)
         case UpstreamReached():
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from bendwind_core.admission import (
-    Arrivals,
-    Dependency,
-    Origins,
+    ArrivalCounts,
+    DependencyOverload,
     RankCounts,
     RateLimit,
-    WarmUp,
+    RouteOrigins,
+    WarmUpState,
 )
 from bendwind_core.attempts.attempt_log import AttemptLog
 from bendwind_core.attempts.messages import AttemptId, HandOver
@@ -18,7 +18,7 @@
 from bendwind_core.attempts.service_time import ServiceTime
 from bendwind_core.attempts.upstream_end import EndWatch
 from bendwind_core.core import Milliseconds, Seconds
-from bendwind_core.limits import FairQueue, Turns, UrgencyQueue
+from bendwind_core.limits import CustomerWork, FairQueue, UrgencyQueue
 from bendwind_core.suspicion import Served, SuspectTable
 from bendwind_core.world import UpstreamState
 
@@ -117,17 +117,17 @@
     times: ServiceTime = msgspec.field(default_factory=ServiceTime)
     route_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
     guessed_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
-    origins: Origins = msgspec.field(default_factory=Origins)
-    dependency: Dependency = msgspec.field(default_factory=Dependency)
+    origins: RouteOrigins = msgspec.field(default_factory=RouteOrigins)
+    dependency: DependencyOverload = msgspec.field(default_factory=DependencyOverload)
     pace: Pace = msgspec.field(default_factory=Pace)
-    warm_up: WarmUp = msgspec.field(default_factory=WarmUp)
+    warm_up: WarmUpState = msgspec.field(default_factory=WarmUpState)
     rate_limit: RateLimit = msgspec.field(default_factory=RateLimit)
     ends: EndWatch = msgspec.field(default_factory=EndWatch)
     suspects: SuspectTable = msgspec.field(default_factory=SuspectTable)
     served: Served = msgspec.field(default_factory=Served)
-    turns: Turns = msgspec.field(default_factory=Turns)
+    turns: CustomerWork = msgspec.field(default_factory=CustomerWork)
     rank_counts: RankCounts = msgspec.field(default_factory=RankCounts)
-    arrivals: Arrivals = msgspec.field(default_factory=Arrivals)
+    arrivals: ArrivalCounts = msgspec.field(default_factory=ArrivalCounts)
     is_unreachable: bool = False
     is_leaving: bool = False
     asked_at: Seconds | None = None
@@ -149,7 +149,7 @@
     remembered_attempts: int = REMEMBERED_ATTEMPTS,
     remembered_peers: int = REMEMBERED_PEERS,
     slot_share: float = 1.0,
-    warm_up: WarmUp | None = None,
+    warm_up: WarmUpState | None = None,
     suspects: SuspectTable | None = None,
     alone_from: Seconds = -math.inf,
 ) -> OwnerState:
--- a/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
@@ -7,7 +7,7 @@
 
 import math
 
-from bendwind_core.admission import find_kept_until, find_starved_rank, is_inner_call
+from bendwind_core.admission import find_reserved_until, find_starved_rank, is_inner_call
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt
 from bendwind_core.attempts.usual_times import find_usual_ms
 from bendwind_core.core import Seconds
@@ -59,14 +59,14 @@
     if queued.is_inner or queued.rank <= 0 or owner_state.run_limit < 2:
         return -math.inf
     run_ms = find_usual_ms(owner_state, queued.hand_over.route)
-    return find_kept_until(owner_state.arrivals, queued.hand_over.rank, run_ms)
+    return find_reserved_until(owner_state.arrivals, queued.hand_over.rank, run_ms)
 
 
 def list_ahead(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> list[QueuedAttempt]:
     """List what waits and goes before an attempt that does not wait yet."""
     hand_over = queued.hand_over
     work_ms = find_usual_ms(owner_state, hand_over.route)
-    newcomer = urgency_queue.Waiting(
+    newcomer = urgency_queue.QueueEntry(
         queued,
         queued.due_at,
         owner_state.timed.next_number,
@@ -88,4 +88,4 @@
 
 def list_in_turn(owner_state: OwnerState, now: Seconds) -> list[QueuedAttempt]:
     """List what waits with an objective in the order in which it should start."""
-    return urgency_queue.list_in_turn(owner_state.timed, now, owner_state.turns)
+    return urgency_queue.list_in_start_order(owner_state.timed, now, owner_state.turns)
--- a/packages/bendwind-core/src/bendwind_core/attempts/run_ends.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/run_ends.py
@@ -1,6 +1,6 @@
 """Take notice of how an attempt that was started went."""
 
-from bendwind_core.admission import note_run_ended
+from bendwind_core.admission import record_run_end
 from bendwind_core.attempts.attempt_log import Fate
 from bendwind_core.attempts.messages import CutReason, NotRunReason
 from bendwind_core.attempts.owner_events import (
@@ -43,7 +43,7 @@
     if not running.route:
         return
     is_error = is_failure(event.status)
-    note_run_ended(
+    record_run_end(
         owner_state.dependency,
         running.route,
         running.started_at,
--- a/packages/bendwind-core/src/bendwind_core/attempts/runs.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/runs.py
@@ -1,6 +1,6 @@
 """Start attempts at an upstream and end them."""
 
-from bendwind_core.admission import note_sent, note_started, note_taken
+from bendwind_core.admission import consume_token, record_request_sent, record_started
 from bendwind_core.attempts.attempt_log import Fate, record_ended, record_live
 from bendwind_core.attempts.messages import AttemptId
 from bendwind_core.attempts.owner_events import Dispatch, OwnerEffect
@@ -8,7 +8,7 @@
 from bendwind_core.attempts.pace import find_factor, is_known
 from bendwind_core.attempts.usual_times import find_usual_ms
 from bendwind_core.core import Seconds
-from bendwind_core.limits.turns import note_work
+from bendwind_core.limits.customer_work import record_work
 
 
 def mark_sent(owner_state: OwnerState, attempt: AttemptId, now: Seconds) -> None:
@@ -16,14 +16,14 @@
     running = owner_state.running.get(attempt)
     if running is not None and not running.is_sent:
         running.is_sent = True
-        note_sent(owner_state.warm_up, now)
+        record_request_sent(owner_state.warm_up, now)
 
 
 def note_sent_again(owner_state: OwnerState, attempt: AttemptId, now: Seconds) -> None:
     """Count a request that goes out a second time, over another connection, for the limit too."""
     running = owner_state.running.get(attempt)
     if running is not None and running.is_sent:
-        note_taken(owner_state.rate_limit, now)
+        consume_token(owner_state.rate_limit, now)
 
 
 def end_running(owner_state: OwnerState, attempt: AttemptId, fate: Fate) -> RunningAttempt | None:
@@ -53,10 +53,10 @@
         own_rank=queued.own_rank,
     )
     owner_state.running[hand_over.attempt] = running
-    note_taken(owner_state.rate_limit, now)
+    consume_token(owner_state.rate_limit, now)
     if not queued.is_inner:
-        note_started(owner_state.rank_counts, hand_over.rank, now)
-    note_work(
+        record_started(owner_state.rank_counts, hand_over.rank, now)
+    record_work(
         owner_state.turns, hand_over.customer, find_usual_ms(owner_state, hand_over.route), now
     )
     effects.append(Dispatch(hand_over, queued.expires_at))
--- a/packages/bendwind-core/src/bendwind_core/attempts/sending.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/sending.py
@@ -24,7 +24,13 @@
     may_try_free,
 )
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
-from bendwind_core.limits import earn_by_call, earn_by_try, earn_retry, may_retry, spend_retry
+from bendwind_core.limits import (
+    earn_by_call,
+    earn_by_no_wait_attempt,
+    earn_retry,
+    may_retry,
+    spend_retry,
+)
 from bendwind_core.world import Policy, Upstream
 
 Choose = Callable[[frozenset[str]], Upstream | NoRoom | None]
@@ -66,7 +72,7 @@
             refuse_for_want_of_room(call, upstream.reason, wait_ms, effects)
             return
     earn_retry(call.budget, now)
-    earn_by_call(call.budget.tries)
+    earn_by_call(call.budget.no_wait)
     _send(
         call,
         upstream,
@@ -112,7 +118,7 @@
     id = next_attempt_id(call.attempt_ids)
     attempt = Attempt(id, upstream, sent_at=now, may_wait=may_wait)
     if not may_wait:
-        earn_by_try(call.budget.tries)
+        earn_by_no_wait_attempt(call.budget.no_wait)
     call.attempts.append(attempt)
     remaining = call.deadline_at - now - reply_margin(call, now)
     insist = _must_insist(call, upstream)
--- a/packages/bendwind-core/src/bendwind_core/attempts/slots.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/slots.py
@@ -1,6 +1,12 @@
 """Decide whether an upstream bears one more attempt, and tell its load."""
 
-from bendwind_core.admission import find_room_at, find_told_limit, find_turn_at, is_cold, is_limited
+from bendwind_core.admission import (
+    find_cold_send_at,
+    find_limited_send_at,
+    find_reported_limit,
+    is_cold,
+    is_limited,
+)
 from bendwind_core.attempts.owner_state import OwnerState, is_open
 from bendwind_core.attempts.pace import find_rest_ms, is_slow
 from bendwind_core.attempts.usual_times import find_run_rest_ms
@@ -25,7 +31,7 @@
         draining=not is_open(owner_state),
         room_wait_ms=find_room_wait_ms(owner_state, len(owner_state.waiting), now),
         wait_ms=find_free_wait_ms(owner_state, now),
-        limit_per_s=find_told_limit(owner_state.rate_limit),
+        limit_per_s=find_reported_limit(owner_state.rate_limit),
         is_leaving=owner_state.is_leaving,
     )
 
@@ -68,11 +74,11 @@
 
 
 def _find_room_at(owner_state: OwnerState, ahead: int, now: Seconds) -> Seconds:
-    turn_at = find_turn_at(owner_state.rate_limit, ahead, now)
+    turn_at = find_limited_send_at(owner_state.rate_limit, ahead, now)
     if not is_cold(owner_state.warm_up, now):
         return turn_at
     has_unsent = any(not running.is_sent for running in owner_state.running.values())
-    return max(turn_at, find_room_at(owner_state.warm_up, ahead, now, has_unsent=has_unsent))
+    return max(turn_at, find_cold_send_at(owner_state.warm_up, ahead, now, has_unsent=has_unsent))
 
 
 def next_room(owner_state: OwnerState, now: Seconds) -> Seconds | None:
@@ -90,7 +96,7 @@
         return False
     ahead = len(owner_state.waiting)
     has_slot = len(owner_state.running) < owner_state.run_limit
-    return has_slot and find_turn_at(owner_state.rate_limit, ahead, now) > now
+    return has_slot and find_limited_send_at(owner_state.rate_limit, ahead, now) > now
 
 
 def is_stalled(owner_state: OwnerState, now: Seconds) -> bool:
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
@@ -1,7 +1,7 @@
 import unittest
 
-from bendwind_core.admission import note_origin
-from bendwind_core.admission.origins import MOST_SEEN
+from bendwind_core.admission import record_origin
+from bendwind_core.admission.origins import HALVING_COUNT
 from bendwind_core.attempts import AttemptId, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.pace import TYPICAL_PHASE
@@ -181,9 +181,11 @@
 
     def tell_origins(self):
         """Show the owner that `quick` is a call of one service's upstreams, unlike `slow`."""
-        for number in range(2 * MOST_SEEN):
-            note_origin(self.owner_state.origins, "quick", "till")
-            note_origin(self.owner_state.origins, "slow", ("till", "ledger", "portal")[number % 3])
+        for number in range(2 * HALVING_COUNT):
+            record_origin(self.owner_state.origins, "quick", "till")
+            record_origin(
+                self.owner_state.origins, "slow", ("till", "ledger", "portal")[number % 3]
+            )
 
     def test_call_of_an_upstream_may_wait_to_its_deadline(self):
         # Refused at its objective, it made the run that waited for it fail.
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
@@ -1,7 +1,7 @@
 import unittest
 
-from bendwind_core.admission import WarmUp, WarmUpLimits
-from bendwind_core.admission.warm_up import SPAN
+from bendwind_core.admission import WarmUpLimits, WarmUpState
+from bendwind_core.admission.warm_up import SPACING_WINDOW
 from bendwind_core.attempts import AttemptId, CutReason, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.world import Repeat, UpstreamState, WarmUpRule
@@ -18,7 +18,7 @@
     def setUp(self):
         self.now = 100.0
         self.sequence = 0
-        self.owner_state = owner.create_owner_state("u", 1, 64, warm_up=WarmUp(LIMITS, RULE))
+        self.owner_state = owner.create_owner_state("u", 1, 64, warm_up=WarmUpState(LIMITS, RULE))
         self.step(ov.UpstreamAnnounced(20, 20, UpstreamState.READY))
 
     def step(self, event):
@@ -59,7 +59,7 @@
         self.assert_spared(self.press(1.0))
         self.assertTrue(self.owner_state.waiting)
         due = owner.next_due(self.owner_state, self.now)
-        self.assertLess(due, self.now + SPAN / LIMIT)
+        self.assertLess(due, self.now + SPACING_WINDOW / LIMIT)
 
     def test_warm_upstream_is_sent_all(self):
         self.assertEqual(len(self.press(0.5)), 50)
@@ -80,7 +80,7 @@
         self.assertEqual(self.hand_over(), [])
         self.step(ov.DispatchSent(AttemptId("e", 1, 1)))
         self.assertEqual(self.step(ov.Tick()), [])
-        self.now += SPAN / LIMIT
+        self.now += SPACING_WINDOW / LIMIT
         self.assertIsInstance(self.step(ov.Tick())[0], ov.Dispatch)
 
     def test_request_that_no_cold_room_serves_in_time_is_refused_at_once(self):
@@ -89,7 +89,7 @@
             self.hand_over()
         refused = self.hand_over(target_ms=400.0, remaining_ms=900.0)[0]
         self.assertIs(refused.reason, NotRunReason.QUEUE_FULL)
-        self.assertAlmostEqual(refused.load.room_wait_ms, 1000 * SPAN, delta=1.0)
+        self.assertAlmostEqual(refused.load.room_wait_ms, 1000 * SPACING_WINDOW, delta=1.0)
 
     def test_most_urgent_request_takes_the_first_cold_room(self):
         self.step(ov.WarmUpTold(3000.0))
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
@@ -209,7 +209,7 @@
     def find_shares(self, per_second, *, has_phases):
         """Return which share waited beside a free one, with tries that may not wait and without."""
         tried = Replay(8, 20, per_second, has_phases).play(20.0)
-        with mock.patch.object(tries, "may_try", lambda budget: False):
+        with mock.patch.object(tries, "may_send_no_wait", lambda budget: False):
             untried = Replay(8, 20, per_second, has_phases).play(20.0)
         return [one.waited_beside_free / one.started for one in (tried, untried)]
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_cold.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_cold.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from bendwind_core.admission import WarmUp, WarmUpLimits
+from bendwind_core.admission import WarmUpLimits, WarmUpState
 from bendwind_core.attempts import AttemptId, CutReason, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.world import Repeat, UpstreamState, WarmUpRule
@@ -39,7 +39,7 @@
         self.incarnation += 1
         self.connecting.clear()
         self.running.clear()
-        warm_up = WarmUp(LIMITS, RULE, assumed_at=self.now, sent_at=self.now)
+        warm_up = WarmUpState(LIMITS, RULE, assumed_cold_at=self.now, last_sent_at=self.now)
         self.owner_state = owner.create_owner_state("u", self.incarnation, 16, warm_up=warm_up)
         self.step(ov.UpstreamAnnounced(SLOTS, 50, UpstreamState.READY))
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
@@ -62,7 +62,7 @@
             self.check(effect, lines)
 
     def _lines(self, event):
-        lines = {entry: len(line) for entry, line in self.owner_state.queue.lines.items()}
+        lines = {entry: len(line) for entry, line in self.owner_state.queue.items_by_source.items()}
         if isinstance(event, ov.HandOverArrived):
             entry = event.hand_over.attempt.entry
             lines[entry] = lines.get(entry, 0) + 1
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_room.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_room.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from bendwind_core.admission import note_origin
-from bendwind_core.admission.origins import MOST_SEEN
-from bendwind_core.admission.reserve import ARRIVAL_HALF_TIME
+from bendwind_core.admission import record_origin
+from bendwind_core.admission.origins import HALVING_COUNT
+from bendwind_core.admission.slot_reservation import ARRIVAL_HALF_LIFE
 from bendwind_core.attempts import AttemptId, CutReason, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.pace import TYPICAL_PHASE, is_known, is_slow
@@ -22,7 +22,7 @@
 QUEUE = 4
 # Ranks that the machine hands over; what is kept for them is lent within some half times.
 RANKS = (0, 1, 2)
-LONGEST_KEPT = 6 * ARRIVAL_HALF_TIME
+LONGEST_KEPT = 6 * ARRIVAL_HALF_LIFE
 
 
 class Room(RuleBasedStateMachine):
@@ -42,9 +42,9 @@
             "u", 1, QUEUE, timed_queue=QUEUE, slot_share=0.8
         )
         self.step(ov.UpstreamAnnounced(SLOTS, 9, UpstreamState.READY))
-        for number in range(MOST_SEEN - 1):
-            note_origin(self.owner_state.origins, "call", "shop")
-            note_origin(self.owner_state.origins, "check", f"place-{number % 3}")
+        for number in range(HALVING_COUNT - 1):
+            record_origin(self.owner_state.origins, "call", "shop")
+            record_origin(self.owner_state.origins, "check", f"place-{number % 3}")
 
     def step(self, event):
         for effect in owner.step(self.owner_state, event, self.now):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_room.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_room.py
@@ -3,8 +3,8 @@
 import unittest
 from unittest import mock
 
-from bendwind_core.admission import note_origin, room
-from bendwind_core.admission.origins import MOST_SEEN
+from bendwind_core.admission import record_origin, starvation
+from bendwind_core.admission.origins import HALVING_COUNT
 from bendwind_core.attempts import AttemptId, HandOver, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.tests.room_load import Kind, RoomLoad
@@ -45,7 +45,7 @@
                 self.assertGreater(load.find_share(kind.name), PROMISED * load.overall, kind.name)
 
     def test_strict_order_alone_would_starve_the_least_urgent(self):
-        with mock.patch.object(room, "LEAST_SERVED", 0.0):
+        with mock.patch.object(starvation, "MIN_SERVED_RATIO", 0.0):
             load = self.play(1)
         self.assertLess(load.find_share("history"), PROMISED * load.overall)
 
@@ -95,10 +95,10 @@
                 attempt = self.hand_over(route)[0].hand_over.attempt
                 self.end(attempt, upstream_ms)
         self.now = 100.0
-        for number in range(MOST_SEEN - 1):
-            note_origin(self.owner_state.origins, "call", "shop")
+        for number in range(HALVING_COUNT - 1):
+            record_origin(self.owner_state.origins, "call", "shop")
             for route in ("check", "history"):
-                note_origin(self.owner_state.origins, route, f"place-{number % 3}")
+                record_origin(self.owner_state.origins, route, f"place-{number % 3}")
 
     def step(self, event):
         return owner.step(self.owner_state, event, self.now)
@@ -238,7 +238,7 @@
         for due in (5.0, 1.0, 3.0):
             urgency_queue.push(queue, due, due, work_ms=due)
         self.assertEqual(
-            urgency_queue.list_in_turn(queue, 2.0, self.owner_state.turns), [3.0, 5.0, 1.0]
+            urgency_queue.list_in_start_order(queue, 2.0, self.owner_state.turns), [3.0, 5.0, 1.0]
         )
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tries.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tries.py
@@ -7,7 +7,7 @@
 from bendwind_core.attempts.call import Attempt, EntryCall
 from bendwind_core.attempts.messages import NotRunReason
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
-from bendwind_core.limits import may_try
+from bendwind_core.limits import may_send_no_wait
 from bendwind_core.world import Policy, Upstream
 
 # So many owners may say that they are busy before one is asked to let the request wait. Each costs
@@ -33,7 +33,7 @@
 def may_try_free(call: EntryCall, upstream: Upstream, now: Seconds) -> bool:
     """Tell whether the next attempt is only to be taken by an upstream that is free."""
     # The other policies stay plain: they are what this one is compared with.
-    if call.service.policy is not Policy.SCORE or not may_try(call.budget.tries):
+    if call.service.policy is not Policy.SCORE or not may_send_no_wait(call.budget.no_wait):
         return False
     if len(_list_busy(call)) >= POLITE_TRIES:
         return False
@@ -66,7 +66,7 @@
     at once when to come back.
     """
     refused = sum(one.may_wait and one.not_run in NO_ROOM for one in call.attempts)
-    return refused < SURE_OWNERS or may_try(call.budget.tries)
+    return refused < SURE_OWNERS or may_send_no_wait(call.budget.no_wait)
 
 
 def find_shortest_wait(call: EntryCall, now: Seconds) -> Upstream | None:
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_state.py
@@ -1,6 +1,6 @@
 """Follow what becomes of an owner's upstream: announced, unreachable, ended, restarted, gone."""
 
-from bendwind_core.admission import assume_cold, forget
+from bendwind_core.admission import assume_cold, reset_rate_limit
 from bendwind_core.attempts.fencing import cancel_running
 from bendwind_core.attempts.limits import take_change
 from bendwind_core.attempts.messages import CutReason, NotRunReason
@@ -84,7 +84,7 @@
     """Turn to another run of the upstream, which knows nothing of the one before."""
     owner_state.is_unreachable = False
     owner_state.pace = Pace()
-    take_change(owner_state, forget(owner_state.rate_limit), now, effects)
+    take_change(owner_state, reset_rate_limit(owner_state.rate_limit), now, effects)
     owner_state.is_leaving = False
     assume_cold(owner_state.warm_up, now)
     _give_up_running(owner_state, now, effects)
--- a/packages/bendwind-core/src/bendwind_core/limits/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/__init__.py
@@ -1,41 +1,46 @@
 """Offer the bounds on what calls and measuring may take."""
 
 from bendwind_core.limits import urgency_queue
-from bendwind_core.limits.concurrency_share import ConcurrencyShare, admit, leave, set_services
+from bendwind_core.limits.concurrency_share import (
+    ConcurrencyShare,
+    acquire_call,
+    release_call,
+    set_services,
+)
+from bendwind_core.limits.customer_work import CustomerWork
 from bendwind_core.limits.fair_queue import FairQueue
+from bendwind_core.limits.no_wait_budget import (
+    NoWaitBudget,
+    earn_by_call,
+    earn_by_no_wait_attempt,
+    may_send_no_wait,
+    spend_on_refusal,
+)
 from bendwind_core.limits.probe_budget import ProbeBudget, spend_probe
 from bendwind_core.limits.request_size import SizeExceeded, check_body, check_headers
 from bendwind_core.limits.retry_budget import RetryBudget, earn_retry, may_retry, spend_retry
-from bendwind_core.limits.try_budget import (
-    TryBudget,
-    earn_by_call,
-    earn_by_try,
-    may_try,
-    pay_sent_back,
-)
-from bendwind_core.limits.turns import Turns
 from bendwind_core.limits.urgency_queue import UrgencyQueue
 
 __all__ = [
     "ConcurrencyShare",
+    "CustomerWork",
     "FairQueue",
+    "NoWaitBudget",
     "ProbeBudget",
     "RetryBudget",
     "SizeExceeded",
-    "TryBudget",
-    "Turns",
     "UrgencyQueue",
-    "admit",
+    "acquire_call",
     "check_body",
     "check_headers",
     "earn_by_call",
-    "earn_by_try",
+    "earn_by_no_wait_attempt",
     "earn_retry",
-    "leave",
     "may_retry",
-    "may_try",
-    "pay_sent_back",
+    "may_send_no_wait",
+    "release_call",
     "set_services",
+    "spend_on_refusal",
     "spend_probe",
     "spend_retry",
     "urgency_queue",
--- a/packages/bendwind-core/src/bendwind_core/limits/concurrency_share.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/concurrency_share.py
@@ -15,44 +15,46 @@
     """Hold the calls in flight of each service of an entry node."""
 
     capacity: int
-    reserve: int = 0
-    common: int = 0
-    total: int = 0
-    common_used: int = 0
+    reserved_per_service: int = 0
+    shared_capacity: int = 0
+    total_in_flight: int = 0
+    shared_in_flight: int = 0
     in_flight: dict[str, int] = msgspec.field(default_factory=dict)
 
 
 def set_services(share: ConcurrencyShare, names: Iterable[str]) -> None:
     """Take over the services; those that left keep no reserve for the calls they still have."""
     counts = dict.fromkeys(names, 0)
-    number = len(counts)
+    service_count = len(counts)
     for name, count in share.in_flight.items():
         if count or name in counts:
             counts[name] = count
     share.in_flight = counts
-    share.reserve = int(share.capacity * RESERVED_SHARE) // max(1, number)
-    share.common = share.capacity - share.reserve * number
-    share.common_used = sum(max(0, count - share.reserve) for count in counts.values())
+    share.reserved_per_service = int(share.capacity * RESERVED_SHARE) // max(1, service_count)
+    share.shared_capacity = share.capacity - share.reserved_per_service * service_count
+    share.shared_in_flight = sum(
+        max(0, count - share.reserved_per_service) for count in counts.values()
+    )
 
 
-def admit(share: ConcurrencyShare, service: str, limit: int) -> bool:
+def acquire_call(share: ConcurrencyShare, service: str, limit: int) -> bool:
     """Take a place for a call; `limit` is the service's own bound. Return False if none is free."""
     count = share.in_flight.get(service)
-    if count is None or count >= limit or share.total >= share.capacity:
+    if count is None or count >= limit or share.total_in_flight >= share.capacity:
         return False
-    if count >= share.reserve:
-        if share.common_used >= share.common:
+    if count >= share.reserved_per_service:
+        if share.shared_in_flight >= share.shared_capacity:
             return False
-        share.common_used += 1
+        share.shared_in_flight += 1
     share.in_flight[service] = count + 1
-    share.total += 1
+    share.total_in_flight += 1
     return True
 
 
-def leave(share: ConcurrencyShare, service: str) -> None:
+def release_call(share: ConcurrencyShare, service: str) -> None:
     """Give back the place of a call that ended."""
     count = share.in_flight[service]
-    if count > share.reserve:
-        share.common_used -= 1
+    if count > share.reserved_per_service:
+        share.shared_in_flight -= 1
     share.in_flight[service] = count - 1
-    share.total -= 1
+    share.total_in_flight -= 1
--- a/packages/bendwind-core/src/bendwind_core/limits/fair_queue.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/fair_queue.py
@@ -17,54 +17,54 @@
 
     capacity: int
     size: int = 0
-    lines: collections.OrderedDict[str, collections.deque[Item]] = msgspec.field(
+    items_by_source: collections.OrderedDict[str, collections.deque[Item]] = msgspec.field(
         default_factory=collections.OrderedDict
     )
 
 
 def push(queue: FairQueue[Item], source: str, item: Item) -> Item | None:
     """Add an item; return the one that had to give way, which may be the item itself."""
-    displaced = None
+    evicted = None
     if queue.size >= queue.capacity:
-        displaced = _displace(queue, source)
-        if displaced is None:
+        evicted = _evict_newest(queue, source)
+        if evicted is None:
             return item
-    queue.lines.setdefault(source, collections.deque()).append(item)
+    queue.items_by_source.setdefault(source, collections.deque()).append(item)
     queue.size += 1
-    return displaced
+    return evicted
 
 
-def _displace(queue: FairQueue[Item], source: str) -> Item | None:
-    if not queue.lines:
+def _evict_newest(queue: FairQueue[Item], source: str) -> Item | None:
+    if not queue.items_by_source:
         return None
-    longest = max(queue.lines, key=lambda name: len(queue.lines[name]))
-    own = len(queue.lines.get(source, ()))
-    if len(queue.lines[longest]) < own + 2:
+    longest_source = max(queue.items_by_source, key=lambda name: len(queue.items_by_source[name]))
+    own_length = len(queue.items_by_source.get(source, ()))
+    if len(queue.items_by_source[longest_source]) < own_length + 2:
         return None
-    item = queue.lines[longest].pop()
+    item = queue.items_by_source[longest_source].pop()
     queue.size -= 1
     return item
 
 
 def pop(queue: FairQueue[Item]) -> Item | None:
     """Take the oldest item of the source whose turn it is."""
-    if not queue.lines:
+    if not queue.items_by_source:
         return None
-    source, line = queue.lines.popitem(last=False)
-    item = line.popleft()
+    source, items = queue.items_by_source.popitem(last=False)
+    item = items.popleft()
     queue.size -= 1
-    if line:
-        queue.lines[source] = line
+    if items:
+        queue.items_by_source[source] = items
     return item
 
 
 def remove(queue: FairQueue[Item], source: str, item: Item) -> bool:
     """Take an item out of its line; return False if it was not there."""
-    line = queue.lines.get(source)
-    if line is None or item not in line:
+    items = queue.items_by_source.get(source)
+    if items is None or item not in items:
         return False
-    line.remove(item)
+    items.remove(item)
     queue.size -= 1
-    if not line:
-        del queue.lines[source]
+    if not items:
+        del queue.items_by_source[source]
     return True
--- a/packages/bendwind-core/src/bendwind_core/limits/probe_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/probe_budget.py
@@ -6,7 +6,7 @@
 
 from bendwind_core.core import Seconds
 
-_WINDOW: Seconds = 1.0
+_WINDOW_LENGTH: Seconds = 1.0
 
 
 class ProbeBudget(msgspec.Struct):
@@ -27,7 +27,7 @@
 
 def spend_probe(budget: ProbeBudget, messages: int, size: int, now: Seconds) -> bool:
     """Pay for a probe with its answer; return False, and pay nothing, where that cannot be."""
-    _forget_old(budget, now)
+    _remove_expired(budget, now)
     if budget.messages + messages > budget.messages_per_s:
         return False
     if budget.bytes + size > budget.bytes_per_s:
@@ -38,8 +38,8 @@
     return True
 
 
-def _forget_old(budget: ProbeBudget, now: Seconds) -> None:
-    while budget.spent and now - budget.spent[0][0] > _WINDOW:
+def _remove_expired(budget: ProbeBudget, now: Seconds) -> None:
+    while budget.spent and now - budget.spent[0][0] > _WINDOW_LENGTH:
         _, messages, size = budget.spent.popleft()
         budget.messages -= messages
         budget.bytes -= size
--- a/packages/bendwind-core/src/bendwind_core/limits/request_size.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/request_size.py
@@ -7,8 +7,8 @@
 
 from bendwind_core.world import Limits
 
-HEADER_COUNT = 100
-HEADER_BYTES = 32 * 1024
+MAX_HEADER_COUNT = 100
+MAX_HEADER_BYTES = 32 * 1024
 
 
 class SizeExceeded(enum.StrEnum):
@@ -18,19 +18,19 @@
     HEADERS = "headers-too-large"
 
 
-_FITS: Result[None, SizeExceeded] = Ok(None)
+_WITHIN_LIMITS: Result[None, SizeExceeded] = Ok(None)
 
 
 def check_headers(headers: Sequence[tuple[bytes, bytes]]) -> Result[None, SizeExceeded]:
     """Check the number of headers and their bytes."""
     size = sum(len(name) + len(value) for name, value in headers)
-    if len(headers) > HEADER_COUNT or size > HEADER_BYTES:
+    if len(headers) > MAX_HEADER_COUNT or size > MAX_HEADER_BYTES:
         return Error(SizeExceeded.HEADERS)
-    return _FITS
+    return _WITHIN_LIMITS
 
 
 def check_body(limits: Limits, size: int) -> Result[None, SizeExceeded]:
     """Check the bytes of a body, as announced or as received so far."""
     if size > limits.body_bytes:
         return Error(SizeExceeded.BODY)
-    return _FITS
+    return _WITHIN_LIMITS
--- a/packages/bendwind-core/src/bendwind_core/limits/retry_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/retry_budget.py
@@ -5,13 +5,13 @@
 import msgspec
 
 from bendwind_core.core import Seconds
-from bendwind_core.limits.try_budget import TryBudget
+from bendwind_core.limits.no_wait_budget import NoWaitBudget
 
-RETRY_TOKENS_CAP = 10.0
+MAX_RETRY_TOKENS = 10.0
 # Of what is saved above one retry half is gone after this time. All nodes spend together at the
 # first moment of a fault that all see: ten saved at each of 95 nodes were twice what users allow
 # in ten seconds, by the model in tests/test_retry_budget.py.
-SAVED_HALF_TIME: Seconds = 5.0
+SAVED_TOKENS_HALF_LIFE: Seconds = 5.0
 # Ten times 0.1 is a little under 1 in floating point.
 _ONE_TOKEN = 1.0 - 1e-9
 
@@ -25,18 +25,18 @@
     """
 
     ratio: float
-    cap: float = RETRY_TOKENS_CAP
+    cap: float = MAX_RETRY_TOKENS
     tokens: float = 0.0
-    earned_at: Seconds = -math.inf
-    tries: TryBudget = msgspec.field(default_factory=TryBudget)
+    credited_at: Seconds = -math.inf
+    no_wait: NoWaitBudget = msgspec.field(default_factory=NoWaitBudget)
 
 
 def earn_retry(budget: RetryBudget, now: Seconds) -> None:
     """Credit the budget for one first attempt."""
     kept = min(budget.tokens, _ONE_TOKEN)
-    saved = (budget.tokens - kept) * 0.5 ** ((now - budget.earned_at) / SAVED_HALF_TIME)
+    saved = (budget.tokens - kept) * 0.5 ** ((now - budget.credited_at) / SAVED_TOKENS_HALF_LIFE)
     budget.tokens = min(budget.cap, kept + saved + budget.ratio)
-    budget.earned_at = now
+    budget.credited_at = now
 
 
 def may_retry(budget: RetryBudget) -> bool:
--- a/packages/bendwind-core/src/bendwind_core/limits/tests/test_fuzz_limits.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/tests/test_fuzz_limits.py
@@ -11,12 +11,12 @@
     FairQueue,
     ProbeBudget,
     RetryBudget,
-    admit,
+    acquire_call,
     check_body,
     check_headers,
     earn_retry,
     fair_queue,
-    leave,
+    release_call,
     set_services,
     spend_probe,
     spend_retry,
@@ -66,16 +66,16 @@
         held = dict.fromkeys(SERVICES, 0)
         for service, kind in steps:
             if kind == 0 and held[service]:
-                leave(share, service)
+                release_call(share, service)
                 held[service] -= 1
-            elif admit(share, service, limit=9):
+            elif acquire_call(share, service, limit=9):
                 held[service] += 1
             else:
-                self.assertGreaterEqual(held[service], share.reserve)
+                self.assertGreaterEqual(held[service], share.reserved_per_service)
             self.assertLessEqual(sum(held.values()), share.capacity)
             self.assertLessEqual(max(held.values()), 9)
             left = share.capacity - sum(held.values())
-            owed = sum(max(0, share.reserve - count) for count in held.values())
+            owed = sum(max(0, share.reserved_per_service - count) for count in held.values())
             self.assertGreaterEqual(left, owed)
 
     @given(st.lists(st.tuples(st.sampled_from(SERVICES), st.booleans()), max_size=60))
@@ -103,11 +103,11 @@
         share = ConcurrencyShare(12)
         set_services(share, ["a"])
         for _ in range(12):
-            self.assertTrue(admit(share, "a", limit=99))
+            self.assertTrue(acquire_call(share, "a", limit=99))
         set_services(share, ["b"])
-        self.assertFalse(admit(share, "b", limit=99))
-        leave(share, "a")
-        self.assertTrue(admit(share, "b", limit=99))
+        self.assertFalse(acquire_call(share, "b", limit=99))
+        release_call(share, "a")
+        self.assertTrue(acquire_call(share, "b", limit=99))
 
     def test_sizes_at_the_limit_pass_and_one_more_is_refused(self):
         self.assertTrue(check_body(Limits(body_bytes=10), 10).is_ok())
--- a/packages/bendwind-core/src/bendwind_core/limits/tests/test_try_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/tests/test_no_wait_budget.py
@@ -2,8 +2,14 @@
 
 import unittest
 
-from bendwind_core.limits import TryBudget, earn_by_call, earn_by_try, may_try, pay_sent_back
-from bendwind_core.limits.try_budget import EARNED_BY_CALL, TRY_TOKENS_CAP
+from bendwind_core.limits import (
+    NoWaitBudget,
+    earn_by_call,
+    earn_by_no_wait_attempt,
+    may_send_no_wait,
+    spend_on_refusal,
+)
+from bendwind_core.limits.no_wait_budget import MAX_NO_WAIT_TOKENS, TOKENS_PER_CALL
 
 TRIES = 6
 
@@ -15,37 +21,37 @@
         for _ in range(calls):
             earn_by_call(budget)
             for _ in range(TRIES):
-                if not may_try(budget):
+                if not may_send_no_wait(budget):
                     break
                 tries += 1
-                earn_by_try(budget)
+                earn_by_no_wait_attempt(budget)
                 if tries % taken_every == 0:
                     break
                 sent_back += 1
-                pay_sent_back(budget, is_try=True)
+                spend_on_refusal(budget, is_no_wait=True)
         return sent_back
 
     def test_under_lasting_overload_one_call_in_five_tries(self):
-        budget = TryBudget()
+        budget = NoWaitBudget()
         sent_back = self.play(budget, 1000, taken_every=10**9)
-        self.assertLessEqual(sent_back, TRY_TOKENS_CAP + 1000 * EARNED_BY_CALL)
-        self.assertGreaterEqual(sent_back, 1000 * EARNED_BY_CALL - 1)
+        self.assertLessEqual(sent_back, MAX_NO_WAIT_TOKENS + 1000 * TOKENS_PER_CALL)
+        self.assertGreaterEqual(sent_back, 1000 * TOKENS_PER_CALL - 1)
 
     def test_tries_are_back_within_some_calls_once_upstreams_are_free(self):
-        budget = TryBudget()
+        budget = NoWaitBudget()
         self.play(budget, 1000, taken_every=10**9)
         self.play(budget, 10, taken_every=1)
         self.assertGreater(budget.tokens, TRIES)
 
     def test_one_taken_in_five_keeps_them_going(self):
-        budget = TryBudget()
+        budget = NoWaitBudget()
         self.play(budget, 1000, taken_every=4)
-        self.assertTrue(may_try(budget))
+        self.assertTrue(may_send_no_wait(budget))
 
     def test_what_a_queue_refuses_costs_what_it_took(self):
-        budget = TryBudget()
-        pay_sent_back(budget, is_try=False)
-        self.assertEqual(budget.tokens, TRY_TOKENS_CAP - 1.0)
+        budget = NoWaitBudget()
+        spend_on_refusal(budget, is_no_wait=False)
+        self.assertEqual(budget.tokens, MAX_NO_WAIT_TOKENS - 1.0)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/limits/tests/test_retry_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/tests/test_retry_budget.py
@@ -61,7 +61,7 @@
         self.assertFalse(spend_retry(budget))
 
     def test_what_was_saved_above_one_fades(self):
-        budget = RetryBudget(0.1, tokens=9.0, earned_at=0.0)
+        budget = RetryBudget(0.1, tokens=9.0, credited_at=0.0)
         earn_retry(budget, 5.0)
         self.assertAlmostEqual(budget.tokens, 5.1, places=6)
 
--- a/packages/bendwind-core/src/bendwind_core/limits/urgency_queue.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/urgency_queue.py
@@ -10,19 +10,19 @@
 import msgspec
 
 from bendwind_core.core import Milliseconds, Seconds
-from bendwind_core.limits.turns import Turns, find_use_ms
+from bendwind_core.limits.customer_work import CustomerWork, find_recent_work_ms
 
 Item = TypeVar("Item")
 
 
-class Waiting(msgspec.Struct, Generic[Item], eq=False):
+class QueueEntry(msgspec.Struct, Generic[Item], eq=False):
     """Hold an item that waits; the lowest rank is the most urgent.
 
     Units: `work_ms` is what the item takes of its customer's turns, in milliseconds.
     """
 
     item: Item
-    due: Seconds
+    due_at: Seconds
     number: int
     rank: float = 0.0
     customer: str = ""
@@ -34,7 +34,7 @@
 
     capacity: int
     next_number: int = 0
-    entries: list[Waiting[Item]] = msgspec.field(default_factory=list)
+    entries: list[QueueEntry[Item]] = msgspec.field(default_factory=list)
 
     def __len__(self) -> int:
         return len(self.entries)
@@ -42,96 +42,101 @@
 
 def push(
     queue: UrgencyQueue[Item],
-    due: Seconds,
+    due_at: Seconds,
     item: Item,
     rank: float = 0.0,
     customer: str = "",
     work_ms: Milliseconds = 0.0,
 ) -> Item | None:
     """Add an item; return the one that gives way if there were too many, maybe the item itself."""
-    entry = Waiting(item, due, queue.next_number, rank, customer, work_ms)
+    entry = QueueEntry(item, due_at, queue.next_number, rank, customer, work_ms)
     bisect.insort(queue.entries, entry, key=_sort_key)
     queue.next_number += 1
     if len(queue.entries) <= queue.capacity:
         return None
-    gone = _find_least(queue)
-    queue.entries.remove(gone)
-    return gone.item
+    evicted = _find_entry_to_evict(queue)
+    queue.entries.remove(evicted)
+    return evicted.item
 
 
-def _sort_key(entry: Waiting) -> tuple[float, Seconds, int]:
-    return entry.rank, entry.due, entry.number
+def _sort_key(entry: QueueEntry) -> tuple[float, Seconds, int]:
+    return entry.rank, entry.due_at, entry.number
 
 
-def _find_least(queue: UrgencyQueue[Item]) -> Waiting[Item]:
+def _find_entry_to_evict(queue: UrgencyQueue[Item]) -> QueueEntry[Item]:
     """Return the last item of the least urgent rank's customer that waits with most."""
     least_urgent = [entry for entry in queue.entries if entry.rank == queue.entries[-1].rank]
     waiting_ms: dict[str, Milliseconds] = {}
     for entry in least_urgent:
         waiting_ms[entry.customer] = waiting_ms.get(entry.customer, 0.0) + entry.work_ms
-    most_ms = max(waiting_ms.values())
-    return [entry for entry in least_urgent if waiting_ms[entry.customer] == most_ms][-1]
+    max_ms = max(waiting_ms.values())
+    return [entry for entry in least_urgent if waiting_ms[entry.customer] == max_ms][-1]
 
 
-def list_in_turn(
+def list_in_start_order(
     queue: UrgencyQueue[Item],
     now: Seconds,
-    turns: Turns | None = None,
+    customer_work: CustomerWork | None = None,
 ) -> list[Item]:
     """List the items in the order in which they should start."""
-    return [entry.item for entry in _put_in_turn(queue.entries, now, turns)]
+    return [entry.item for entry in _sort_by_start_order(queue.entries, now, customer_work)]
 
 
-def _put_in_turn(
-    entries: list[Waiting[Item]], now: Seconds, turns: Turns | None
-) -> list[Waiting[Item]]:
-    by_rank: dict[float, list[Waiting[Item]]] = {}
+def _sort_by_start_order(
+    entries: list[QueueEntry[Item]], now: Seconds, customer_work: CustomerWork | None
+) -> list[QueueEntry[Item]]:
+    by_rank: dict[float, list[QueueEntry[Item]]] = {}
     for entry in entries:
         by_rank.setdefault(entry.rank, []).append(entry)
-    in_turn = []
+    in_order = []
     for rank in sorted(by_rank):
-        of_rank = by_rank[rank]
-        first_in_time = bisect.bisect_left(of_rank, now, key=lambda entry: entry.due)
-        in_turn += _take_turns(of_rank[first_in_time:], now, turns)
-        in_turn += reversed(of_rank[:first_in_time])
-    return in_turn
+        same_rank = by_rank[rank]
+        first_in_time = bisect.bisect_left(same_rank, now, key=lambda entry: entry.due_at)
+        in_order += _sort_by_customer_work(same_rank[first_in_time:], now, customer_work)
+        in_order += reversed(same_rank[:first_in_time])
+    return in_order
 
 
-def _take_turns(
-    entries: list[Waiting[Item]], now: Seconds, turns: Turns | None
-) -> list[Waiting[Item]]:
+def _sort_by_customer_work(
+    entries: list[QueueEntry[Item]], now: Seconds, customer_work: CustomerWork | None
+) -> list[QueueEntry[Item]]:
     """Order the items of one rank, which come by due time, by what was done for their customers."""
-    if turns is None or len({entry.customer for entry in entries}) < 2:
+    if customer_work is None or len({entry.customer for entry in entries}) < 2:
         return entries
-    done_ms: dict[str, Milliseconds] = {}
-    before: dict[int, Milliseconds] = {}
+    work_by_customer_ms: dict[str, Milliseconds] = {}
+    work_before_ms: dict[int, Milliseconds] = {}
     for entry in entries:
-        used_ms = done_ms.get(entry.customer)
-        if used_ms is None:
-            used_ms = find_use_ms(turns, entry.customer, now)
-        before[entry.number] = used_ms
-        done_ms[entry.customer] = used_ms + entry.work_ms
-    return sorted(entries, key=lambda entry: before[entry.number])
+        done_ms = work_by_customer_ms.get(entry.customer)
+        if done_ms is None:
+            done_ms = find_recent_work_ms(customer_work, entry.customer, now)
+        work_before_ms[entry.number] = done_ms
+        work_by_customer_ms[entry.customer] = done_ms + entry.work_ms
+    return sorted(entries, key=lambda entry: work_before_ms[entry.number])
 
 
 def list_ahead(
-    queue: UrgencyQueue[Item], newcomer: Waiting[Item], now: Seconds, turns: Turns | None = None
+    queue: UrgencyQueue[Item],
+    new_entry: QueueEntry[Item],
+    now: Seconds,
+    customer_work: CustomerWork | None = None,
 ) -> list[Item]:
     """List the items that would go before a newcomer which is not in the queue.
 
     Those of its own rank that are late count where they are due before it.
     """
-    ahead = [entry for entry in queue.entries if entry.rank < newcomer.rank]
-    alike = [entry for entry in queue.entries if entry.rank == newcomer.rank]
-    ahead += [entry for entry in alike if entry.due < now and entry.due <= newcomer.due]
-    in_time = [entry for entry in alike if entry.due >= now]
-    bisect.insort(in_time, newcomer, key=_sort_key)
-    in_turn = _take_turns(in_time, now, turns)
-    ahead += in_turn[: in_turn.index(newcomer)]
+    ahead = [entry for entry in queue.entries if entry.rank < new_entry.rank]
+    same_rank = [entry for entry in queue.entries if entry.rank == new_entry.rank]
+    ahead += [
+        entry for entry in same_rank if entry.due_at < now and entry.due_at <= new_entry.due_at
+    ]
+    in_time = [entry for entry in same_rank if entry.due_at >= now]
+    bisect.insort(in_time, new_entry, key=_sort_key)
+    in_order = _sort_by_customer_work(in_time, now, customer_work)
+    ahead += in_order[: in_order.index(new_entry)]
     return [entry.item for entry in ahead]
 
 
-def has_as_urgent(queue: UrgencyQueue[Item], rank: float) -> bool:
+def has_at_least_as_urgent(queue: UrgencyQueue[Item], rank: float) -> bool:
     """Tell whether an item waits that is at least as urgent as a rank."""
     return bool(queue.entries) and queue.entries[0].rank <= rank
 
@@ -143,7 +148,7 @@
 
 def pop(queue: UrgencyQueue[Item], now: Seconds) -> Item | None:
     """Take the most urgent item that can still start in time, else the one that is least late."""
-    item = next(iter(list_in_turn(queue, now)), None)
+    item = next(iter(list_in_start_order(queue, now)), None)
     if item is not None:
         remove(queue, item)
     return item
--- a/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from bendwind_core.admission import Request, note_refused
+from bendwind_core.admission import RequestIdentity, record_refused_caller
 from bendwind_core.attempts import AnswerHead, AttemptId, BodyCredit, CutReason, NotRunReason
 from bendwind_core.attempts import events as ev
 from bendwind_core.claims import (
@@ -187,9 +187,9 @@
 
     def _remember_refused(self) -> None:
         run = self.run
-        if run.span is not None and math.isfinite(run.span.ends_at):
-            asked = Request(run.call.rule.name, run.method, run.target)
-            note_refused(self.entry.returns, asked, run.span, trio.current_time())
+        if run.span is not None and math.isfinite(run.span.timeout_at):
+            asked = RequestIdentity(run.call.rule.name, run.method, run.target)
+            record_refused_caller(self.entry.returns, asked, run.span, trio.current_time())
 
     def _find_delivered_status(self) -> int:
         winner = self.run.call.winner
--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -6,13 +6,13 @@
 import trio
 from expression import Error, Ok, Result
 
-from bendwind_core.admission import CallerTime, Request, take_began_at
+from bendwind_core.admission import CallerTime, RequestIdentity, pop_first_arrived_at
 from bendwind_core.attempts import Header, NotRunReason
 from bendwind_core.attempts.call import create_call
 from bendwind_core.claims import fingerprint_request
 from bendwind_core.claims.messages import MAX_KEY_CHARACTERS
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
-from bendwind_core.limits import admit, check_headers, leave
+from bendwind_core.limits import acquire_call, check_headers, release_call
 from bendwind_core.membership.renewal import MAX_WATCHED
 from bendwind_core.routing import choose_part, find_route
 from bendwind_core.world import Customer, Repeat, Rule, Service, StaleAction, find_rule
@@ -84,14 +84,14 @@
         service = target.service
         share = self.entry.share
         self.entry.find_choice(service)
-        if not admit(share, service.name, service.limits.in_flight_per_entry):
+        if not acquire_call(share, service.name, service.limits.in_flight_per_entry):
             return Error(Refusal.not_run(NotRunReason.OVERLOADED))
         taken: Result[CallRun, Refusal] = Error(_BODY_TOO_SLOW)
         try:
             taken = await self._take_admitted(exchange, call_id, target, arrived_at)
         finally:
             if taken.is_error():
-                leave(share, service.name)
+                release_call(share, service.name)
         return taken
 
     async def _take_admitted(
@@ -127,12 +127,14 @@
         self, request: CallerRequest, rule: Rule, arrived_at: Seconds, timeout_ms: Milliseconds
     ) -> CallerTime:
         """Return since when the caller has been trying, and when its time ends."""
-        ends_at = arrived_at + timeout_ms / MILLISECONDS_PER_SECOND
-        if rule.target_latency_ms is None or not math.isfinite(ends_at):
-            return CallerTime(arrived_at, ends_at)
-        asked = Request(rule.name, request.method, request.target)
+        timeout_at = arrived_at + timeout_ms / MILLISECONDS_PER_SECOND
+        if rule.target_latency_ms is None or not math.isfinite(timeout_at):
+            return CallerTime(arrived_at, timeout_at)
+        asked = RequestIdentity(rule.name, request.method, request.target)
         # Callers that came back displaced new ones, whose answers could still be in time.
-        return CallerTime(take_began_at(self.entry.returns, asked, arrived_at, ends_at), ends_at)
+        return CallerTime(
+            pop_first_arrived_at(self.entry.returns, asked, arrived_at, timeout_at), timeout_at
+        )
 
     def _find_body_limit(self, service: Service) -> int:
         stated = self.entry.routes.routing.limits.body_bytes
@@ -155,7 +157,7 @@
         budget = self.entry.find_choice(service).budget
         target_at = None
         if rule.target_latency_ms is not None:
-            target_at = span.began_at + rule.target_latency_ms / MILLISECONDS_PER_SECOND
+            target_at = span.first_arrived_at + rule.target_latency_ms / MILLISECONDS_PER_SECOND
         call = create_call(
             call_id,
             service,
--- a/packages/bendwind-node/src/bendwind_node/calls/call_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_task.py
@@ -6,7 +6,7 @@
 
 from bendwind_core.attempts import events as ev
 from bendwind_core.attempts.call import may_have_run
-from bendwind_core.limits import leave
+from bendwind_core.limits import release_call
 from bendwind_core.timeline import CallFacts, EventKind
 from bendwind_node.calls import outcomes
 from bendwind_node.calls.call_delivery import Delivery
@@ -108,7 +108,7 @@
             await Delivery(self.entry, exchange, run).finish()
         finally:
             choice.in_flight -= 1
-            leave(self.entry.share, call.service.name)
+            release_call(self.entry.share, call.service.name)
             if not call.is_finished:
                 run.feed(ev.CallerGone())
             if run.quota_grant is not None and not may_have_run(call):
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -6,7 +6,7 @@
 import msgspec
 import trio
 
-from bendwind_core.admission import Returns
+from bendwind_core.admission import RefusedCallers
 from bendwind_core.attempts import (
     AnswerHead,
     AttemptId,
@@ -104,7 +104,7 @@
     far_body_bytes: int = DEFAULT_FAR_BODY_BYTES
     quotas: NodeQuotaTask | None = None
     routes: RouteTable = field(default_factory=RouteTable)
-    returns: Returns = field(default_factory=Returns)
+    returns: RefusedCallers = field(default_factory=RefusedCallers)
     unknown_keys: int = 0
     choices: dict[str, ServiceChoice] = field(default_factory=dict)
     runs: dict[int, CallRun] = field(default_factory=dict)
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -388,7 +388,7 @@
         limit = owned.owner_state.rate_limit
         if notice.limit_per_s is not None:
             self._feed(owned, ev.LimitNamed(notice.limit_per_s, sent_at))
-        elif not notice.malformed and (is_limited(limit) or not limit.is_heard):
+        elif not notice.malformed and (is_limited(limit) or not limit.has_read_answer):
             self._feed(owned, ev.LimitNotNamed(sent_at))
         if notice.malformed:
             self._log_notice(owned, EventKind.NOTICE_MALFORMED, repr(notice.malformed))
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
@@ -6,7 +6,7 @@
 import trio
 from msgspec.structs import replace
 
-from bendwind_core.admission import WarmUp, WarmUpLimits, find_turn_at, is_assumed_cold
+from bendwind_core.admission import WarmUpLimits, WarmUpState, find_limited_send_at, is_assumed_cold
 from bendwind_core.attempts import owner
 from bendwind_core.attempts import owner_events as ev
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
@@ -338,10 +338,10 @@
             self.own.incarnation,
             QUEUE_LIMIT,
             slot_share=self.slot_share,
-            warm_up=WarmUp(
+            warm_up=WarmUpState(
                 self.warm_up_limits,
-                assumed_at=trio.current_time(),
-                sent_at=self.started_at,
+                assumed_cold_at=trio.current_time(),
+                last_sent_at=self.started_at,
             ),
             suspects=self.suspects,
             alone_from=self._find_alone_from(news),
@@ -377,7 +377,7 @@
             self.note_answer(owned, answer, asked_at)
             now = trio.current_time()
             if is_assumed_cold(owned.owner_state.warm_up, now):
-                turn_at = find_turn_at(owned.owner_state.rate_limit, 0, now)
+                turn_at = find_limited_send_at(owned.owner_state.rate_limit, 0, now)
                 await trio.sleep(max(INTRODUCTION_PAUSE, turn_at - now))
         owned.is_being_asked = False
 
