--- a/packages/bendwind-core/src/bendwind_core/admission/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Decide which requests are worth taking; one module a policy."""
+"""Decide which requests an upstream accepts, and when; one module for each policy."""
 
 from bendwind_core.admission.caller_retries import (
     CallerTime,
--- a/packages/bendwind-core/src/bendwind_core/admission/caller_retries.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/caller_retries.py
@@ -1,24 +1,26 @@
-"""Tell how long a caller has been trying that this node refused and that has come back.
+"""Recognise a caller that retries after a refusal, and find when its first request arrived.
 
-A caller that comes back states what is left of its time, so that its request looks like a new one
-though its answer would be late already. Its time still ends at the same moment, and it asks for the
-same thing: a request that agrees in both with one that was refused here is taken for its return.
-Whoever was not refused here is a newcomer, however short the timeout that it states.
+A caller that retries states its remaining timeout, so that its request looks like a new one, though
+its answer may already be too late. But its timeout still elapses at the same moment, and it sends
+the same request. A request that matches one that this node refused in both respects therefore
+counts as a retry of it. A caller that this node did not refuse counts as new, however short the
+timeout that it states.
 """
 
 import msgspec
 
 from bendwind_core.core import Seconds
 
-# The way to the node takes a returning caller longer than before by up to a new connection, some
-# round trips between regions.
+# A retry may need a new connection, which takes some round trips between regions. By this time the
+# end of its timeout may appear later than that of the refused request.
 TIMEOUT_TOLERANCE: Seconds = 0.05
-# Refused requests that a node remembers, about 200 bytes each; of more, the oldest are forgotten.
+# Number of refused requests that a node stores, about 200 bytes each. Beyond it the oldest are
+# removed.
 MAX_REFUSED_CALLERS = 1024
 
 
 class RequestIdentity(msgspec.Struct, frozen=True):
-    """Name what a caller asks for."""
+    """Identify the request that a caller sends."""
 
     route: str
     method: str
@@ -26,7 +28,7 @@
 
 
 class CallerTime(msgspec.Struct, frozen=True):
-    """Hold when a caller began to try, and when its time ends.
+    """Hold when a caller's first request arrived, and when its timeout elapses.
 
     Units: seconds of the node's clock.
     """
@@ -36,7 +38,7 @@
 
 
 class RefusedCallers(msgspec.Struct):
-    """Remember the callers that this node refused lately, by what they asked for."""
+    """Hold the callers that this node refused recently, by their request."""
 
     times_by_request: dict[RequestIdentity, list[CallerTime]] = msgspec.field(default_factory=dict)
     size: int = 0
@@ -48,7 +50,7 @@
     caller_time: CallerTime,
     now: Seconds,
 ) -> None:
-    """Remember a caller that was told to come back."""
+    """Store a caller that was refused and asked to retry."""
     _remove_expired(callers, request, now)
     if callers.size >= MAX_REFUSED_CALLERS:
         oldest_request = next(iter(callers.times_by_request))
@@ -58,7 +60,7 @@
 
 
 def _remove_expired(callers: RefusedCallers, request: RequestIdentity, now: Seconds) -> None:
-    """Forget the callers whose time is over, which are about in the order of their refusals."""
+    """Remove the callers whose timeout has elapsed; they are roughly in the order of refusal."""
     times = callers.times_by_request.get(request, [])
     expired_count = next(
         (index for index, time in enumerate(times) if time.timeout_at > now), len(times)
@@ -78,9 +80,10 @@
 def pop_first_arrived_at(
     callers: RefusedCallers, request: RequestIdentity, now: Seconds, timeout_at: Seconds
 ) -> Seconds:
-    """Return when the caller of a request that has just arrived began to try.
+    """Return when the first request of the caller whose request has just arrived came in.
 
-    A remembered try is taken out, so that it explains one return only.
+    The stored refusal that matches is removed, so that it accounts for one retry only. Without a
+    match the request is new, and `now` is returned.
     """
     _remove_expired(callers, request, now)
     times = callers.times_by_request.get(request, [])
--- a/packages/bendwind-core/src/bendwind_core/admission/dependency_overload.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/dependency_overload.py
@@ -1,10 +1,11 @@
-"""Turn requests away whose runs would fail because a service that they call has no room.
+"""Refuse requests whose runs would fail because a service that they call has no capacity.
 
 An upstream that calls another service ends its run with an error once its call is refused: the run
-was for nothing, and its caller hears of it late. The owner of the upstream sees both, and turns a
-share of the route's requests away before they run. The share rises with each such run and falls
-with each that succeeds, so that it settles where few runs fail. The published way is an admission
-level per request kind that the called service's replies move.
+was wasted, and its caller receives the error late. The owner of the upstream sees both the refused
+call and the error, and refuses a share of the route's requests before they run. The share rises
+with each such run and falls with each run that succeeds, so that it settles where few runs fail.
+The published method instead has an admission level for each kind of request, which the replies of
+the called service adjust.
 
 Source: Zhou et al., "Overload Control for Scaling WeChat Microservices", 2018.
 """
@@ -15,23 +16,27 @@
 
 from bendwind_core.core import Seconds
 
-# A run tells only at its end, when others have begun: with steps five times as long the share
-# swings, and a fifth of the room is left unused (model of runs of 0.7 s, 30 requests a second).
+# Added to the share for each run that fails. The result of a run is known only at its end, when
+# other runs have already started: with steps five times as large the share oscillates, and a fifth
+# of the capacity stays unused (model with runs of 0.7 s and 30 requests a second).
 SHARE_INCREASE = 0.02
-# Falling by so much for each run that succeeds, the share settles where one in six runs fails.
+# Subtracted from the share for each run that succeeds. With this ratio to the increase the share
+# settles where one in six runs fails.
 SHARE_DECREASE = 0.004
-# What is let through even then tells when there is room again.
+# Largest share of requests that is refused. The others still run, so that their results show when
+# the called service has capacity again.
 MAX_REFUSED_SHARE = 0.9
-# A share that no run has told of for so long is forgotten: slow phases and most bursts last less.
+# A share that no run has updated for this time is removed. Slow phases and most bursts are shorter.
 SHARE_EXPIRY: Seconds = 3.0
-# Routes that lead to one service; of more, those noted first are forgotten.
+# Number of routes of one service for which a share is kept. Beyond it the oldest are removed.
 MAX_ROUTES = 256
 
 
 class RouteRefusals(msgspec.Struct):
-    """Hold the share of a route's requests that is turned away, and the part of one that is due.
+    """Hold the share of a route's requests that is refused.
 
-    Units: `told_at` is when a run last told, in seconds of the owner's clock.
+    `accumulated` sums the share over the requests; each time that it reaches 1, one is refused.
+    Units: `updated_at` is when a run last updated the share, in seconds of the owner's clock.
     """
 
     share: float = 0.0
@@ -40,9 +45,10 @@
 
 
 class DependencyOverload(msgspec.Struct):
-    """Hold what an owner knows of the calls that its upstream makes.
+    """Hold what an owner knows about refused calls of its upstream, and the refusals by route.
 
-    Units: `refused_at` is when such a call was last refused, in seconds of the owner's clock.
+    Units: `last_refused_at` is when a call of the upstream was last refused, in seconds of the
+    owner's clock.
     """
 
     last_refused_at: Seconds = -math.inf
@@ -50,14 +56,14 @@
 
 
 def record_refused_call(overload: DependencyOverload, now: Seconds) -> None:
-    """Take notice that a call of the upstream was refused."""
+    """Record that a call of the upstream was refused."""
     overload.last_refused_at = now
 
 
 def record_run_end(
     overload: DependencyOverload, route: str, started_at: Seconds, now: Seconds, *, is_error: bool
 ) -> None:
-    """Learn from a run: an error counts only if a call was refused while it ran."""
+    """Update the share by the result of a run; an error counts if a call was refused during it."""
     if is_error:
         if overload.last_refused_at >= started_at:
             _raise_share(overload, route, now)
@@ -90,7 +96,7 @@
 
 
 def should_refuse_for_dependency(overload: DependencyOverload, route: str, now: Seconds) -> bool:
-    """Tell whether the next request of a route is one of those turned away, and count it."""
+    """Return whether the next request of a route is to be refused, and count the request."""
     refusals = _find_refusals(overload, route, now)
     if refusals is None:
         return False
--- a/packages/bendwind-core/src/bendwind_core/admission/origins.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/origins.py
@@ -1,32 +1,34 @@
-"""Tell the calls that upstreams make from those of callers, by where they come from.
+"""Distinguish inner calls, which upstreams make while they run a request, by their origin.
 
-An upstream sends its calls to the instance beside it. Those of one service's upstreams therefore
-all come from instances of that service, while callers' requests come from instances of several. A
-run whose call is refused has been for nothing, so that such calls are worth a longer wait.
+An upstream sends its calls to the entry node on its own instance. The calls of one service's
+upstreams therefore all come from instances of that service, while callers' requests come from
+instances of several services. A run whose call is refused is wasted, so that inner calls may wait
+longer than callers' requests.
 """
 
 import msgspec
 
-# So many requests of a route tell where its requests come from.
+# Number of requests from which the origins of a route are evaluated.
 MIN_REQUESTS = 20
-# Once so many of a route were seen the older ones count by half.
+# When a route has this number of counted requests its counts are halved, so that newer requests
+# weigh more.
 HALVING_COUNT = 256
-# Requests of one origin to at least this share are an upstream's calls,
+# The requests of a route are inner calls if at least this share of them has one origin,
 MIN_INNER_SHARE = 0.98
-# if at most this share of the other routes' requests has the same origin.
+# and at most this share of the other routes' requests has the same origin.
 MAX_OTHERS_SHARE = 0.8
-# Routes that are told apart; of more, those seen first are forgotten.
+# Number of routes that are counted separately. Beyond it the oldest are removed.
 MAX_ROUTES = 256
 
 
 class RouteOrigins(msgspec.Struct):
-    """Count the requests of each route by the service beside which they began."""
+    """Hold the request counts of each route by the service that runs beside the entry node."""
 
     counts: dict[str, dict[str, float]] = msgspec.field(default_factory=dict)
 
 
 def record_origin(origins: RouteOrigins, route: str, origin: str) -> None:
-    """Count one request; an empty origin says that nothing runs beside its entry node."""
+    """Count one request; the origin is empty if no upstream runs beside its entry node."""
     counts = origins.counts.get(route)
     if counts is None:
         if len(origins.counts) >= MAX_ROUTES:
@@ -38,7 +40,7 @@
 
 
 def is_inner_call(origins: RouteOrigins, route: str) -> bool:
-    """Tell whether a route's requests are calls that upstreams make while they run another."""
+    """Return whether a route's requests are calls that upstreams make while they run others."""
     own_counts = origins.counts.get(route, {})
     own_total = sum(own_counts.values())
     if own_total < MIN_REQUESTS:
--- a/packages/bendwind-core/src/bendwind_core/admission/rate_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/rate_limit.py
@@ -1,11 +1,12 @@
-"""Keep the rate limit that an upstream names in its answers.
+"""Enforce the rate limit that an upstream states in its answers, with a token bucket.
 
-Load pattern: an upstream in need names how many requests a second it takes from all nodes together,
-for as long as it says so, while callers go on offering many times as much.
+Load pattern: an overloaded upstream states how many requests a second it accepts from all nodes
+together. The limit holds as long as its answers state it, while callers continue to send many times
+as much.
 
-The node beside the upstream is the only one that sends to it, so the limit is kept where the sum is
-known, with no message a request. A bucket fills at the named rate. It is empty when the limit
-becomes known: an earlier life of this process, or another owner, may have spent it.
+The node beside the upstream is the only one that sends to it, so that this node knows the total
+without a message for each request. The bucket fills at the stated rate. It starts empty when the
+limit becomes known: a previous run of this process, or another owner, may have used it up.
 """
 
 import enum
@@ -15,22 +16,24 @@
 
 from bendwind_core.core import Seconds
 
-# Requests that may go out at once after a pause; it bears timers that fire late.
+# Number of requests that may be sent at once after a pause. It compensates for late timers.
 BURST = 2.0
-# An upstream that takes nothing is still sent a request every four seconds: only an answer can say
-# that its limit has ended, and these few are within what any limit allows.
+# An upstream whose limit is lower, or zero, still receives one request every four seconds: only an
+# answer can show that its limit has ended. So few requests are within what any limit allows.
 MIN_RATE_PER_S = 0.25
-# While a former owner may still send at the full rate, the new one sends at half of it: together
-# they stay within one and a half times the limit, and their bursts within four requests more.
+# While a former owner may still send at the full rate, the new owner sends at this share of it.
+# Together they stay within one and a half times the limit, plus four requests for their bursts.
 TAKEOVER_SHARE = 0.5
-# An answer that was read this shortly after a newer one may have been overtaken by it.
+# An answer to an older request that is read within this time after the answer to a newer one may
+# be out of order, and its limit outdated.
 REORDER_WINDOW: Seconds = 0.25
-# Waits are computed and compared in floating point; without it a timer may fire for nothing.
+# Waits are computed and compared in floating point. Without a tolerance, a timer may fire slightly
+# before the token is complete, and its wake-up would be wasted.
 _TOKEN_TOLERANCE = 1e-6
 
 
 class LimitChange(enum.StrEnum):
-    """Say what became of an upstream's rate limit."""
+    """Name a change of an upstream's rate limit."""
 
     NAMED = "named"
     CHANGED = "changed"
@@ -40,13 +43,15 @@
 
 
 class RateLimit(msgspec.Struct):
-    """Hold an upstream's rate limit and what of it is left.
-
-    `is_heard` says that an answer of this run was read; until then `per_second` may be what an
-    entry node had heard before. `named_at` is when the newest request was sent whose answer named
-    a limit, `newest_at` that of the newest whose answer was read, `read_at` when that was.
-    `alone_from` is when no former owner can send any more. `told_until` is the time up to which
-    refused attempts were told to come back.
+    """Hold an upstream's rate limit and its token bucket.
+
+    `has_read_answer` is true once an answer of the upstream's present run was read. Until then
+    `per_second` may be a limit that an entry node knew of before. `named_sent_at` is the send time
+    of the newest request whose answer stated a limit, `newest_sent_at` the send time of the newest
+    request whose answer was read, and `newest_read_at` when that answer was read. From
+    `alone_from` on, no former owner can send to the upstream any more. `refilled_at` is when
+    `tokens` was last computed. `last_retry_at` is the latest time at which a refused caller was
+    asked to retry.
     Units: `per_second` in requests a second, None without a limit; `tokens` in requests.
     """
 
@@ -64,7 +69,7 @@
 def record_named_limit(
     limit: RateLimit, per_second: float, sent_at: Seconds, now: Seconds
 ) -> LimitChange | None:
-    """Hear the limit that an answer named, to a request that was sent at a time."""
+    """Record the limit that the answer to a request sent at `sent_at` states."""
     is_reordered = sent_at < limit.newest_sent_at and now - limit.newest_read_at < REORDER_WINDOW
     limit.has_read_answer = True
     if is_reordered:
@@ -75,7 +80,10 @@
 
 
 def record_no_limit(limit: RateLimit, sent_at: Seconds, now: Seconds) -> LimitChange | None:
-    """Hear that an answer named no limit; it ends one if its request was sent after the last."""
+    """Record that an answer stated no limit.
+
+    This ends the limit if the request was sent after the newest one whose answer stated a limit.
+    """
     limit.has_read_answer = True
     is_later = sent_at > limit.named_sent_at
     if sent_at >= limit.newest_sent_at:
@@ -87,7 +95,7 @@
 
 
 def record_carried_limit(limit: RateLimit, per_second: float, now: Seconds) -> LimitChange | None:
-    """Hear from an entry node which limit it had heard of; the upstream's own word goes first."""
+    """Record a limit that an entry node knows of; an answer of the upstream takes precedence."""
     if limit.has_read_answer:
         return None
     limit.named_sent_at = now
@@ -95,7 +103,7 @@
 
 
 def reset_rate_limit(limit: RateLimit) -> LimitChange | None:
-    """Turn to another run of the upstream, which begins without a limit."""
+    """Remove the limit, since a new run of the upstream starts without one."""
     had_one = limit.per_second is not None
     limit.per_second = None
     limit.has_read_answer = False
@@ -125,12 +133,12 @@
 
 
 def is_limited(limit: RateLimit) -> bool:
-    """Tell whether the upstream has named a limit that holds."""
+    """Return whether a limit of the upstream is in force."""
     return limit.per_second is not None
 
 
 def find_reported_limit(limit: RateLimit) -> float | None:
-    """Return what entry nodes are told: None where this run has named no limit since its start.
+    """Return the limit reported to entry nodes, None if this run never stated one.
 
     Units: requests a second; infinite once a limit has ended.
     """
@@ -140,20 +148,20 @@
 
 
 def consume_token(limit: RateLimit, now: Seconds) -> None:
-    """Note that a request goes out, whether it had waited for its turn or not."""
+    """Consume a token for a request that is sent, whether or not the bucket held one for it."""
     if is_limited(limit):
         limit.tokens = max(-BURST, _count_tokens(limit, now) - 1.0)
         limit.refilled_at = now
 
 
 def find_send_rate(limit: RateLimit, now: Seconds) -> float:
-    """Return how many requests a second may go out now; only where there is a limit."""
+    """Return how many requests a second may be sent now; requires a limit."""
     rate = max(MIN_RATE_PER_S, limit.per_second)
     return rate * TAKEOVER_SHARE if now < limit.alone_from else rate
 
 
 def find_limited_send_at(limit: RateLimit, ahead: int, now: Seconds) -> Seconds:
-    """Return when a request may go out that has so many others ahead of it."""
+    """Return when a request may be sent that has `ahead` others before it."""
     if not is_limited(limit):
         return now
     missing = 1.0 + ahead - _count_tokens(limit, now)
@@ -162,15 +170,15 @@
     send_at = now + missing / find_send_rate(limit, now)
     if send_at <= limit.alone_from or now >= limit.alone_from:
         return send_at
-    # From then on the whole limit is this owner's.
+    # From `alone_from` on this owner may use the whole limit.
     missing -= (limit.alone_from - now) * find_send_rate(limit, now)
     return limit.alone_from + missing / find_send_rate(limit, limit.alone_from)
 
 
 def assign_retry_at(limit: RateLimit, now: Seconds, max_delay: Seconds) -> Seconds:
-    """Return when a refused caller should come back: each a turn later than the one before.
+    """Return when a refused caller should retry, one request interval after the previous caller.
 
-    Told the same moment, all would come back at once, and all but one be refused again.
+    If all had the same retry time, all would retry at once, and all but one would be refused again.
     """
     retry_at = max(
         find_limited_send_at(limit, 0, now), limit.last_retry_at + 1.0 / find_send_rate(limit, now)
--- a/packages/bendwind-core/src/bendwind_core/admission/slot_reservation.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/slot_reservation.py
@@ -1,8 +1,8 @@
-"""Keep the last free slot for what is more urgent, where that is likely to come.
+"""Reserve the last free slot for more urgent requests where they are likely to arrive.
 
-A run is not cut. A less urgent one that takes the last slot is in the way of whatever more urgent
-comes until it ends, so that it is held back where enough of those came lately. What is idle is lent
-as soon as they stay away.
+A run is not interrupted. A less urgent run in the last slot therefore blocks each more urgent
+request that arrives before it ends, so that it has to wait if enough of those arrived recently. As
+soon as they cease, the idle slot is open to less urgent requests again.
 """
 
 import math
@@ -11,24 +11,25 @@
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 
-# What came fades by half in so long: a burst is over a second after its last request.
+# Half-life of the counted arrivals: a burst counts as over one second after its last request.
 ARRIVAL_HALF_LIFE: Seconds = 1.0
-# The slot is kept if more than so many more urgent requests are expected while the less urgent one
-# would run: with fewer, slots stay idle; with more, a less urgent caller may go before.
+# The slot is reserved if more than this number of more urgent requests is expected during the run
+# of the less urgent one. With a lower number slots stay idle; with a higher one less urgent
+# callers may be served first.
 MAX_EXPECTED_ARRIVALS = 3.0
-# Ranks that are counted apart; configurations state a few.
+# Number of ranks that are counted separately. Configurations have only a few.
 MAX_ARRIVAL_RANKS = 64
 
 
 class ArrivalCounts(msgspec.Struct):
-    """Count the requests of each rank that came lately, faded to `at`."""
+    """Hold the decayed number of recent requests of each rank, as of `updated_at`."""
 
     counts: dict[float, float] = msgspec.field(default_factory=dict)
     updated_at: Seconds = 0.0
 
 
 def record_arrival(arrivals: ArrivalCounts, rank: float, now: Seconds) -> None:
-    """Count a request that came, whatever becomes of it."""
+    """Count a request that arrived, whether or not it is accepted."""
     decay = 0.5 ** ((now - arrivals.updated_at) / ARRIVAL_HALF_LIFE)
     for known in arrivals.counts:
         arrivals.counts[known] *= decay
@@ -38,9 +39,9 @@
 
 
 def find_reserved_until(arrivals: ArrivalCounts, rank: float, run_ms: Milliseconds) -> Seconds:
-    """Return until when a slot is kept from a request of `rank` whose run takes `run_ms`.
+    """Return until when a request of `rank` whose run takes `run_ms` may not use the last slot.
 
-    Units: seconds of the owner's clock; minus infinity where none is kept.
+    Units: seconds of the owner's clock; minus infinity if no slot is reserved.
     """
     count = sum(count for other, count in arrivals.counts.items() if other < rank)
     rate = count * math.log(2.0) / ARRIVAL_HALF_LIFE
--- a/packages/bendwind-core/src/bendwind_core/admission/starvation.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/starvation.py
@@ -1,31 +1,34 @@
-"""Decide by rank who is served where there is too little room, and that nobody starves.
+"""Prevent the starvation of less urgent ranks where the capacity is too small for all requests.
 
-Load pattern: lasting overload. The more urgent goes first; but a rank that was served much less
-often than all together gets the next slot, so that strict order starves nobody.
+Load pattern: lasting overload. More urgent requests are served first. But a rank whose requests
+are served much less often than those of all ranks together gets the next slot, so that strict
+priority starves no rank.
 
-The callers' bound is that each kind is served at least a quarter as often as all. What is counted
-here are requests that were offered to wait or run at this upstream, and those that were started.
+The bound promised to callers is that each kind of request is served at least a quarter as often as
+all requests. The counts here are of requests that were offered to this upstream to wait or run, and
+of those that were started.
 """
 
 import msgspec
 
 from bendwind_core.core import Seconds
 
-# A rank whose requests start less often than this, as a share of how often all do, goes first. The
-# bound that callers are promised is a quarter; a twentieth more, since what is offered is counted
-# at one upstream and may go to another one.
+# A rank is served first if the share of its requests that start is less than this part of the share
+# of all requests that start. The bound promised to callers is a quarter. A twentieth is added,
+# since a request that is counted as offered to one upstream may be served by another one.
 MIN_SERVED_RATIO = 0.3
-# Counts fade by half in so long: longer than requests run and wait, shorter than what a caller
-# would call starving.
+# Half-life of the counts: longer than requests run and wait, shorter than a time that a caller
+# would regard as starvation.
 COUNT_HALF_LIFE: Seconds = 10.0
-# So many requests of a rank tell how often it is served; of fewer, none may have had its turn yet.
+# Number of offered requests from which the share of a rank is evaluated. Of fewer requests, none
+# may have been due to start yet.
 MIN_OFFERED = 3.0
-# Ranks that are counted apart; configurations state a few.
+# Number of ranks that are counted separately. Configurations have only a few.
 MAX_RANKS = 64
 
 
 class RankCount(msgspec.Struct):
-    """Count one rank's requests that were offered and started, faded to a time."""
+    """Hold the decayed numbers of one rank's offered and started requests, as of `updated_at`."""
 
     offered: float = 0.0
     started: float = 0.0
@@ -33,13 +36,13 @@
 
 
 class RankCounts(msgspec.Struct):
-    """Hold how often the requests of each rank were offered and started lately."""
+    """Hold how many requests of each rank were offered and started recently."""
 
     ranks: dict[float, RankCount] = msgspec.field(default_factory=dict)
 
 
 def record_offered(counts: RankCounts, rank: float, now: Seconds) -> None:
-    """Count a request that would wait or run."""
+    """Count a request that was offered to the upstream, to wait or to run."""
     count = _find_count(counts, rank, now)
     if count is not None:
         count.offered += 1.0
@@ -70,7 +73,7 @@
 
 
 def find_starved_rank(counts: RankCounts, now: Seconds) -> float | None:
-    """Return the rank that has to go first since it was served too seldom, or None."""
+    """Return the rank that is served first because it was served too seldom, or None."""
     for count in counts.ranks.values():
         _decay_count(count, now)
     offered = sum(count.offered for count in counts.ranks.values())
--- a/packages/bendwind-core/src/bendwind_core/admission/warm_up.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/warm_up.py
@@ -1,12 +1,14 @@
-"""Bound what a cold upstream is sent, and tell when it has room for one more request.
+"""Limit the request rate to a cold upstream, and find when the next request may be sent to it.
 
-Load pattern: the upstreams of a service come back together, cold, while callers press. Loaded as
-if warm they fall over, start again cold and fall over again, so that the service never comes back.
+Load pattern: all upstreams of a service restart together and are cold, while callers send at their
+full rate. Under the load of a warm upstream they crash, restart cold and crash again, so that the
+service never recovers.
 
-The node beside an upstream is the only one that sends to it, so the bound is kept where it is
-exact. An upstream that is not known to be warm counts as cold: it may have started a moment ago.
-Requests are spaced evenly, so that the bound holds in any second, also in one during which this
-process was killed and started again: neither life sends sooner than one space after the other.
+The node beside an upstream is the only one that sends to it, so that this node can enforce the
+limit exactly. An upstream that is not known to be warm counts as cold: it may just have started.
+Requests are spaced evenly, so that the limit holds in any second. That includes a second in which
+this process was killed and restarted: a request of the new process is sent at least one spacing
+after the last one of the old process.
 """
 
 import math
@@ -16,15 +18,16 @@
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Record, Seconds
 from bendwind_core.world import WarmUpRule
 
-# The bound is stated for any span of one second; one request may take a little longer on its way
-# to the upstream, which is on the same instance, than the one after it.
+# Period in which as many requests are sent as the limit allows in one second. It is a little longer
+# than a second, since one request may take a little longer than the next one to reach the upstream,
+# which is on the same instance.
 SPACING_WINDOW: Seconds = 1.05
 
 
 class WarmUpLimits(Record, frozen=True, array_like=True):
-    """State by how much a service's warm-up rate may be exceeded in any second.
+    """Hold by how much the warm-up rate of a service may be exceeded in any second.
 
-    Units: `overage` is a factor of the rate, `slack` a number of requests.
+    Units: `overage` is a factor of the rate, `slack` a number of requests added to it.
     """
 
     overage: float = 1.0
@@ -32,10 +35,11 @@
 
 
 class WarmUpState(msgspec.Struct):
-    """Hold what is known of how warm an upstream is, and when it was sent the last request.
+    """Hold whether an upstream is cold, and when the last request was sent to it.
 
-    `assumed_at` is when it was last taken for cold without being told so, None once it has told.
-    `sent_at` begins with the start of this process: its earlier life may have sent one just before.
+    `assumed_cold_at` is when the upstream was last assumed to be cold without a report from it,
+    and None once it has reported. The initial value of `last_sent_at` is the start of this process,
+    since its previous run may have sent a request just before.
     """
 
     limits: WarmUpLimits = WarmUpLimits()
@@ -46,14 +50,14 @@
 
 
 def assume_cold(warm_up: WarmUpState, now: Seconds) -> None:
-    """Take an upstream for cold until it says otherwise or has had the time to warm up."""
+    """Assume that an upstream is cold until it reports otherwise or its warm-up time has passed."""
     warm_up.assumed_cold_at = now
 
 
 def record_cold_announcement(warm_up: WarmUpState, left_ms: Milliseconds, now: Seconds) -> None:
-    """Note how much longer the upstream stays cold by a message that may be old.
+    """Record how much longer the upstream stays cold, from a message that may be old.
 
-    A late one makes the time longer than it is, never shorter, so that the longest told holds.
+    A delayed message makes the time too long, never too short, so that the latest end holds.
     """
     warm_up.cold_until = max(warm_up.cold_until, now + left_ms / MILLISECONDS_PER_SECOND)
 
@@ -61,37 +65,37 @@
 def record_cold_reply(
     warm_up: WarmUpState, left_ms: Milliseconds, asked_at: Seconds, now: Seconds
 ) -> None:
-    """Note how much longer the upstream stays cold by its answer to a question."""
+    """Record how much longer the upstream stays cold, from its reply to a query."""
     record_cold_announcement(warm_up, left_ms, now)
     if warm_up.assumed_cold_at is not None and asked_at >= warm_up.assumed_cold_at:
         warm_up.assumed_cold_at = None
 
 
 def is_assumed_cold(warm_up: WarmUpState, now: Seconds) -> bool:
-    """Tell whether the upstream counts as cold only because nothing is known of it."""
+    """Return whether the upstream counts as cold only because it has not reported yet."""
     if warm_up.rule is None or warm_up.assumed_cold_at is None:
         return False
     return now < warm_up.assumed_cold_at + warm_up.rule.seconds
 
 
 def is_cold(warm_up: WarmUpState, now: Seconds) -> bool:
-    """Tell whether the upstream has to be spared."""
+    """Return whether the upstream counts as cold, so that its request rate is limited."""
     if warm_up.rule is None:
         return False
     return now < warm_up.cold_until or is_assumed_cold(warm_up, now)
 
 
 def record_request_sent(warm_up: WarmUpState, now: Seconds) -> None:
-    """Note that a request went out, also to a warm upstream: it may turn cold at any moment."""
+    """Record that a request was sent, also to a warm upstream: it may turn cold at any moment."""
     warm_up.last_sent_at = now
 
 
 def find_cold_send_at(
     warm_up: WarmUpState, ahead: int, now: Seconds, *, has_unsent: bool = False
 ) -> Seconds:
-    """Return when a request may go out that has so many others ahead of it.
+    """Return when a request may be sent that has `ahead` others before it.
 
-    `has_unsent` says that one is still waiting for a connection, and may go out at any moment.
+    `has_unsent` is true if a request still waits for a connection and may be sent at any moment.
     """
     if not is_cold(warm_up, now):
         return now
@@ -102,7 +106,7 @@
 
 
 def find_spacing(rule: WarmUpRule, limits: WarmUpLimits) -> Seconds:
-    """Return the time between two requests by which any second holds no more than it may."""
+    """Return the time between two requests that keeps any second within the limit."""
     most = max(1, math.floor(rule.per_second * limits.overage + limits.slack))
     return SPACING_WINDOW / most
 
--- a/packages/bendwind-core/src/bendwind_core/limits/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the bounds on what calls and measuring may take."""
+"""Limit the resources that calls, retries and probes may use."""
 
 from bendwind_core.limits import urgency_queue
 from bendwind_core.limits.concurrency_share import (
--- a/packages/bendwind-core/src/bendwind_core/limits/concurrency_share.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/concurrency_share.py
@@ -1,7 +1,8 @@
-"""Share an entry node's calls in flight among its services.
+"""Divide an entry node's capacity for calls in flight among its services.
 
-Half of the places are reserved in equal parts, one for each service; the other half goes to
-whoever asks first. So a busy service may take what is idle, but never another's part.
+Half of the capacity is reserved, in equal parts, for the services; the other half is shared and
+allocated first come, first served. A busy service may thus use idle shared capacity, but never the
+reserved part of another service.
 """
 
 from collections.abc import Iterable
@@ -12,7 +13,10 @@
 
 
 class ConcurrencyShare(msgspec.Struct):
-    """Hold the calls in flight of each service of an entry node."""
+    """Hold the calls in flight of each service of an entry node.
+
+    `shared_in_flight` counts the calls beyond the reserved part of their service.
+    """
 
     capacity: int
     reserved_per_service: int = 0
@@ -23,7 +27,10 @@
 
 
 def set_services(share: ConcurrencyShare, names: Iterable[str]) -> None:
-    """Take over the services; those that left keep no reserve for the calls they still have."""
+    """Set the services of the node.
+
+    No capacity is reserved for removed services, but their calls in flight still count.
+    """
     counts = dict.fromkeys(names, 0)
     service_count = len(counts)
     for name, count in share.in_flight.items():
@@ -38,7 +45,7 @@
 
 
 def acquire_call(share: ConcurrencyShare, service: str, limit: int) -> bool:
-    """Take a place for a call; `limit` is the service's own bound. Return False if none is free."""
+    """Admit a call if capacity is free and the service is below `limit`; return False if not."""
     count = share.in_flight.get(service)
     if count is None or count >= limit or share.total_in_flight >= share.capacity:
         return False
@@ -52,7 +59,7 @@
 
 
 def release_call(share: ConcurrencyShare, service: str) -> None:
-    """Give back the place of a call that ended."""
+    """Release the capacity of a call that ended."""
     count = share.in_flight[service]
     if count > share.reserved_per_service:
         share.shared_in_flight -= 1
--- a/packages/bendwind-core/src/bendwind_core/limits/customer_work.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/customer_work.py
@@ -1,8 +1,8 @@
-"""Have customers take turns by the work that was lately done for each.
+"""Measure the work done recently for each customer, to serve customers in turn.
 
-A customer's use fades, so that what it asked for some seconds ago is not held against it. Of those
-that wait, the one for which least was done goes first; each further request of the same customer
-counts the ones before it.
+The work decays, so that requests of some seconds ago do not count against a customer. Of the
+waiting customers, the one for which the least work was done is served first; each further request
+of the same customer counts the work of its requests before it.
 """
 
 import collections
@@ -11,23 +11,23 @@
 
 from bendwind_core.core import Milliseconds, Seconds
 
-# The use of a customer fades by half in so long: about the length of a few requests, so that who
-# was served just now lets others go first, and a burst is forgotten soon after its end.
+# Half-life of a customer's work: about the run time of a few requests, so that a customer that was
+# just served comes after others, and a burst stops counting soon after its end.
 WORK_HALF_LIFE: Seconds = 1.0
-# Customers whose use is known; of more, those served longest ago are forgotten, for whom next to
-# nothing was done lately.
+# Number of customers whose work is stored. Beyond it the customer served longest ago is removed,
+# whose work has almost decayed to zero.
 MAX_CUSTOMERS = 256
 
 
 class RecentWork(msgspec.Struct):
-    """Hold the work done for one customer as of a time."""
+    """Hold the decayed work done for one customer, as of `updated_at`."""
 
     work_ms: Milliseconds
     updated_at: Seconds
 
 
 class CustomerWork(msgspec.Struct):
-    """Hold the work done for each customer, the one served longest ago first."""
+    """Hold the work done for each customer; the one served longest ago comes first."""
 
     by_customer: collections.OrderedDict[str, RecentWork] = msgspec.field(
         default_factory=collections.OrderedDict
@@ -37,7 +37,7 @@
 def record_work(
     customer_work: CustomerWork, customer: str, work_ms: Milliseconds, now: Seconds
 ) -> None:
-    """Count work for a customer; requests of nobody known are those of one more, unnamed."""
+    """Add work to a customer; requests without a known customer share one unnamed customer."""
     total_ms = find_recent_work_ms(customer_work, customer, now) + work_ms
     customer_work.by_customer[customer] = RecentWork(total_ms, now)
     customer_work.by_customer.move_to_end(customer)
@@ -46,7 +46,7 @@
 
 
 def find_recent_work_ms(customer_work: CustomerWork, customer: str, now: Seconds) -> Milliseconds:
-    """Return how much was lately done for a customer."""
+    """Return the work done recently for a customer, decayed to `now`."""
     recent_work = customer_work.by_customer.get(customer)
     if recent_work is None:
         return 0.0
--- a/packages/bendwind-core/src/bendwind_core/limits/fair_queue.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/fair_queue.py
@@ -1,7 +1,8 @@
-"""Queue items of several sources so that none takes another's share.
+"""Queue items of several sources so that no source uses the share of another.
 
-Sources take turns; within one, the order of arrival holds. When the queue is full, an arrival
-displaces the newest item of the longest line if its own line is shorter by two or more.
+Sources are served round robin; the items of one source are served in order of arrival. When the
+queue is full, a new item evicts the newest item of the source with the most items, provided that
+the new item's source has at least two items fewer.
 """
 
 import collections
@@ -13,7 +14,7 @@
 
 
 class FairQueue(msgspec.Struct, Generic[Item]):
-    """Hold at most `capacity` items in one line per source."""
+    """Hold at most `capacity` items, in one queue for each source."""
 
     capacity: int
     size: int = 0
@@ -23,7 +24,7 @@
 
 
 def push(queue: FairQueue[Item], source: str, item: Item) -> Item | None:
-    """Add an item; return the one that had to give way, which may be the item itself."""
+    """Add an item; return the evicted item, which may be the new one, or None."""
     evicted = None
     if queue.size >= queue.capacity:
         evicted = _evict_newest(queue, source)
@@ -47,7 +48,7 @@
 
 
 def pop(queue: FairQueue[Item]) -> Item | None:
-    """Take the oldest item of the source whose turn it is."""
+    """Remove and return the oldest item of the next source, or None if the queue is empty."""
     if not queue.items_by_source:
         return None
     source, items = queue.items_by_source.popitem(last=False)
@@ -59,7 +60,7 @@
 
 
 def remove(queue: FairQueue[Item], source: str, item: Item) -> bool:
-    """Take an item out of its line; return False if it was not there."""
+    """Remove an item from the queue of its source; return False if it was not there."""
     items = queue.items_by_source.get(source)
     if items is None or item not in items:
         return False
--- a/packages/bendwind-core/src/bendwind_core/limits/probe_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/probe_budget.py
@@ -1,4 +1,4 @@
-"""Bound what probes of upstreams' load may cost, in any second, whatever the traffic is."""
+"""Limit the messages and bytes of load probes in any second, independently of the traffic."""
 
 import collections
 
@@ -10,10 +10,10 @@
 
 
 class ProbeBudget(msgspec.Struct):
-    """Hold the messages and bytes spent in the last second.
+    """Hold the messages and bytes of probes in the last second.
 
-    The window is exact: a token bucket of this rate would let up to twice as much into a second.
-    It holds at most `messages_per_s` entries.
+    The sliding window is exact: a token bucket of this rate would allow up to twice as much in one
+    second. `spent` holds at most `messages_per_s` entries.
     """
 
     messages_per_s: int
@@ -26,7 +26,7 @@
 
 
 def spend_probe(budget: ProbeBudget, messages: int, size: int, now: Seconds) -> bool:
-    """Pay for a probe with its answer; return False, and pay nothing, where that cannot be."""
+    """Charge a probe and its answer; return False, and charge nothing, if the budget is too low."""
     _remove_expired(budget, now)
     if budget.messages + messages > budget.messages_per_s:
         return False
--- a/packages/bendwind-core/src/bendwind_core/limits/request_size.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/request_size.py
@@ -1,4 +1,4 @@
-"""Check the size of a request against its limits."""
+"""Check the size of a request against the limits."""
 
 import enum
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class SizeExceeded(enum.StrEnum):
-    """Say which limit a request exceeds."""
+    """Name the limit that a request exceeds."""
 
     BODY = "body-too-large"
     HEADERS = "headers-too-large"
@@ -22,7 +22,7 @@
 
 
 def check_headers(headers: Sequence[tuple[bytes, bytes]]) -> Result[None, SizeExceeded]:
-    """Check the number of headers and their bytes."""
+    """Check the number of headers and their total bytes."""
     size = sum(len(name) + len(value) for name, value in headers)
     if len(headers) > MAX_HEADER_COUNT or size > MAX_HEADER_BYTES:
         return Error(SizeExceeded.HEADERS)
@@ -30,7 +30,7 @@
 
 
 def check_body(limits: Limits, size: int) -> Result[None, SizeExceeded]:
-    """Check the bytes of a body, as announced or as received so far."""
+    """Check the size of a body, as declared by its header or as received so far."""
     if size > limits.body_bytes:
         return Error(SizeExceeded.BODY)
     return _WITHIN_LIMITS
--- a/packages/bendwind-core/src/bendwind_core/limits/retry_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/retry_budget.py
@@ -1,4 +1,4 @@
-"""Bound how many retries and hedges a service's calls may add."""
+"""Limit how many retries and hedges the calls of a service may add."""
 
 import math
 
@@ -8,11 +8,11 @@
 from bendwind_core.limits.no_wait_budget import NoWaitBudget
 
 MAX_RETRY_TOKENS = 10.0
-# Of what is saved above one retry half is gone after this time. All nodes spend together at the
-# first moment of a fault that all see: ten saved at each of 95 nodes were twice what users allow
-# in ten seconds, by the model in tests/test_retry_budget.py.
+# Half-life of the saved tokens above one retry. When a fault affects all nodes, all of them spend
+# their tokens at its start: ten tokens saved at each of 95 nodes are twice the retries that users
+# allow in ten seconds, by the model in tests/test_retry_budget.py.
 SAVED_TOKENS_HALF_LIFE: Seconds = 5.0
-# Ten times 0.1 is a little under 1 in floating point.
+# The sum of ten times 0.1 is slightly less than 1 in floating point.
 _ONE_TOKEN = 1.0 - 1e-9
 
 
@@ -20,8 +20,8 @@
     """Hold the retries earned by first attempts and not yet spent.
 
     The budget starts empty, so that the attempts of a service never exceed its first attempts
-    times 1 + `ratio`; what is saved above one retry fades. `tries` bounds what costs no upstream
-    anything.
+    times 1 + `ratio`. Saved tokens above one retry decay. `no_wait` limits refused attempts, which
+    cost no upstream anything.
     """
 
     ratio: float
@@ -40,12 +40,12 @@
 
 
 def may_retry(budget: RetryBudget) -> bool:
-    """Tell whether one more attempt can be paid for."""
+    """Return whether the budget allows one more attempt."""
     return budget.tokens >= _ONE_TOKEN
 
 
 def spend_retry(budget: RetryBudget) -> bool:
-    """Pay for one more attempt; return False, and pay nothing, where that cannot be."""
+    """Charge one more attempt; return False, and charge nothing, if the budget is too low."""
     if not may_retry(budget):
         return False
     budget.tokens = max(0.0, budget.tokens - 1.0)
--- a/packages/bendwind-core/src/bendwind_core/limits/urgency_queue.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/urgency_queue.py
@@ -1,7 +1,8 @@
-"""Queue items by rank, then by what can still start in time, by turns of customers, by due time.
+"""Order waiting items by rank, then by whether they can still start in time.
 
-Within a rank the items of one customer keep the order in which they are due, so that due time alone
-decides where requests have no customer.
+Of the items of one rank that can start in time, those of the customer with the least recent work
+come first, and then those that are due earlier. The items of one customer stay in the order in
+which they are due, so that the due time alone decides if requests have no customer.
 """
 
 import bisect
@@ -16,9 +17,9 @@
 
 
 class QueueEntry(msgspec.Struct, Generic[Item], eq=False):
-    """Hold an item that waits; the lowest rank is the most urgent.
+    """Hold a waiting item; the lowest rank is the most urgent.
 
-    Units: `work_ms` is what the item takes of its customer's turns, in milliseconds.
+    Units: `work_ms` is the work that the item adds to its customer, in milliseconds.
     """
 
     item: Item
@@ -30,7 +31,7 @@
 
 
 class UrgencyQueue(msgspec.Struct, Generic[Item]):
-    """Hold at most `capacity` items; those due at the same time keep their order of arrival."""
+    """Hold at most `capacity` items; items due at the same time keep their order of arrival."""
 
     capacity: int
     next_number: int = 0
@@ -48,7 +49,7 @@
     customer: str = "",
     work_ms: Milliseconds = 0.0,
 ) -> Item | None:
-    """Add an item; return the one that gives way if there were too many, maybe the item itself."""
+    """Add an item; return the item evicted from a full queue, maybe the new one, or None."""
     entry = QueueEntry(item, due_at, queue.next_number, rank, customer, work_ms)
     bisect.insort(queue.entries, entry, key=_sort_key)
     queue.next_number += 1
@@ -64,7 +65,11 @@
 
 
 def _find_entry_to_evict(queue: UrgencyQueue[Item]) -> QueueEntry[Item]:
-    """Return the last item of the least urgent rank's customer that waits with most."""
+    """Return the entry to evict.
+
+    It is the last one, in the least urgent rank, of the customer whose entries of that rank have
+    the most work in total.
+    """
     least_urgent = [entry for entry in queue.entries if entry.rank == queue.entries[-1].rank]
     waiting_ms: dict[str, Milliseconds] = {}
     for entry in least_urgent:
@@ -78,7 +83,7 @@
     now: Seconds,
     customer_work: CustomerWork | None = None,
 ) -> list[Item]:
-    """List the items in the order in which they should start."""
+    """Return the items in the order in which they should start."""
     return [entry.item for entry in _sort_by_start_order(queue.entries, now, customer_work)]
 
 
@@ -100,7 +105,7 @@
 def _sort_by_customer_work(
     entries: list[QueueEntry[Item]], now: Seconds, customer_work: CustomerWork | None
 ) -> list[QueueEntry[Item]]:
-    """Order the items of one rank, which come by due time, by what was done for their customers."""
+    """Sort the entries of one rank, given by due time, by the work done for their customers."""
     if customer_work is None or len({entry.customer for entry in entries}) < 2:
         return entries
     work_by_customer_ms: dict[str, Milliseconds] = {}
@@ -120,9 +125,9 @@
     now: Seconds,
     customer_work: CustomerWork | None = None,
 ) -> list[Item]:
-    """List the items that would go before a newcomer which is not in the queue.
+    """Return the items that would start before a new entry that is not in the queue.
 
-    Those of its own rank that are late count where they are due before it.
+    Items of its own rank that are already late are included if they are not due after it.
     """
     ahead = [entry for entry in queue.entries if entry.rank < new_entry.rank]
     same_rank = [entry for entry in queue.entries if entry.rank == new_entry.rank]
@@ -137,17 +142,20 @@
 
 
 def has_at_least_as_urgent(queue: UrgencyQueue[Item], rank: float) -> bool:
-    """Tell whether an item waits that is at least as urgent as a rank."""
+    """Return whether an item waits that is at least as urgent as a rank."""
     return bool(queue.entries) and queue.entries[0].rank <= rank
 
 
 def has_less_urgent(queue: UrgencyQueue[Item], rank: float) -> bool:
-    """Tell whether an item waits that is less urgent than a rank."""
+    """Return whether an item waits that is less urgent than a rank."""
     return bool(queue.entries) and queue.entries[-1].rank > rank
 
 
 def pop(queue: UrgencyQueue[Item], now: Seconds) -> Item | None:
-    """Take the most urgent item that can still start in time, else the one that is least late."""
+    """Remove and return the first item of the most urgent rank, or None if the queue is empty.
+
+    It is the first one that can still start in time, otherwise the one that is least late.
+    """
     item = next(iter(list_in_start_order(queue, now)), None)
     if item is not None:
         remove(queue, item)
@@ -155,7 +163,7 @@
 
 
 def remove(queue: UrgencyQueue[Item], item: Item) -> bool:
-    """Take an item out; return False if it was not there."""
+    """Remove an item; return False if it was not there."""
     for index, entry in enumerate(queue.entries):
         if entry.item is item:
             del queue.entries[index]
