--- a/packages/bendwind-core/src/bendwind_core/admission/caller_retries.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/caller_retries.py
@@ -11,8 +11,8 @@
 
 from bendwind_core.core import Seconds
 
-# A retry may need a new connection, which takes some round trips between regions. By this time the
-# end of its timeout may appear later than that of the refused request.
+# Largest difference between the ends of the timeouts of a refused request and of its retry. A retry
+# may need a new connection, which delays it by some round trips between regions.
 TIMEOUT_TOLERANCE: Seconds = 0.05
 # Number of refused requests that a node stores, about 200 bytes each. Beyond it the oldest are
 # removed.
--- a/packages/bendwind-core/src/bendwind_core/admission/slot_reservation.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/slot_reservation.py
@@ -31,8 +31,8 @@
 def record_arrival(arrivals: ArrivalCounts, rank: float, now: Seconds) -> None:
     """Count a request that arrived, whether or not it is accepted."""
     decay = 0.5 ** ((now - arrivals.updated_at) / ARRIVAL_HALF_LIFE)
-    for known in arrivals.counts:
-        arrivals.counts[known] *= decay
+    for counted_rank in arrivals.counts:
+        arrivals.counts[counted_rank] *= decay
     arrivals.updated_at = now
     if rank in arrivals.counts or len(arrivals.counts) < MAX_ARRIVAL_RANKS:
         arrivals.counts[rank] = arrivals.counts.get(rank, 0.0) + 1.0
@@ -43,7 +43,7 @@
 
     Units: seconds of the owner's clock; minus infinity if no slot is reserved.
     """
-    count = sum(count for other, count in arrivals.counts.items() if other < rank)
+    count = sum(count for other_rank, count in arrivals.counts.items() if other_rank < rank)
     rate = count * math.log(2.0) / ARRIVAL_HALF_LIFE
     expected = rate * run_ms / MILLISECONDS_PER_SECOND
     if expected <= MAX_EXPECTED_ARRIVALS:
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_caller_retries.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_caller_retries.py
@@ -13,7 +13,7 @@
 LOOKUP = RequestIdentity("lookup", "GET", b"/records/7")
 
 
-class ReturnsTest(unittest.TestCase):
+class CallerRetriesTest(unittest.TestCase):
     def refuse(self, first_arrived_at=10.0, timeout_at=14.0, request=LOOKUP):
         callers = RefusedCallers()
         record_refused_caller(
@@ -21,30 +21,30 @@
         )
         return callers
 
-    def test_refused_caller_that_comes_back_has_been_trying_since_its_first_try(self):
+    def test_retry_of_a_refused_caller_counts_from_its_first_request(self):
         callers = self.refuse()
         self.assertEqual(pop_first_arrived_at(callers, LOOKUP, 10.6, 14.01), 10.0)
 
-    def test_return_is_explained_once(self):
+    def test_refusal_matches_one_retry_only(self):
         callers = self.refuse()
         pop_first_arrived_at(callers, LOOKUP, 10.6, 14.0)
         self.assertEqual(pop_first_arrived_at(callers, LOOKUP, 10.7, 14.0), 10.7)
         self.assertEqual(callers, RefusedCallers())
 
-    def test_request_for_something_else_or_with_another_end_is_new(self):
+    def test_request_with_another_target_or_timeout_end_is_new(self):
         other = RequestIdentity("lookup", "GET", b"/records/8")
         self.assertEqual(pop_first_arrived_at(self.refuse(), other, 10.6, 14.0), 10.6)
         late = 14.0 + 2 * TIMEOUT_TOLERANCE
         self.assertEqual(pop_first_arrived_at(self.refuse(), LOOKUP, 10.6, late), 10.6)
 
-    def test_second_return_counts_from_the_first_try_too(self):
+    def test_second_retry_counts_from_the_first_request_too(self):
         callers = self.refuse()
         first_arrived_at = pop_first_arrived_at(callers, LOOKUP, 10.6, 14.0)
         record_refused_caller(callers, LOOKUP, CallerTime(first_arrived_at, 14.0), 10.6)
         self.assertEqual(pop_first_arrived_at(callers, LOOKUP, 11.5, 14.02), 10.0)
 
-    def test_callers_with_a_short_timeout_are_newcomers_whatever_others_state(self):
-        """Judged by the timeouts of others, all of a minority were held to have come back."""
+    def test_callers_with_a_short_timeout_are_new_whatever_others_state(self):
+        """A rule that compares timeouts with those of others takes a whole minority for retries."""
         for share in (0.05, 0.1, 0.15):
             rng = random.Random(share)
             callers = RefusedCallers()
@@ -54,7 +54,7 @@
                 request = RequestIdentity("lookup", "GET", b"/records/%d" % rng.randrange(100_000))
                 self.assertEqual(pop_first_arrived_at(callers, request, now, now + timeout), now)
 
-    def test_gateway_that_hands_on_what_is_left_of_its_time_is_a_newcomer(self):
+    def test_gateway_that_forwards_its_remaining_timeout_is_a_new_caller(self):
         rng = random.Random(3)
         callers = RefusedCallers()
         for number in range(5000):
@@ -64,14 +64,14 @@
                 pop_first_arrived_at(callers, request, now, now + rng.uniform(0.1, 5)), now
             )
 
-    def test_returns_are_told_from_newcomers_where_a_third_is_refused(self):
+    def test_retries_are_distinguished_from_new_requests_if_a_third_is_refused(self):
         rng = random.Random(4)
         callers = RefusedCallers()
-        due = []
+        pending_retries = []
         for number in range(3000):
             now = number * 0.02
-            while due and due[0][0] <= now:
-                at, first_arrived_at, request = due.pop(0)
+            while pending_retries and pending_retries[0][0] <= now:
+                at, first_arrived_at, request = pending_retries.pop(0)
                 timeout_at = first_arrived_at + 5.0 + rng.uniform(0.0, 0.03)
                 self.assertEqual(
                     pop_first_arrived_at(callers, request, at, timeout_at), first_arrived_at
@@ -80,11 +80,11 @@
             self.assertEqual(pop_first_arrived_at(callers, request, now, now + 5.0), now)
             if rng.random() < 1 / 3:
                 record_refused_caller(callers, request, CallerTime(now, now + 5.0), now)
-                due.append((now + rng.uniform(0.3, 0.8), now, request))
-                due.sort(key=lambda back: back[0])
+                pending_retries.append((now + rng.uniform(0.3, 0.8), now, request))
+                pending_retries.sort(key=lambda retry: retry[0])
 
-    def test_callers_whose_time_is_over_are_forgotten(self):
-        """All callers of a route may ask for the same: their tries must not pile up."""
+    def test_callers_whose_timeout_has_elapsed_are_removed(self):
+        """All callers of a route may send the same request: their refusals must not accumulate."""
         callers = RefusedCallers()
         for number in range(500):
             record_refused_caller(callers, LOOKUP, CallerTime(number, number + 4.0), number)
@@ -92,7 +92,7 @@
         self.assertEqual(pop_first_arrived_at(callers, LOOKUP, 600.0, 604.0), 600.0)
         self.assertEqual(callers, RefusedCallers())
 
-    def test_newest_refusals_are_kept_where_all_ask_for_the_same(self):
+    def test_newest_refusals_are_kept_if_all_callers_send_the_same_request(self):
         callers = RefusedCallers()
         for number in range(2 * MAX_REFUSED_CALLERS):
             record_refused_caller(callers, LOOKUP, CallerTime(number, 10.0**6 + number), number)
@@ -102,7 +102,7 @@
             pop_first_arrived_at(callers, LOOKUP, newest + 1, 10.0**6 + newest), newest
         )
 
-    def test_memory_is_bounded(self):
+    def test_number_of_refused_callers_is_bounded(self):
         callers = RefusedCallers()
         for number in range(5 * MAX_REFUSED_CALLERS):
             request = RequestIdentity("lookup", "GET", b"/%d" % (number % 1500))
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_constants_page.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_constants_page.py
@@ -1,4 +1,4 @@
-"""Compare docs/design/policy-constants.md with the modules that decide."""
+"""Compare docs/design/policy-constants.md with the constants of the policy modules."""
 
 import importlib
 import pkgutil
@@ -24,9 +24,9 @@
 
 def list_modules():
     for package in PACKAGES:
-        for found in pkgutil.iter_modules(package.__path__):
-            if not found.ispkg:
-                yield importlib.import_module(f"{package.__name__}.{found.name}")
+        for module_info in pkgutil.iter_modules(package.__path__):
+            if not module_info.ispkg:
+                yield importlib.import_module(f"{package.__name__}.{module_info.name}")
     yield retry_budget
     yield customer_work
 
@@ -34,17 +34,20 @@
 def list_constants():
     for module in list_modules():
         source = Path(module.__file__).read_text()
-        own = set(re.findall(r"^([A-Z][A-Z_]+)(?:: \w+)? = ", source, re.MULTILINE))
-        place = module.__name__.removeprefix("bendwind_core.").replace(".", "/")
-        for name in own:
+        constant_names = set(re.findall(r"^([A-Z][A-Z_]+)(?:: \w+)? = ", source, re.MULTILINE))
+        module_path = module.__name__.removeprefix("bendwind_core.").replace(".", "/")
+        for name in constant_names:
             value = getattr(module, name)
             if isinstance(value, int | float) and not isinstance(value, bool):
-                yield name, place, float(value)
+                yield name, module_path, float(value)
 
 
 class ConstantsPageTest(unittest.TestCase):
-    def test_page_lists_each_constant_of_the_decisions_with_its_value(self):
-        rows = {(name, place, float(value)) for name, place, value in ROW.findall(PAGE.read_text())}
+    def test_page_lists_each_policy_constant_with_its_value(self):
+        rows = {
+            (name, module_path, float(value))
+            for name, module_path, value in ROW.findall(PAGE.read_text())
+        }
         self.assertEqual(rows, set(list_constants()))
 
 
--- a/packages/bendwind-core/src/bendwind_core/admission/tests/test_warm_up.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/tests/test_warm_up.py
@@ -14,7 +14,7 @@
 from bendwind_core.admission.warm_up import SPACING_WINDOW
 from bendwind_core.world import WarmUpRule
 
-# Twelve requests in any second.
+# These allow twelve requests in any second.
 RULE = WarmUpRule(3.0, 8.0)
 LIMITS = WarmUpLimits(1.25, 2.0)
 LIMIT = 12
@@ -24,12 +24,12 @@
     def setUp(self):
         self.warm_up = WarmUpState(LIMITS, RULE)
 
-    def test_upstream_of_which_nothing_is_known_is_cold_for_as_long_as_a_warm_up(self):
+    def test_upstream_without_a_report_is_cold_for_the_warm_up_time(self):
         assume_cold(self.warm_up, 10.0)
         self.assertTrue(is_cold(self.warm_up, 12.9))
         self.assertFalse(is_cold(self.warm_up, 13.0))
 
-    def test_answer_to_a_question_that_was_asked_later_ends_the_assumption(self):
+    def test_reply_to_a_later_query_ends_the_assumption(self):
         assume_cold(self.warm_up, 10.0)
         record_cold_reply(self.warm_up, 0.0, asked_at=9.9, now=10.1)
         self.assertTrue(is_assumed_cold(self.warm_up, 10.1))
@@ -48,7 +48,7 @@
         record_cold_announcement(warm_up, 2000.0, 10.0)
         self.assertFalse(is_cold(warm_up, 10.0))
 
-    def test_requests_are_spaced_so_that_any_second_holds_no_more_than_is_borne(self):
+    def test_requests_are_spaced_so_that_any_second_stays_within_the_limit(self):
         record_cold_announcement(self.warm_up, 3000.0, 0.0)
         sent_at = []
         now = 0.0
@@ -56,31 +56,31 @@
             now = find_cold_send_at(self.warm_up, 0, now)
             record_request_sent(self.warm_up, now)
             sent_at.append(now)
-        busiest = max(sum(1 for at in sent_at if first <= at <= first + 1) for first in sent_at)
-        self.assertEqual(busiest, LIMIT)
+        max_count = max(sum(1 for at in sent_at if first <= at <= first + 1) for first in sent_at)
+        self.assertEqual(max_count, LIMIT)
 
-    def test_those_ahead_take_a_space_each(self):
+    def test_each_request_ahead_takes_one_spacing(self):
         record_cold_announcement(self.warm_up, 3000.0, 0.0)
         record_request_sent(self.warm_up, 0.2)
         spacing = SPACING_WINDOW / LIMIT
         self.assertAlmostEqual(find_cold_send_at(self.warm_up, 0, 0.21), 0.2 + spacing)
         self.assertAlmostEqual(find_cold_send_at(self.warm_up, 3, 0.21), 0.2 + 4 * spacing)
 
-    def test_nobody_waits_longer_than_the_upstream_is_cold(self):
+    def test_no_request_waits_longer_than_the_upstream_is_cold(self):
         record_cold_announcement(self.warm_up, 1500.0, 0.0)
         record_request_sent(self.warm_up, 1.0)
         self.assertEqual(find_cold_send_at(self.warm_up, 30, 1.0), 1.5)
 
-    def test_earlier_life_of_the_process_may_have_sent_one_just_before(self):
+    def test_last_request_of_the_previous_run_of_the_process_counts(self):
         warm_up = WarmUpState(LIMITS, RULE, cold_until=5.0, last_sent_at=1.0)
         self.assertAlmostEqual(find_cold_send_at(warm_up, 0, 1.01), 1.0 + SPACING_WINDOW / LIMIT)
 
-    def test_request_that_may_still_be_on_its_way_takes_room_when_it_goes_out(self):
+    def test_spacing_of_an_unsent_request_starts_when_it_may_be_sent(self):
         record_cold_announcement(self.warm_up, 3000.0, 0.0)
         send_at = find_cold_send_at(self.warm_up, 0, 0.5, has_unsent=True)
         self.assertAlmostEqual(send_at, 0.5 + SPACING_WINDOW / LIMIT)
 
-    def test_what_a_warm_upstream_was_sent_counts_when_it_turns_cold(self):
+    def test_request_sent_to_a_warm_upstream_counts_when_it_turns_cold(self):
         record_request_sent(self.warm_up, 0.99)
         record_cold_announcement(self.warm_up, 3000.0, 1.0)
         self.assertAlmostEqual(
--- a/packages/bendwind-core/src/bendwind_core/admission/warm_up.py
+++ b/packages/bendwind-core/src/bendwind_core/admission/warm_up.py
@@ -107,8 +107,8 @@
 
 def find_spacing(rule: WarmUpRule, limits: WarmUpLimits) -> Seconds:
     """Return the time between two requests that keeps any second within the limit."""
-    most = max(1, math.floor(rule.per_second * limits.overage + limits.slack))
-    return SPACING_WINDOW / most
+    max_requests = max(1, math.floor(rule.per_second * limits.overage + limits.slack))
+    return SPACING_WINDOW / max_requests
 
 
 def _find_warm_at(warm_up: WarmUpState) -> Seconds:
--- a/packages/bendwind-core/src/bendwind_core/limits/tests/test_fuzz_limits.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/tests/test_fuzz_limits.py
@@ -1,4 +1,4 @@
-"""Check budgets and shares against oracles that remember everything."""
+"""Check budgets and shares against reference models that store the whole history."""
 
 import unittest
 
@@ -29,16 +29,16 @@
 
 class TestLimits(unittest.TestCase):
     @given(st.lists(st.booleans(), max_size=400), st.sampled_from([0.0, 0.1, 0.3]))
-    def test_retries_never_exceed_their_share_of_first_attempts(self, tries, ratio):
+    def test_retries_never_exceed_their_share_of_first_attempts(self, attempts, ratio):
         budget = RetryBudget(ratio)
-        firsts = retries = 0
-        for is_retry in tries:
+        first_attempts = retries = 0
+        for is_retry in attempts:
             if is_retry:
                 retries += spend_retry(budget)
             else:
-                firsts += 1
-                earn_retry(budget, 0.1 * firsts)
-            self.assertLessEqual(retries, firsts * ratio + 1e-6)
+                first_attempts += 1
+                earn_retry(budget, 0.1 * first_attempts)
+            self.assertLessEqual(retries, first_attempts * ratio + 1e-6)
 
     @given(
         st.lists(
@@ -47,9 +47,9 @@
             )
         )
     )
-    def test_probes_stay_in_budget_in_any_second(self, wishes):
+    def test_probes_stay_in_budget_in_any_second(self, probes):
         budget, now, spent = ProbeBudget(MESSAGES, BYTES), 0.0, []
-        for pause, messages, size in wishes:
+        for pause, messages, size in probes:
             now += pause
             recent = [(m, b) for at, m, b in spent if now - at <= 1.0]
             fits = sum(m for m, _ in recent) + messages <= MESSAGES
@@ -60,46 +60,48 @@
             self.assertLessEqual(len(budget.spent), MESSAGES)
 
     @given(st.lists(st.tuples(st.sampled_from(SERVICES), st.integers(0, 3))))
-    def test_no_service_takes_the_reserve_of_another(self, steps):
+    def test_no_service_uses_the_reserved_capacity_of_another(self, steps):
         share = ConcurrencyShare(12)
         set_services(share, SERVICES)
-        held = dict.fromkeys(SERVICES, 0)
+        in_flight = dict.fromkeys(SERVICES, 0)
         for service, kind in steps:
-            if kind == 0 and held[service]:
+            if kind == 0 and in_flight[service]:
                 release_call(share, service)
-                held[service] -= 1
+                in_flight[service] -= 1
             elif acquire_call(share, service, limit=9):
-                held[service] += 1
+                in_flight[service] += 1
             else:
-                self.assertGreaterEqual(held[service], share.reserved_per_service)
-            self.assertLessEqual(sum(held.values()), share.capacity)
-            self.assertLessEqual(max(held.values()), 9)
-            left = share.capacity - sum(held.values())
-            owed = sum(max(0, share.reserved_per_service - count) for count in held.values())
-            self.assertGreaterEqual(left, owed)
+                self.assertGreaterEqual(in_flight[service], share.reserved_per_service)
+            self.assertLessEqual(sum(in_flight.values()), share.capacity)
+            self.assertLessEqual(max(in_flight.values()), 9)
+            free = share.capacity - sum(in_flight.values())
+            reserved_free = sum(
+                max(0, share.reserved_per_service - count) for count in in_flight.values()
+            )
+            self.assertGreaterEqual(free, reserved_free)
 
     @given(st.lists(st.tuples(st.sampled_from(SERVICES), st.booleans()), max_size=60))
     def test_queue_keeps_order_within_a_source_and_bounds_each_share(self, steps):
         queue: FairQueue = FairQueue(6)
-        lines = {source: [] for source in SERVICES}
+        expected = {source: [] for source in SERVICES}
         for number, (source, is_pop) in enumerate(steps):
             if is_pop:
                 item = fair_queue.pop(queue)
-                waiting = [line for line in lines.values() if line]
+                waiting = [items for items in expected.values() if items]
                 self.assertEqual(item is None, not waiting)
                 if item is not None:
-                    self.assertEqual(lines[item[0]].pop(0), item)
+                    self.assertEqual(expected[item[0]].pop(0), item)
                 continue
-            lines[source].append((source, number))
-            loser = fair_queue.push(queue, source, (source, number))
-            if loser is not None:
-                longest = max(len(line) for line in lines.values())
-                self.assertEqual(len(lines[loser[0]]), longest)
-                self.assertEqual(lines[loser[0]].pop(), loser)
+            expected[source].append((source, number))
+            evicted = fair_queue.push(queue, source, (source, number))
+            if evicted is not None:
+                longest = max(len(items) for items in expected.values())
+                self.assertEqual(len(expected[evicted[0]]), longest)
+                self.assertEqual(expected[evicted[0]].pop(), evicted)
             self.assertLessEqual(queue.size, 6)
-            self.assertEqual(queue.size, sum(map(len, lines.values())))
+            self.assertEqual(queue.size, sum(map(len, expected.values())))
 
-    def test_services_that_change_keep_the_counts_of_calls_in_flight(self):
+    def test_changing_the_services_keeps_the_counts_of_calls_in_flight(self):
         share = ConcurrencyShare(12)
         set_services(share, ["a"])
         for _ in range(12):
--- a/packages/bendwind-core/src/bendwind_core/limits/tests/test_no_wait_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/tests/test_no_wait_budget.py
@@ -1,4 +1,4 @@
-"""Check that tries which may not wait go on while they are taken, and end while they are not."""
+"""Check that no-wait attempts continue while they are accepted and cease while refused."""
 
 import unittest
 
@@ -11,44 +11,44 @@
 )
 from bendwind_core.limits.no_wait_budget import MAX_NO_WAIT_TOKENS, TOKENS_PER_CALL
 
-TRIES = 6
+MAX_ATTEMPTS = 6
 
 
-class TryBudgetTest(unittest.TestCase):
-    def play(self, budget, calls, taken_every):
-        """Return how many tries were sent back; one in `taken_every` is taken."""
-        tries = sent_back = 0
+class NoWaitBudgetTest(unittest.TestCase):
+    def run_calls(self, budget, calls, accepted_every):
+        """Return how many attempts were refused; one in `accepted_every` is accepted."""
+        attempts = refused = 0
         for _ in range(calls):
             earn_by_call(budget)
-            for _ in range(TRIES):
+            for _ in range(MAX_ATTEMPTS):
                 if not may_send_no_wait(budget):
                     break
-                tries += 1
+                attempts += 1
                 earn_by_no_wait_attempt(budget)
-                if tries % taken_every == 0:
+                if attempts % accepted_every == 0:
                     break
-                sent_back += 1
+                refused += 1
                 spend_on_refusal(budget, is_no_wait=True)
-        return sent_back
+        return refused
 
-    def test_under_lasting_overload_one_call_in_five_tries(self):
+    def test_one_call_in_five_makes_an_attempt_under_lasting_overload(self):
         budget = NoWaitBudget()
-        sent_back = self.play(budget, 1000, taken_every=10**9)
-        self.assertLessEqual(sent_back, MAX_NO_WAIT_TOKENS + 1000 * TOKENS_PER_CALL)
-        self.assertGreaterEqual(sent_back, 1000 * TOKENS_PER_CALL - 1)
+        refused = self.run_calls(budget, 1000, accepted_every=10**9)
+        self.assertLessEqual(refused, MAX_NO_WAIT_TOKENS + 1000 * TOKENS_PER_CALL)
+        self.assertGreaterEqual(refused, 1000 * TOKENS_PER_CALL - 1)
 
-    def test_tries_are_back_within_some_calls_once_upstreams_are_free(self):
+    def test_attempts_resume_within_some_calls_once_upstreams_are_free(self):
         budget = NoWaitBudget()
-        self.play(budget, 1000, taken_every=10**9)
-        self.play(budget, 10, taken_every=1)
-        self.assertGreater(budget.tokens, TRIES)
+        self.run_calls(budget, 1000, accepted_every=10**9)
+        self.run_calls(budget, 10, accepted_every=1)
+        self.assertGreater(budget.tokens, MAX_ATTEMPTS)
 
-    def test_one_taken_in_five_keeps_them_going(self):
+    def test_attempts_continue_if_one_in_four_is_accepted(self):
         budget = NoWaitBudget()
-        self.play(budget, 1000, taken_every=4)
+        self.run_calls(budget, 1000, accepted_every=4)
         self.assertTrue(may_send_no_wait(budget))
 
-    def test_what_a_queue_refuses_costs_what_it_took(self):
+    def test_refusal_by_a_queue_costs_one_token(self):
         budget = NoWaitBudget()
         spend_on_refusal(budget, is_no_wait=False)
         self.assertEqual(budget.tokens, MAX_NO_WAIT_TOKENS - 1.0)
