--- a/packages/bendwind-core/src/bendwind_core/attempts/admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/admission.py
@@ -48,7 +48,7 @@
     """Return whether there is capacity for a new attempt and nothing as urgent waits."""
     if not has_capacity(owner_state, now, find_slot_limit(owner_state, queued, now)):
         return False
-    return not owner_state.queue.size and not urgency_queue.has_as_urgent(
+    return not owner_state.queue.size and not urgency_queue.has_at_least_as_urgent(
         owner_state.timed_queue, queued.queue_rank
     )
 
@@ -102,7 +102,7 @@
     """
     hand_over = queued.hand_over
     is_free = has_capacity(owner_state, now, find_slot_limit(owner_state, queued, now))
-    is_free = is_free and not urgency_queue.has_as_urgent(
+    is_free = is_free and not urgency_queue.has_at_least_as_urgent(
         owner_state.timed_queue, queued.queue_rank
     )
     if is_free and (hand_over.insist or _is_target_unreachable(owner_state, hand_over, now)):
--- a/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
@@ -1,6 +1,6 @@
 """Handle the result of an attempt that was started."""
 
-from bendwind_core.admission import note_run_ended
+from bendwind_core.admission import record_run_end
 from bendwind_core.attempts.attempt_log import ExecutionState
 from bendwind_core.attempts.messages import CutReason, NotRunReason
 from bendwind_core.attempts.owner_events import (
@@ -44,7 +44,7 @@
     if not running.route:
         return
     is_error = is_failure(event.status)
-    note_run_ended(
+    record_run_end(
         owner_state.dependency_overload,
         running.route,
         running.started_at,
--- a/packages/bendwind-core/src/bendwind_core/attempts/hand_overs.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/hand_overs.py
@@ -1,6 +1,12 @@
 """Decide whether each attempt that is handed over is refused, started or queued."""
 
-from bendwind_core.admission import is_limited, note_arrival, note_offered, note_origin, turns_away
+from bendwind_core.admission import (
+    is_limited,
+    record_arrival,
+    record_offered,
+    record_origin,
+    should_refuse_for_dependency,
+)
 from bendwind_core.attempts.admission import (
     can_start_immediately,
     estimate_start_wait_ms,
@@ -79,16 +85,18 @@
         return
     apply_carried_limit(owner_state, hand_over, now, effects)
     set_initial_route_time(owner_state, hand_over)
-    note_origin(owner_state.origins, hand_over.route, hand_over.origin)
+    record_origin(owner_state.origins, hand_over.route, hand_over.origin)
     queued = _create_queued_attempt(owner_state, hand_over, event.epoch, now)
     if not queued.is_inner:
-        note_arrival(owner_state.arrival_counts, hand_over.rank, now)
+        record_arrival(owner_state.arrival_counts, hand_over.rank, now)
     refusal = _find_refusal(owner_state, queued, now)
     # A refused no-wait attempt is offered to another upstream; an accepted one counts like any
     # other attempt.
     if not queued.is_inner and (hand_over.may_wait or refusal is None):
-        note_offered(owner_state.rank_counts, hand_over.rank, now)
-    if refusal is None and turns_away(owner_state.dependency_overload, hand_over.route, now):
+        record_offered(owner_state.rank_counts, hand_over.rank, now)
+    if refusal is None and should_refuse_for_dependency(
+        owner_state.dependency_overload, hand_over.route, now
+    ):
         refusal = NotRunReason.DEPENDENCY_FULL
     if refusal is not None:
         record_ended(owner_state.log, attempt, ExecutionState.NEVER_STARTED)
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -8,12 +8,12 @@
 
 from bendwind_core.admission import (
     assume_cold,
-    note_asked,
-    note_call_refused,
-    note_named,
-    note_not_named,
-    note_taken,
-    note_told,
+    consume_token,
+    record_cold_announcement,
+    record_cold_reply,
+    record_named_limit,
+    record_no_limit,
+    record_refused_call,
 )
 from bendwind_core.attempts.admission import (
     is_delayed_by_next_slow_phase,
@@ -145,30 +145,30 @@
             if running is not None and not is_failure(running.status):
                 record_success(owner_state, running, now)
         case UpstreamCallRefused():
-            note_call_refused(owner_state.dependency_overload, now)
+            record_refused_call(owner_state.dependency_overload, now)
         case LoadReported(slow_factor=slow_factor):
             record_report(owner_state.pace, slow_factor, now)
             record_sign_of_life(owner_state.end_detector, now)
         case LoadNotReported(has_load_endpoint=has_load_endpoint):
             owner_state.has_load_endpoint = has_load_endpoint
         case RateLimitReported(per_second=per_second, sent_at=sent_at):
-            change = note_named(owner_state.rate_limit, per_second, sent_at, now)
+            change = record_named_limit(owner_state.rate_limit, per_second, sent_at, now)
             apply_limit_change(owner_state, change, now, effects)
         case RateLimitNotReported(sent_at=sent_at):
-            change = note_not_named(owner_state.rate_limit, sent_at, now)
+            change = record_no_limit(owner_state.rate_limit, sent_at, now)
             apply_limit_change(owner_state, change, now, effects)
         case LeavingReported():
             handle_leaving(owner_state, now, effects)
         case UpstreamQueried():
-            note_taken(owner_state.rate_limit, now)
+            consume_token(owner_state.rate_limit, now)
         case WarmUpConfigured(rule=rule):
             owner_state.warm_up.rule = rule
         case UpstreamAssumedCold():
             assume_cold(owner_state.warm_up, now)
         case WarmUpReported(remaining_ms=remaining_ms, queried_at=None):
-            note_told(owner_state.warm_up, remaining_ms, now)
+            record_cold_announcement(owner_state.warm_up, remaining_ms, now)
         case WarmUpReported(remaining_ms=remaining_ms, queried_at=queried_at):
-            note_asked(owner_state.warm_up, remaining_ms, queried_at, now)
+            record_cold_reply(owner_state.warm_up, remaining_ms, queried_at, now)
         case UpstreamChecked(is_refused=is_refused):
             handle_upstream_check(owner_state, now, effects, is_refused=is_refused)
         case UpstreamReachable():
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner_state.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from bendwind_core.admission import (
-    Arrivals,
-    Dependency,
-    Origins,
+    ArrivalCounts,
+    DependencyOverload,
     RankCounts,
     RateLimit,
-    WarmUp,
+    RouteOrigins,
+    WarmUpState,
 )
 from bendwind_core.attempts.attempt_log import AttemptLog
 from bendwind_core.attempts.messages import AttemptId, HandOver
@@ -18,7 +18,7 @@
 from bendwind_core.attempts.service_time import ServiceTime
 from bendwind_core.attempts.upstream_end import EndDetector
 from bendwind_core.core import Milliseconds, Seconds
-from bendwind_core.limits import FairQueue, Turns, UrgencyQueue
+from bendwind_core.limits import CustomerWork, FairQueue, UrgencyQueue
 from bendwind_core.suspicion import ServedRequests, SuspectTable
 from bendwind_core.world import UpstreamState
 
@@ -123,17 +123,17 @@
     service_times: ServiceTime = msgspec.field(default_factory=ServiceTime)
     route_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
     guessed_times: dict[str, Milliseconds] = msgspec.field(default_factory=dict)
-    origins: Origins = msgspec.field(default_factory=Origins)
-    dependency_overload: Dependency = msgspec.field(default_factory=Dependency)
+    origins: RouteOrigins = msgspec.field(default_factory=RouteOrigins)
+    dependency_overload: DependencyOverload = msgspec.field(default_factory=DependencyOverload)
     pace: Pace = msgspec.field(default_factory=Pace)
-    warm_up: WarmUp = msgspec.field(default_factory=WarmUp)
+    warm_up: WarmUpState = msgspec.field(default_factory=WarmUpState)
     rate_limit: RateLimit = msgspec.field(default_factory=RateLimit)
     end_detector: EndDetector = msgspec.field(default_factory=EndDetector)
     suspects: SuspectTable = msgspec.field(default_factory=SuspectTable)
     served_requests: ServedRequests = msgspec.field(default_factory=ServedRequests)
-    customer_work: Turns = msgspec.field(default_factory=Turns)
+    customer_work: CustomerWork = msgspec.field(default_factory=CustomerWork)
     rank_counts: RankCounts = msgspec.field(default_factory=RankCounts)
-    arrival_counts: Arrivals = msgspec.field(default_factory=Arrivals)
+    arrival_counts: ArrivalCounts = msgspec.field(default_factory=ArrivalCounts)
     is_unreachable: bool = False
     is_leaving: bool = False
     load_queried_at: Seconds | None = None
@@ -155,7 +155,7 @@
     max_remembered_attempts: int = MAX_REMEMBERED_ATTEMPTS,
     max_remembered_peers: int = MAX_REMEMBERED_PEERS,
     slot_share: float = 1.0,
-    warm_up: WarmUp | None = None,
+    warm_up: WarmUpState | None = None,
     suspects: SuspectTable | None = None,
     alone_from: Seconds = -math.inf,
 ) -> OwnerState:
--- a/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/precedence.py
@@ -8,7 +8,7 @@
 
 import math
 
-from bendwind_core.admission import find_kept_until, find_starved_rank, is_inner_call
+from bendwind_core.admission import find_reserved_until, find_starved_rank, is_inner_call
 from bendwind_core.attempts.owner_state import OwnerState, QueuedAttempt
 from bendwind_core.attempts.usual_times import find_usual_ms
 from bendwind_core.core import Seconds
@@ -65,14 +65,14 @@
     if queued.is_inner or queued.queue_rank <= 0 or owner_state.run_limit < 2:
         return -math.inf
     run_ms = find_usual_ms(owner_state, queued.hand_over.route)
-    return find_kept_until(owner_state.arrival_counts, queued.hand_over.rank, run_ms)
+    return find_reserved_until(owner_state.arrival_counts, queued.hand_over.rank, run_ms)
 
 
 def list_ahead(owner_state: OwnerState, queued: QueuedAttempt, now: Seconds) -> list[QueuedAttempt]:
     """List the waiting attempts that start before an attempt that does not wait yet."""
     hand_over = queued.hand_over
     work_ms = find_usual_ms(owner_state, hand_over.route)
-    new_entry = urgency_queue.Waiting(
+    new_entry = urgency_queue.QueueEntry(
         queued,
         queued.due_at,
         owner_state.timed_queue.next_number,
@@ -101,4 +101,6 @@
 
 def list_in_start_order(owner_state: OwnerState, now: Seconds) -> list[QueuedAttempt]:
     """List the waiting attempts with a latency objective in the order of their start."""
-    return urgency_queue.list_in_turn(owner_state.timed_queue, now, owner_state.customer_work)
+    return urgency_queue.list_in_start_order(
+        owner_state.timed_queue, now, owner_state.customer_work
+    )
--- a/packages/bendwind-core/src/bendwind_core/attempts/slots.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/slots.py
@@ -1,6 +1,12 @@
 """Decide whether an upstream has capacity for one more attempt, and report its load."""
 
-from bendwind_core.admission import find_room_at, find_told_limit, find_turn_at, is_cold, is_limited
+from bendwind_core.admission import (
+    find_cold_send_at,
+    find_limited_send_at,
+    find_reported_limit,
+    is_cold,
+    is_limited,
+)
 from bendwind_core.attempts.owner_state import OwnerState, is_accepting
 from bendwind_core.attempts.pace import find_remaining_phase_ms, is_slow
 from bendwind_core.attempts.usual_times import estimate_remaining_run_ms
@@ -27,7 +33,7 @@
         draining=not is_accepting(owner_state),
         room_wait_ms=find_rate_wait_ms(owner_state, len(owner_state.waiting), now),
         wait_ms=estimate_new_attempt_wait_ms(owner_state, now),
-        limit_per_s=find_told_limit(owner_state.rate_limit),
+        limit_per_s=find_reported_limit(owner_state.rate_limit),
         is_leaving=owner_state.is_leaving,
     )
 
@@ -75,11 +81,13 @@
 
 
 def _find_permitted_send_time(owner_state: OwnerState, ahead: int, now: Seconds) -> Seconds:
-    limited_at = find_turn_at(owner_state.rate_limit, ahead, now)
+    limited_at = find_limited_send_at(owner_state.rate_limit, ahead, now)
     if not is_cold(owner_state.warm_up, now):
         return limited_at
     has_unsent = any(not running.is_sent for running in owner_state.running.values())
-    return max(limited_at, find_room_at(owner_state.warm_up, ahead, now, has_unsent=has_unsent))
+    return max(
+        limited_at, find_cold_send_at(owner_state.warm_up, ahead, now, has_unsent=has_unsent)
+    )
 
 
 def next_permitted_send(owner_state: OwnerState, now: Seconds) -> Seconds | None:
@@ -97,7 +105,7 @@
         return False
     ahead = len(owner_state.waiting)
     has_slot = len(owner_state.running) < owner_state.run_limit
-    return has_slot and find_turn_at(owner_state.rate_limit, ahead, now) > now
+    return has_slot and find_limited_send_at(owner_state.rate_limit, ahead, now) > now
 
 
 def is_stalled(owner_state: OwnerState, now: Seconds) -> bool:
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from bendwind_core.admission import note_origin
-from bendwind_core.admission.origins import MOST_SEEN
+from bendwind_core.admission import record_origin
+from bendwind_core.admission.origins import HALVING_COUNT
 from bendwind_core.attempts import AttemptId, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.pace import DEFAULT_PHASE_LENGTH
@@ -185,9 +185,11 @@
 
     def record_origins(self):
         """Record origins by which `quick` is an inner call of one service, unlike `slow`."""
-        for number in range(2 * MOST_SEEN):
-            note_origin(self.owner_state.origins, "quick", "till")
-            note_origin(self.owner_state.origins, "slow", ("till", "ledger", "portal")[number % 3])
+        for number in range(2 * HALVING_COUNT):
+            record_origin(self.owner_state.origins, "quick", "till")
+            record_origin(
+                self.owner_state.origins, "slow", ("till", "ledger", "portal")[number % 3]
+            )
 
     def test_inner_call_may_wait_until_its_deadline(self):
         # If it were refused at its objective, the run that waits for it would fail.
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
@@ -63,7 +63,9 @@
             self.check_effect(effect, queue_lengths)
 
     def _count_queue_lengths(self, event):
-        queue_lengths = {entry: len(line) for entry, line in self.owner_state.queue.lines.items()}
+        queue_lengths = {
+            entry: len(line) for entry, line in self.owner_state.queue.items_by_source.items()
+        }
         if isinstance(event, ov.HandOverArrived):
             entry = event.hand_over.attempt.entry
             queue_lengths[entry] = queue_lengths.get(entry, 0) + 1
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_precedence.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from bendwind_core.admission import note_origin
-from bendwind_core.admission.origins import MOST_SEEN
-from bendwind_core.admission.reserve import ARRIVAL_HALF_TIME
+from bendwind_core.admission import record_origin
+from bendwind_core.admission.origins import HALVING_COUNT
+from bendwind_core.admission.slot_reservation import ARRIVAL_HALF_LIFE
 from bendwind_core.attempts import AttemptId, CutReason, HandOver, NotRunReason, owner
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.pace import DEFAULT_PHASE_LENGTH, is_report_current, is_slow
@@ -23,7 +23,7 @@
 # Ranks of the attempts that the machine hands over; a slot that is reserved for them is released
 # within a few half-lives.
 RANKS = (0, 1, 2)
-MAX_RESERVATION = 6 * ARRIVAL_HALF_TIME
+MAX_RESERVATION = 6 * ARRIVAL_HALF_LIFE
 
 
 class PrecedenceMachine(RuleBasedStateMachine):
@@ -43,9 +43,9 @@
             "u", 1, QUEUE_CAPACITY, timed_queue_capacity=QUEUE_CAPACITY, slot_share=0.8
         )
         self.step(ov.UpstreamAnnounced(SLOTS, 9, UpstreamState.READY))
-        for number in range(MOST_SEEN - 1):
-            note_origin(self.owner_state.origins, "call", "shop")
-            note_origin(self.owner_state.origins, "check", f"place-{number % 3}")
+        for number in range(HALVING_COUNT - 1):
+            record_origin(self.owner_state.origins, "call", "shop")
+            record_origin(self.owner_state.origins, "check", f"place-{number % 3}")
 
     def step(self, event):
         for effect in owner.step(self.owner_state, event, self.now):
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_lifecycle.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_lifecycle.py
@@ -1,6 +1,6 @@
 """Track the state of an owner's upstream: announced, unreachable, ended, restarted or gone."""
 
-from bendwind_core.admission import assume_cold, forget
+from bendwind_core.admission import assume_cold, reset_rate_limit
 from bendwind_core.attempts.fencing import cancel_running
 from bendwind_core.attempts.messages import CutReason, NotRunReason
 from bendwind_core.attempts.owner_events import (
@@ -86,7 +86,7 @@
     """Reset what is known of the upstream's previous run and cancel its running attempts."""
     owner_state.is_unreachable = False
     owner_state.pace = Pace()
-    apply_limit_change(owner_state, forget(owner_state.rate_limit), now, effects)
+    apply_limit_change(owner_state, reset_rate_limit(owner_state.rate_limit), now, effects)
     owner_state.is_leaving = False
     assume_cold(owner_state.warm_up, now)
     _cancel_running_attempts(owner_state, now, effects)
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_limit.py
@@ -2,10 +2,10 @@
 
 from bendwind_core.admission import (
     LimitChange,
-    find_turn_at,
+    assign_retry_at,
+    find_limited_send_at,
     is_limited,
-    note_carried,
-    tell_return_at,
+    record_carried_limit,
 )
 from bendwind_core.attempts.messages import HandOver, NotRunReason
 from bendwind_core.attempts.owner_events import OwnerEffect, RateLimitChanged
@@ -35,8 +35,8 @@
     owner_state: OwnerState, hand_over: HandOver, now: Seconds, effects: list[OwnerEffect]
 ) -> None:
     """Apply the limit that an entry node received before this owner did."""
-    if hand_over.limit_per_s is not None and not owner_state.rate_limit.is_heard:
-        change = note_carried(owner_state.rate_limit, hand_over.limit_per_s, now)
+    if hand_over.limit_per_s is not None and not owner_state.rate_limit.has_read_answer:
+        change = record_carried_limit(owner_state.rate_limit, hand_over.limit_per_s, now)
         apply_limit_change(owner_state, change, now, effects)
 
 
@@ -47,7 +47,7 @@
     others = [one for one in owner_state.waiting.values() if id(one) not in is_timed]
     ahead = 0
     for queued in (*timed, *others):
-        if find_turn_at(owner_state.rate_limit, ahead, now) <= find_expiry(queued):
+        if find_limited_send_at(owner_state.rate_limit, ahead, now) <= find_expiry(queued):
             ahead += 1
             continue
         remove_from_queue(owner_state, queued)
@@ -66,4 +66,4 @@
 def assign_retry_wait_ms(owner_state: OwnerState, now: Seconds) -> Milliseconds:
     """Return after how long the caller of an attempt that the rate limit excludes should retry."""
     longest = LONGEST_MS / MILLISECONDS_PER_SECOND
-    return (tell_return_at(owner_state.rate_limit, now, longest) - now) * MILLISECONDS_PER_SECOND
+    return (assign_retry_at(owner_state.rate_limit, now, longest) - now) * MILLISECONDS_PER_SECOND
--- a/packages/bendwind-core/src/bendwind_core/limits/concurrency_share.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/concurrency_share.py
@@ -1,7 +1,8 @@
-"""Share an entry node's calls in flight among its services.
+"""Divide an entry node's capacity for calls in flight among its services.
 
-Half of the places are reserved in equal parts, one for each service; the other half goes to
-whoever asks first. So a busy service may take what is idle, but never another's part.
+Half of the capacity is reserved, in equal parts, for the services; the other half is shared and
+allocated first come, first served. A busy service may thus use idle shared capacity, but never the
+reserved part of another service.
 """
 
 from collections.abc import Iterable
@@ -12,47 +13,55 @@
 
 
 class ConcurrencyShare(msgspec.Struct):
-    """Hold the calls in flight of each service of an entry node."""
+    """Hold the calls in flight of each service of an entry node.
+
+    `shared_in_flight` counts the calls beyond the reserved part of their service.
+    """
 
     capacity: int
-    reserve: int = 0
-    common: int = 0
-    total: int = 0
-    common_used: int = 0
+    reserved_per_service: int = 0
+    shared_capacity: int = 0
+    total_in_flight: int = 0
+    shared_in_flight: int = 0
     in_flight: dict[str, int] = msgspec.field(default_factory=dict)
 
 
 def set_services(share: ConcurrencyShare, names: Iterable[str]) -> None:
-    """Take over the services; those that left keep no reserve for the calls they still have."""
+    """Set the services of the node.
+
+    No capacity is reserved for removed services, but their calls in flight still count.
+    """
     counts = dict.fromkeys(names, 0)
-    number = len(counts)
+    service_count = len(counts)
     for name, count in share.in_flight.items():
         if count or name in counts:
             counts[name] = count
     share.in_flight = counts
-    share.reserve = int(share.capacity * RESERVED_SHARE) // max(1, number)
-    share.common = share.capacity - share.reserve * number
-    share.common_used = sum(max(0, count - share.reserve) for count in counts.values())
+    share.reserved_per_service = int(share.capacity * RESERVED_SHARE) // max(1, service_count)
+    share.shared_capacity = share.capacity - share.reserved_per_service * service_count
+    share.shared_in_flight = sum(
+        max(0, count - share.reserved_per_service) for count in counts.values()
+    )
 
 
-def admit(share: ConcurrencyShare, service: str, limit: int) -> bool:
-    """Take a place for a call; `limit` is the service's own bound. Return False if none is free."""
+def acquire_call(share: ConcurrencyShare, service: str, limit: int) -> bool:
+    """Admit a call if capacity is free and the service is below `limit`; return False if not."""
     count = share.in_flight.get(service)
-    if count is None or count >= limit or share.total >= share.capacity:
+    if count is None or count >= limit or share.total_in_flight >= share.capacity:
         return False
-    if count >= share.reserve:
-        if share.common_used >= share.common:
+    if count >= share.reserved_per_service:
+        if share.shared_in_flight >= share.shared_capacity:
             return False
-        share.common_used += 1
+        share.shared_in_flight += 1
     share.in_flight[service] = count + 1
-    share.total += 1
+    share.total_in_flight += 1
     return True
 
 
-def leave(share: ConcurrencyShare, service: str) -> None:
-    """Give back the place of a call that ended."""
+def release_call(share: ConcurrencyShare, service: str) -> None:
+    """Release the capacity of a call that ended."""
     count = share.in_flight[service]
-    if count > share.reserve:
-        share.common_used -= 1
+    if count > share.reserved_per_service:
+        share.shared_in_flight -= 1
     share.in_flight[service] = count - 1
-    share.total -= 1
+    share.total_in_flight -= 1
--- a/packages/bendwind-core/src/bendwind_core/limits/retry_budget.py
+++ b/packages/bendwind-core/src/bendwind_core/limits/retry_budget.py
@@ -1,18 +1,18 @@
-"""Bound how many retries and hedges a service's calls may add."""
+"""Limit how many retries and hedges the calls of a service may add."""
 
 import math
 
 import msgspec
 
 from bendwind_core.core import Seconds
-from bendwind_core.limits.try_budget import TryBudget
-
-RETRY_TOKENS_CAP = 10.0
-# Of what is saved above one retry half is gone after this time. All nodes spend together at the
-# first moment of a fault that all see: ten saved at each of 95 nodes were twice what users allow
-# in ten seconds, by the model in tests/test_retry_budget.py.
-SAVED_HALF_TIME: Seconds = 5.0
-# Ten times 0.1 is a little under 1 in floating point.
+from bendwind_core.limits.no_wait_budget import NoWaitBudget
+
+MAX_RETRY_TOKENS = 10.0
+# Half-life of the saved tokens above one retry. When a fault affects all nodes, all of them spend
+# their tokens at its start: ten tokens saved at each of 95 nodes are twice the retries that users
+# allow in ten seconds, by the model in tests/test_retry_budget.py.
+SAVED_TOKENS_HALF_LIFE: Seconds = 5.0
+# The sum of ten times 0.1 is slightly less than 1 in floating point.
 _ONE_TOKEN = 1.0 - 1e-9
 
 
@@ -20,32 +20,32 @@
     """Hold the retries earned by first attempts and not yet spent.
 
     The budget starts empty, so that the attempts of a service never exceed its first attempts
-    times 1 + `ratio`; what is saved above one retry fades. `tries` bounds what costs no upstream
-    anything.
+    times 1 + `ratio`. Saved tokens above one retry decay. `no_wait` limits refused attempts, which
+    cost no upstream anything.
     """
 
     ratio: float
-    cap: float = RETRY_TOKENS_CAP
+    cap: float = MAX_RETRY_TOKENS
     tokens: float = 0.0
-    earned_at: Seconds = -math.inf
-    tries: TryBudget = msgspec.field(default_factory=TryBudget)
+    credited_at: Seconds = -math.inf
+    no_wait: NoWaitBudget = msgspec.field(default_factory=NoWaitBudget)
 
 
 def earn_retry(budget: RetryBudget, now: Seconds) -> None:
     """Credit the budget for one first attempt."""
     kept = min(budget.tokens, _ONE_TOKEN)
-    saved = (budget.tokens - kept) * 0.5 ** ((now - budget.earned_at) / SAVED_HALF_TIME)
+    saved = (budget.tokens - kept) * 0.5 ** ((now - budget.credited_at) / SAVED_TOKENS_HALF_LIFE)
     budget.tokens = min(budget.cap, kept + saved + budget.ratio)
-    budget.earned_at = now
+    budget.credited_at = now
 
 
 def may_retry(budget: RetryBudget) -> bool:
-    """Tell whether one more attempt can be paid for."""
+    """Return whether the budget allows one more attempt."""
     return budget.tokens >= _ONE_TOKEN
 
 
 def spend_retry(budget: RetryBudget) -> bool:
-    """Pay for one more attempt; return False, and pay nothing, where that cannot be."""
+    """Charge one more attempt; return False, and charge nothing, if the budget is too low."""
     if not may_retry(budget):
         return False
     budget.tokens = max(0.0, budget.tokens - 1.0)
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -390,7 +390,7 @@
         limit = owned.owner_state.rate_limit
         if notice.limit_per_s is not None:
             self._feed(owned, ev.RateLimitReported(notice.limit_per_s, sent_at))
-        elif not notice.malformed and (is_limited(limit) or not limit.is_heard):
+        elif not notice.malformed and (is_limited(limit) or not limit.has_read_answer):
             self._feed(owned, ev.RateLimitNotReported(sent_at))
         if notice.malformed:
             self._log_notice(owned, EventKind.NOTICE_MALFORMED, repr(notice.malformed))
