--- a/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
@@ -23,7 +23,7 @@
 from bendwind_core.attempts import events as ev
 from bendwind_core.attempts.attempt_ids import AttemptIds
 from bendwind_core.attempts.call import AttemptState, EntryCall, create_call, find_attempt
-from bendwind_core.attempts.retry_after import NoRoom
+from bendwind_core.attempts.retry_after import NoCapacity
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Record, Seconds
 from bendwind_core.limits import RetryBudget
 from bendwind_core.routing import (
@@ -196,7 +196,7 @@
             return
         table = self.tables[run.route.service]
 
-        def choose(excluded: frozenset[str]) -> Upstream | NoRoom | None:
+        def choose(excluded: frozenset[str]) -> Upstream | NoCapacity | None:
             return self._choose(run, table, excluded)
 
         for effect in entry.step(run.call, event, self.agenda.now, choose):
@@ -204,7 +204,7 @@
 
     def _choose(
         self, run: CallRun, table: UpstreamTable, excluded: frozenset[str]
-    ) -> Upstream | NoRoom | None:
+    ) -> Upstream | NoCapacity | None:
         policy = self.scenario.policy
         now = self.agenda.now
         near = self.data_centre if policy.near_first else None
@@ -216,7 +216,7 @@
         room_at = find_room_at(table)
         if room_at is None or room_at <= now:
             return None
-        return NoRoom((room_at - now) * MILLISECONDS_PER_SECOND)
+        return NoCapacity((room_at - now) * MILLISECONDS_PER_SECOND)
 
     def _carry_out(self, run: CallRun, table: UpstreamTable, effect: ev.EntryEffect) -> None:
         now = self.agenda.now
@@ -256,7 +256,7 @@
             effect.remaining_ms,
             run.route.repeat,
             1,
-            insist=effect.insist,
+            accept_if_slow=effect.accept_if_slow,
             route=run.route.name,
             target_ms=effect.target_ms,
             origin=self.origin,
@@ -345,7 +345,7 @@
                         attempt.id,
                         self.agenda.now,
                     )
-                    self._feed(run, ev.OwnerLost(attempt.id))
+                    self._feed(run, ev.OwnerLinkLost(attempt.id))
 
     def stop(self) -> None:
         """End with the process: callers see their connections close."""
--- a/packages/bendwind-core/src/bendwind_core/attempts/admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/admission.py
@@ -94,14 +94,14 @@
     hand_over = queued.hand_over
     is_free = has_room(owner_state, now, find_slots(owner_state, queued, now))
     is_free = is_free and not urgency_queue.has_as_urgent(owner_state.timed, queued.rank)
-    if is_free and (hand_over.insist or _is_late_anyway(owner_state, hand_over, now)):
+    if is_free and (hand_over.accept_if_slow or _is_late_anyway(owner_state, hand_over, now)):
         return None
     expected_ms = find_expected_ms(owner_state, hand_over.route, now)
     wait_ms = 0.0 if is_free else find_wait_ms(owner_state, queued, now)
-    share = 1.0 if hand_over.insist else POLITE_SHARE
+    share = 1.0 if hand_over.accept_if_slow else POLITE_SHARE
     is_slow = paces.is_slow(owner_state.pace, now)
     limit_ms = _find_limit_ms(queued)
-    if is_slow and not hand_over.insist:
+    if is_slow and not hand_over.accept_if_slow:
         # Others may be at their usual pace.
         limit_ms = hand_over.target_ms
     if wait_ms + expected_ms <= share * limit_ms:
@@ -134,7 +134,7 @@
     Phases follow each other by chance: what waits through a second one is late for sure, while
     another upstream may be at its usual pace.
     """
-    if queued.hand_over.insist or queued.hand_over.target_ms is None:
+    if queued.hand_over.accept_if_slow or queued.hand_over.target_ms is None:
         return False
     if not paces.is_slow(owner_state.pace, now) or owner_state.pace.began_at <= queued.queued_at:
         return False
--- a/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/arrivals.py
@@ -148,7 +148,7 @@
         return NotRunReason.BUSY
     if hand_over.target_ms is not None:
         return find_refusal(owner_state, queued, now)
-    if not hand_over.insist and is_stalled(owner_state, now):
+    if not hand_over.accept_if_slow and is_stalled(owner_state, now):
         return NotRunReason.STALLED
     wait_ms = find_room_wait_ms(owner_state, len(owner_state.waiting), now)
     if is_limited(owner_state.rate_limit) and wait_ms >= hand_over.remaining_ms:
--- a/packages/bendwind-core/src/bendwind_core/attempts/call.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/call.py
@@ -47,7 +47,7 @@
     AttemptState.CANCELLED,
 )
 # Such refusals are the upstream's own: the request got as far as that.
-_REACHED = (NotRunReason.SHED, NotRunReason.MISDIRECTED)
+_REFUSED_BY_UPSTREAM = (NotRunReason.SHED, NotRunReason.MISDIRECTED)
 
 
 class Attempt(msgspec.Struct):
@@ -155,13 +155,14 @@
     return any(attempt.state in _PENDING for attempt in call.attempts)
 
 
-def has_reached_limit(call: EntryCall) -> bool:
+def has_reached_attempt_limit(call: EntryCall) -> bool:
     """Tell whether the call may have reached as many upstreams as its rule permits."""
     limit = call.rule.attempts
     if limit is None:
         return False
     reached = sum(
-        attempt.state in _MAY_HAVE_RUN or attempt.not_run in _REACHED for attempt in call.attempts
+        attempt.state in _MAY_HAVE_RUN or attempt.not_run in _REFUSED_BY_UPSTREAM
+        for attempt in call.attempts
     )
     return reached >= limit
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/endings.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/endings.py
@@ -49,7 +49,7 @@
             attempt.cut = CutReason.LINK_LOST
 
 
-def give_up(call: EntryCall, effects: list[EntryEffect]) -> None:
+def finish_if_none_pending(call: EntryCall, effects: list[EntryEffect]) -> None:
     """End the call now, unless an attempt may still bring an answer or a proof."""
     if has_pending(call):
         return
@@ -111,7 +111,7 @@
     finish(call, FinishNotRun(reason, retry_after_ms), effects)
 
 
-def refuse_for_want_of_room(
+def refuse_for_lack_of_capacity(
     call: EntryCall, reason: NotRunReason, wait_ms: Milliseconds, effects: list[EntryEffect]
 ) -> None:
     """End a call that no cold or limited upstream can serve in time, before anything was sent."""
--- a/packages/bendwind-core/src/bendwind_core/attempts/entry.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/entry.py
@@ -21,9 +21,9 @@
     find_held,
     finish,
     finish_delivered,
+    finish_if_none_pending,
     finish_not_run,
     finish_unknown,
-    give_up,
 )
 from bendwind_core.attempts.events import (
     AttemptBodyPart,
@@ -45,7 +45,7 @@
     FinishGone,
     FinishRefused,
     FinishUnknown,
-    OwnerLost,
+    OwnerLinkLost,
     ReleaseClaim,
     RequestClaim,
     SendCancel,
@@ -55,12 +55,18 @@
     TimerKind,
 )
 from bendwind_core.attempts.messages import CutReason, FenceVerdict, NotRunReason
-from bendwind_core.attempts.sending import Choose, reply_margin, send_first, send_hedge, try_again
-from bendwind_core.attempts.tries import NO_ROOM
+from bendwind_core.attempts.no_wait import CAPACITY_REFUSALS
+from bendwind_core.attempts.sending import (
+    ChooseUpstream,
+    reply_margin,
+    retry_or_finish,
+    send_first,
+    send_hedge,
+)
 from bendwind_core.core import Seconds
 from bendwind_core.limits import may_retry, pay_sent_back
 
-FENCE_WAIT: Seconds = 0.5
+FENCE_TIMEOUT: Seconds = 0.5
 CLAIM_PENDING_RETRY_MS = 1000.0
 _FAILED_STATUSES = frozenset({500, 502, 503, 504})
 
@@ -76,7 +82,7 @@
 )
 
 # These bounces cost the upstream nothing.
-FREE_BOUNCES = frozenset(
+BUDGET_EXEMPT_REFUSALS = frozenset(
     {
         NotRunReason.QUEUE_FULL,
         NotRunReason.DRAINING,
@@ -93,7 +99,9 @@
 )
 
 
-def step(call: EntryCall, event: EntryEvent, now: Seconds, choose: Choose) -> list[EntryEffect]:
+def step(
+    call: EntryCall, event: EntryEvent, now: Seconds, choose: ChooseUpstream
+) -> list[EntryEffect]:
     """Apply an event to a call.
 
     `choose` picks an upstream whose name is not excluded, or returns None.
@@ -113,12 +121,12 @@
             _on_not_run(call, event, now, choose, effects)
         case AttemptUnknown():
             _on_unknown(call, event, now, choose, effects)
-        case OwnerLost():
+        case OwnerLinkLost():
             _on_owner_lost(call, event, now, choose, effects)
         case FenceAnswered():
             _on_fence_answered(call, event, now, choose, effects)
         case FenceFailed():
-            _settle_lost(call, event.attempt, CutReason.LINK_LOST, now, choose, effects)
+            _mark_lost_unknown(call, event.attempt, CutReason.LINK_LOST, now, choose, effects)
         case TimerFired():
             _on_timer(call, event.kind, now, choose, effects)
         case ClaimGranted() | ClaimRefused() | ClaimHeldByOther():
@@ -134,7 +142,9 @@
         effects.append(ReleaseClaim())
 
 
-def _on_begin(call: EntryCall, now: Seconds, choose: Choose, effects: list[EntryEffect]) -> None:
+def _on_begin(
+    call: EntryCall, now: Seconds, choose: ChooseUpstream, effects: list[EntryEffect]
+) -> None:
     if now >= call.deadline_at:
         finish_not_run(call, NotRunReason.DEADLINE, None, effects)
         return
@@ -154,7 +164,7 @@
     call: EntryCall,
     event: ClaimGranted | ClaimRefused | ClaimHeldByOther,
     now: Seconds,
-    choose: Choose,
+    choose: ChooseUpstream,
     effects: list[EntryEffect],
 ) -> None:
     if call.phase is not CallPhase.CLAIMING:
@@ -175,7 +185,11 @@
 
 
 def _on_head(
-    call: EntryCall, event: AttemptHead, now: Seconds, choose: Choose, effects: list[EntryEffect]
+    call: EntryCall,
+    event: AttemptHead,
+    now: Seconds,
+    choose: ChooseUpstream,
+    effects: list[EntryEffect],
 ) -> None:
     attempt = find_attempt(call, event.attempt)
     if attempt is None or attempt.state is not AttemptState.OUTSTANDING:
@@ -184,7 +198,7 @@
     is_failed = event.status in _FAILED_STATUSES
     if is_failed and event.is_complete and call.is_idempotent and call.winner is None:
         attempt.state = AttemptState.HELD
-        try_again(call, now, choose, effects, is_free=False)
+        retry_or_finish(call, now, choose, effects, is_budget_exempt=False)
         return
     deliver(call, attempt, is_complete=event.is_complete, effects=effects)
 
@@ -203,7 +217,11 @@
 
 
 def _on_not_run(
-    call: EntryCall, event: AttemptNotRun, now: Seconds, choose: Choose, effects: list[EntryEffect]
+    call: EntryCall,
+    event: AttemptNotRun,
+    now: Seconds,
+    choose: ChooseUpstream,
+    effects: list[EntryEffect],
 ) -> None:
     attempt = find_attempt(call, event.attempt)
     if attempt is None or attempt.state not in (AttemptState.OUTSTANDING, AttemptState.LOST):
@@ -216,7 +234,7 @@
     attempt: Attempt,
     proof: AttemptNotRun,
     now: Seconds,
-    choose: Choose,
+    choose: ChooseUpstream,
     effects: list[EntryEffect],
 ) -> None:
     attempt.state = AttemptState.NOT_RUN
@@ -224,16 +242,22 @@
     attempt.ended_at = now
     attempt.load = proof.load
     attempt.wait_ms = proof.wait_ms
-    if proof.reason in NO_ROOM:
+    if proof.reason in CAPACITY_REFUSALS:
         pay_sent_back(call.budget.tries, is_try=not attempt.may_wait)
     if proof.reason in _FINAL_REFUSALS:
-        give_up(call, effects)
+        finish_if_none_pending(call, effects)
         return
-    try_again(call, now, choose, effects, is_free=proof.reason in FREE_BOUNCES)
+    retry_or_finish(
+        call, now, choose, effects, is_budget_exempt=proof.reason in BUDGET_EXEMPT_REFUSALS
+    )
 
 
 def _on_unknown(
-    call: EntryCall, event: AttemptUnknown, now: Seconds, choose: Choose, effects: list[EntryEffect]
+    call: EntryCall,
+    event: AttemptUnknown,
+    now: Seconds,
+    choose: ChooseUpstream,
+    effects: list[EntryEffect],
 ) -> None:
     attempt = find_attempt(call, event.attempt)
     if attempt is None:
@@ -251,20 +275,24 @@
     attempt: Attempt,
     reason: CutReason,
     now: Seconds,
-    choose: Choose,
+    choose: ChooseUpstream,
     effects: list[EntryEffect],
 ) -> None:
     attempt.state = AttemptState.UNKNOWN
     attempt.cut = reason
     attempt.ended_at = now
     if call.is_idempotent:
-        try_again(call, now, choose, effects, is_free=False)
+        retry_or_finish(call, now, choose, effects, is_budget_exempt=False)
     else:
-        give_up(call, effects)
+        finish_if_none_pending(call, effects)
 
 
 def _on_owner_lost(
-    call: EntryCall, event: OwnerLost, now: Seconds, choose: Choose, effects: list[EntryEffect]
+    call: EntryCall,
+    event: OwnerLinkLost,
+    now: Seconds,
+    choose: ChooseUpstream,
+    effects: list[EntryEffect],
 ) -> None:
     attempt = find_attempt(call, event.attempt)
     if attempt is None:
@@ -279,11 +307,15 @@
         return
     attempt.state = AttemptState.LOST
     effects.append(SendFence(attempt.id, attempt.upstream))
-    effects.append(StartTimer(TimerKind.FENCE, min(call.deadline_at, now + FENCE_WAIT)))
+    effects.append(StartTimer(TimerKind.FENCE, min(call.deadline_at, now + FENCE_TIMEOUT)))
 
 
 def _on_fence_answered(
-    call: EntryCall, event: FenceAnswered, now: Seconds, choose: Choose, effects: list[EntryEffect]
+    call: EntryCall,
+    event: FenceAnswered,
+    now: Seconds,
+    choose: ChooseUpstream,
+    effects: list[EntryEffect],
 ) -> None:
     attempt = find_attempt(call, event.attempt)
     if attempt is None:
@@ -294,17 +326,17 @@
                 proof = AttemptNotRun(attempt.id, NotRunReason.FENCED)
                 _mark_not_run(call, attempt, proof, now, choose, effects)
         case FenceVerdict.STARTED:
-            _settle_lost(call, attempt.id, CutReason.LINK_LOST, now, choose, effects)
+            _mark_lost_unknown(call, attempt.id, CutReason.LINK_LOST, now, choose, effects)
         case FenceVerdict.FORGOTTEN:
-            _settle_lost(call, attempt.id, CutReason.OWNER_RESTARTED, now, choose, effects)
+            _mark_lost_unknown(call, attempt.id, CutReason.OWNER_RESTARTED, now, choose, effects)
 
 
-def _settle_lost(
+def _mark_lost_unknown(
     call: EntryCall,
     attempt_id,
     reason: CutReason,
     now: Seconds,
-    choose: Choose,
+    choose: ChooseUpstream,
     effects: list[EntryEffect],
 ) -> None:
     # An attempt whose link still stands may yet be answered, whatever its fence said.
@@ -314,7 +346,11 @@
 
 
 def _on_timer(
-    call: EntryCall, kind: TimerKind, now: Seconds, choose: Choose, effects: list[EntryEffect]
+    call: EntryCall,
+    kind: TimerKind,
+    now: Seconds,
+    choose: ChooseUpstream,
+    effects: list[EntryEffect],
 ) -> None:
     match kind:
         case TimerKind.EXPIRY:
@@ -325,7 +361,7 @@
             send_hedge(call, now, choose, effects)
         case TimerKind.FENCE:
             for attempt in list(call.attempts):
-                _settle_lost(call, attempt.id, CutReason.LINK_LOST, now, choose, effects)
+                _mark_lost_unknown(call, attempt.id, CutReason.LINK_LOST, now, choose, effects)
 
 
 def _on_expiry(call: EntryCall, effects: list[EntryEffect]) -> None:
--- a/packages/bendwind-core/src/bendwind_core/attempts/events.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/events.py
@@ -89,7 +89,7 @@
     reason: CutReason
 
 
-class OwnerLost(msgspec.Struct):
+class OwnerLinkLost(msgspec.Struct):
     """Report that the link which carried the attempt broke before its answer was whole."""
 
     attempt: AttemptId
@@ -127,7 +127,7 @@
     | AttemptHead
     | AttemptBodyPart
     | AttemptUnknown
-    | OwnerLost
+    | OwnerLinkLost
     | FenceAnswered
     | FenceFailed
     | CallerGone
@@ -145,7 +145,7 @@
     attempt: AttemptId
     upstream: Upstream
     remaining_ms: Milliseconds
-    insist: bool = True
+    accept_if_slow: bool = True
     target_ms: Milliseconds | None = None
     may_wait: bool = True
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/limits.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/limits.py
@@ -12,7 +12,7 @@
 from bendwind_core.attempts.owner_state import OwnerState
 from bendwind_core.attempts.precedence import list_in_turn
 from bendwind_core.attempts.refusals import drop_waiting, find_end, take_off_queue
-from bendwind_core.attempts.retry_after import LONGEST_MS
+from bendwind_core.attempts.retry_after import MAX_RETRY_AFTER_MS
 from bendwind_core.attempts.slots import is_kept_back_by_limit
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 
@@ -63,5 +63,5 @@
 
 def tell_return_ms(owner_state: OwnerState, now: Seconds) -> Milliseconds:
     """Return in how long the caller of an attempt that the limit leaves no room should be back."""
-    longest = LONGEST_MS / MILLISECONDS_PER_SECOND
+    longest = MAX_RETRY_AFTER_MS / MILLISECONDS_PER_SECOND
     return (tell_return_at(owner_state.rate_limit, now, longest) - now) * MILLISECONDS_PER_SECOND
--- a/packages/bendwind-core/src/bendwind_core/attempts/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/messages.py
@@ -99,7 +99,7 @@
     version: int
     body: bytes = b""
     more: bool = False
-    insist: bool = True
+    accept_if_slow: bool = True
     route: str = ""
     target_ms: Milliseconds | None = None
     origin: str = ""
--- a/packages/bendwind-core/src/bendwind_core/attempts/retry_after.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/retry_after.py
@@ -6,10 +6,10 @@
 from bendwind_core.core import Milliseconds
 from bendwind_core.world import LoadSample
 
-SHORTEST_MS: Milliseconds = 50.0
-LONGEST_MS: Milliseconds = 5000.0
+MIN_RETRY_AFTER_MS: Milliseconds = 50.0
+MAX_RETRY_AFTER_MS: Milliseconds = 5000.0
 # Within this time drains, leases and configuration settle.
-SETTLING_MS: Milliseconds = 1000.0
+DEFAULT_RETRY_AFTER_MS: Milliseconds = 1000.0
 
 _LOAD_REASONS = frozenset(
     {
@@ -22,7 +22,7 @@
 )
 
 
-class NoRoom(msgspec.Struct, frozen=True):
+class NoCapacity(msgspec.Struct, frozen=True):
     """Say that every upstream is cold, or at its limit, and bears no further request in time.
 
     Units: `wait_ms` is the time until the first of them does.
@@ -34,7 +34,7 @@
 
 def bound_retry_after_ms(wait_ms: Milliseconds) -> Milliseconds:
     """Return a time to come back that is neither in a rush nor for ever."""
-    return min(LONGEST_MS, max(SHORTEST_MS, wait_ms))
+    return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, wait_ms))
 
 
 def estimate_retry_after_ms(reason: NotRunReason, load: LoadSample | None) -> Milliseconds:
@@ -42,8 +42,8 @@
     if reason is NotRunReason.BUSY and load is not None:
         return bound_retry_after_ms(load.wait_ms)
     if reason not in _LOAD_REASONS:
-        return SETTLING_MS
+        return DEFAULT_RETRY_AFTER_MS
     if load is None or load.slots <= 0:
-        return SHORTEST_MS
+        return MIN_RETRY_AFTER_MS
     backlog = (load.in_flight + load.queued) / load.slots
     return bound_retry_after_ms(max(backlog * load.latency_ms, load.room_wait_ms))
--- a/packages/bendwind-core/src/bendwind_core/attempts/sending.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/sending.py
@@ -10,33 +10,37 @@
     EntryCall,
     has_expired,
     has_pending,
-    has_reached_limit,
+    has_reached_attempt_limit,
     may_have_run,
 )
-from bendwind_core.attempts.endings import finish_not_run, give_up, refuse_for_want_of_room
+from bendwind_core.attempts.endings import (
+    finish_if_none_pending,
+    finish_not_run,
+    refuse_for_lack_of_capacity,
+)
 from bendwind_core.attempts.events import EntryEffect, SendHandOver, StartTimer, TimerKind
 from bendwind_core.attempts.messages import NotRunReason
-from bendwind_core.attempts.retry_after import NoRoom
-from bendwind_core.attempts.tries import (
-    find_shortest_wait,
-    list_waiting,
-    may_be_refused_again,
-    may_try_free,
+from bendwind_core.attempts.no_wait import (
+    exclude_busy_refusals,
+    find_upstream_with_shortest_wait,
+    may_ask_another_owner,
+    may_send_no_wait,
 )
+from bendwind_core.attempts.retry_after import NoCapacity
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.limits import earn_by_call, earn_by_try, earn_retry, may_retry, spend_retry
 from bendwind_core.world import Policy, Upstream
 
-Choose = Callable[[frozenset[str]], Upstream | NoRoom | None]
+ChooseUpstream = Callable[[frozenset[str]], Upstream | NoCapacity | None]
 
 MAX_ATTEMPTS = 5
 # So many attempts are sent back by a stalled upstream rather than taken.
-POLITE_ATTEMPTS = 3
+STALL_REFUSABLE_ATTEMPTS = 3
 # The owner's time ends a little before the caller's, so that its proof still arrives in time.
 REPLY_MARGIN_MAX: Seconds = 0.020
 REPLY_MARGIN_SHARE = 0.1
 # After these the same upstream may well take the next attempt.
-_PASSING_BOUNCES = frozenset(
+_TRANSIENT_REFUSALS = frozenset(
     {
         NotRunReason.STALLED,
         NotRunReason.FENCED,
@@ -50,7 +54,9 @@
 _NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
-def send_first(call: EntryCall, now: Seconds, choose: Choose, effects: list[EntryEffect]) -> None:
+def send_first(
+    call: EntryCall, now: Seconds, choose: ChooseUpstream, effects: list[EntryEffect]
+) -> None:
     """Send the first attempt."""
     if has_expired(call, now):
         # Its claim was granted too late.
@@ -62,8 +68,8 @@
         case None:
             finish_not_run(call, NotRunReason.NO_UPSTREAM, None, effects)
             return
-        case NoRoom(wait_ms=wait_ms):
-            refuse_for_want_of_room(call, upstream.reason, wait_ms, effects)
+        case NoCapacity(wait_ms=wait_ms):
+            refuse_for_lack_of_capacity(call, upstream.reason, wait_ms, effects)
             return
     earn_retry(call.budget, now)
     earn_by_call(call.budget.tries)
@@ -72,7 +78,7 @@
         upstream,
         now,
         effects,
-        may_wait=not (may_try_free(call, upstream, now) and _has_other(upstream, choose)),
+        may_wait=not (may_send_no_wait(call, upstream, now) and _has_alternative(upstream, choose)),
     )
     hedge_after_ms = call.service.hedge_after_ms
     if hedge_after_ms is not None and call.is_idempotent:
@@ -81,18 +87,20 @@
             effects.append(StartTimer(TimerKind.HEDGE, hedge_at))
 
 
-def _has_other(upstream: Upstream, choose: Choose) -> bool:
+def _has_alternative(upstream: Upstream, choose: ChooseUpstream) -> bool:
     """Tell whether another upstream serves; where there is none, a request has to wait anyway."""
     return isinstance(choose(frozenset((upstream.name,))), Upstream)
 
 
-def send_hedge(call: EntryCall, now: Seconds, choose: Choose, effects: list[EntryEffect]) -> None:
+def send_hedge(
+    call: EntryCall, now: Seconds, choose: ChooseUpstream, effects: list[EntryEffect]
+) -> None:
     """Send a second attempt beside the first."""
-    handed_over = [one for one in call.attempts if one.state is not AttemptState.NOT_RUN]
-    is_open = len(handed_over) == 1 and handed_over[0].state is AttemptState.OUTSTANDING
+    not_refused = [one for one in call.attempts if one.state is not AttemptState.NOT_RUN]
+    is_open = len(not_refused) == 1 and not_refused[0].state is AttemptState.OUTSTANDING
     if call.phase is not CallPhase.TRYING or not is_open or not may_retry(call.budget):
         return
-    if has_reached_limit(call):
+    if has_reached_attempt_limit(call):
         return
     upstream = choose(frozenset(attempt.upstream.name for attempt in call.attempts))
     if not isinstance(upstream, Upstream):
@@ -115,14 +123,14 @@
         earn_by_try(call.budget.tries)
     call.attempts.append(attempt)
     remaining = call.deadline_at - now - reply_margin(call, now)
-    insist = _must_insist(call, upstream)
+    accept_if_slow = _should_accept_if_slow(call, upstream)
     remaining_ms = remaining * MILLISECONDS_PER_SECOND
     effects.append(
         SendHandOver(
             attempt.id,
             upstream,
             remaining_ms,
-            insist,
+            accept_if_slow,
             _find_target_ms(call, now),
             may_wait,
         )
@@ -135,15 +143,15 @@
     return max(0.0, (call.target_at - now) * MILLISECONDS_PER_SECOND)
 
 
-def _must_insist(call: EntryCall, upstream: Upstream) -> bool:
+def _should_accept_if_slow(call: EntryCall, upstream: Upstream) -> bool:
     # The other policies stay the plain baselines that they are.
     if call.service.policy is not Policy.SCORE:
         return True
     # The last attempt in the list is the one being sent.
-    earlier = list_waiting(call.attempts[:-1])
-    if len(earlier) >= POLITE_ATTEMPTS:
+    earlier_attempts = exclude_busy_refusals(call.attempts[:-1])
+    if len(earlier_attempts) >= STALL_REFUSABLE_ATTEMPTS:
         return True
-    return any(attempt.upstream.name == upstream.name for attempt in earlier)
+    return any(attempt.upstream.name == upstream.name for attempt in earlier_attempts)
 
 
 def reply_margin(call: EntryCall, now: Seconds) -> Seconds:
@@ -151,56 +159,63 @@
     return min(REPLY_MARGIN_MAX, REPLY_MARGIN_SHARE * (call.deadline_at - now))
 
 
-def try_again(
-    call: EntryCall, now: Seconds, choose: Choose, effects: list[EntryEffect], *, is_free: bool
+def retry_or_finish(
+    call: EntryCall,
+    now: Seconds,
+    choose: ChooseUpstream,
+    effects: list[EntryEffect],
+    *,
+    is_budget_exempt: bool,
 ) -> None:
     """Send another attempt if rule, budget and time permit, else give up."""
     if has_pending(call):
         return
     upstream = None
     may_wait = True
-    if _may_try_again(call, now, is_free=is_free):
+    if _is_retry_permitted(call, now, is_budget_exempt=is_budget_exempt):
         upstream, may_wait = _choose_next(call, now, choose)
     if not isinstance(upstream, Upstream):
-        give_up(call, effects)
+        finish_if_none_pending(call, effects)
         return
-    if not is_free:
+    if not is_budget_exempt:
         spend_retry(call.budget)
     _send(call, upstream, now, effects, may_wait=may_wait)
 
 
-def _may_try_again(call: EntryCall, now: Seconds, *, is_free: bool) -> bool:
-    if call.is_caller_gone or len(list_waiting(call.attempts)) >= MAX_ATTEMPTS:
+def _is_retry_permitted(call: EntryCall, now: Seconds, *, is_budget_exempt: bool) -> bool:
+    if call.is_caller_gone or len(exclude_busy_refusals(call.attempts)) >= MAX_ATTEMPTS:
         return False
     # An attempt sent now would have no fence: it could end as unknown despite a proof of not-run.
     if has_expired(call, now) or now + reply_margin(call, now) >= call.deadline_at:
         return False
     if not call.is_idempotent and may_have_run(call):
         return False
-    if has_reached_limit(call):
+    if has_reached_attempt_limit(call):
         return False
-    return (is_free and may_be_refused_again(call)) or (not is_free and may_retry(call.budget))
+    return (is_budget_exempt and may_ask_another_owner(call)) or (
+        not is_budget_exempt and may_retry(call.budget)
+    )
 
 
-def _is_lasting(attempt: Attempt) -> bool:
+def _would_refuse_again(attempt: Attempt) -> bool:
     """Tell whether an upstream that sent an attempt back would send the next one back too."""
     if attempt.not_run is NotRunReason.LIMITED:
         # It would have let it wait for its turn, if there were one in time.
         return attempt.may_wait
-    return attempt.not_run not in _PASSING_BOUNCES
+    return attempt.not_run not in _TRANSIENT_REFUSALS
 
 
 def _choose_next(
-    call: EntryCall, now: Seconds, choose: Choose
-) -> tuple[Upstream | NoRoom | None, bool]:
+    call: EntryCall, now: Seconds, choose: ChooseUpstream
+) -> tuple[Upstream | NoCapacity | None, bool]:
     """Return the upstream of the next attempt, and whether the attempt may wait there."""
     upstream = choose(frozenset(attempt.upstream.name for attempt in call.attempts))
-    if isinstance(upstream, Upstream) and may_try_free(call, upstream, now):
+    if isinstance(upstream, Upstream) and may_send_no_wait(call, upstream, now):
         return upstream, False
-    soonest = find_shortest_wait(call, now)
-    if soonest is not None:
-        return soonest, True
+    first_free = find_upstream_with_shortest_wait(call, now)
+    if first_free is not None:
+        return first_free, True
     if isinstance(upstream, Upstream):
         return upstream, True
-    lasting = [attempt for attempt in call.attempts if _is_lasting(attempt)]
-    return choose(frozenset(attempt.upstream.name for attempt in lasting)), True
+    refusing = [attempt for attempt in call.attempts if _would_refuse_again(attempt)]
+    return choose(frozenset(attempt.upstream.name for attempt in refusing)), True
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/call_path_world.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/call_path_world.py
@@ -166,7 +166,7 @@
             effect.remaining_ms,
             caller.call.rule.repeat,
             1,
-            insist=effect.insist,
+            accept_if_slow=effect.accept_if_slow,
         )
         if not self.send(caller.entry, effect.upstream, hand_over):
             reason = messages.NotRunReason.CONNECT_FAILED
@@ -300,7 +300,7 @@
         for caller in self.callers:
             for attempt in list(caller.call.attempts):
                 if caller.entry.name == name and attempt.upstream.name == f"u{node.index}":
-                    self.entry_step(caller, ev.OwnerLost(attempt.id))
+                    self.entry_step(caller, ev.OwnerLinkLost(attempt.id))
 
     def restart_owner(self, node: OwnerNode) -> None:
         node.restart()
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
@@ -25,11 +25,11 @@
     def step(self, event):
         return owner.step(self.owner_state, event, self.now)
 
-    def hand_over(self, route="slow", target_ms=1000.0, remaining_ms=1000.0, insist=True):
+    def hand_over(self, route="slow", target_ms=1000.0, remaining_ms=1000.0, accept_if_slow=True):
         self.sequence += 1
         attempt = AttemptId("e", 1, self.sequence)
         parts = (attempt, 1, "s", "u", "GET", b"/", (), remaining_ms, Repeat.IDEMPOTENT, 1)
-        message = HandOver(*parts, insist=insist, route=route, target_ms=target_ms)
+        message = HandOver(*parts, accept_if_slow=accept_if_slow, route=route, target_ms=target_ms)
         return self.step(ov.HandOverArrived(message, 1))
 
     def fill(self):
@@ -87,13 +87,13 @@
 
     def test_late_one_is_taken_where_a_slot_is_free_unless_it_can_go_elsewhere(self):
         self.assertIs(
-            self.reason(self.hand_over(target_ms=50.0, insist=False)), NotRunReason.STALLED
+            self.reason(self.hand_over(target_ms=50.0, accept_if_slow=False)), NotRunReason.STALLED
         )
         self.assertIsInstance(self.hand_over(target_ms=50.0)[0], ov.Dispatch)
 
     def test_slowed_upstream_is_avoided_until_its_phase_should_be_over(self):
         self.step(ov.LoadReported(4.0))
-        polite = {"target_ms": 150.0, "insist": False}
+        polite = {"target_ms": 150.0, "accept_if_slow": False}
         self.assertIs(self.reason(self.hand_over(**polite)), NotRunReason.STALLED)
         self.now += TYPICAL_PHASE
         self.assertEqual(self.hand_over(**polite), [ov.AskLoad()])
@@ -113,20 +113,20 @@
     def test_request_that_waited_goes_elsewhere_when_another_slow_phase_follows(self):
         # It was held on to its deadline, though another upstream could have answered in time.
         answers = {}
-        for insist in (False, True):
+        for accept_if_slow in (False, True):
             self.setUp()
             self.step(ov.LoadReported(4.0))
             self.now += 0.2
-            self.assertEqual(self.hand_over(target_ms=350.0, insist=insist), [])
+            self.assertEqual(self.hand_over(target_ms=350.0, accept_if_slow=accept_if_slow), [])
             self.now = owner.next_due(self.owner_state, self.now)
             self.step(ov.Tick())
-            answers[insist] = self.step(ov.LoadReported(4.0))
+            answers[accept_if_slow] = self.step(ov.LoadReported(4.0))
         self.assertIs(self.reason(answers[False]), NotRunReason.STALLED)
         self.assertIsInstance(answers[True][0], ov.Dispatch)
 
     def test_request_that_may_go_elsewhere_is_taken_with_room_for_scatter(self):
         for target_ms, is_taken in ((100.0, False), (130.0, True)):
-            effects = self.hand_over(target_ms=target_ms, insist=False)
+            effects = self.hand_over(target_ms=target_ms, accept_if_slow=False)
             self.assertEqual(isinstance(effects[0], ov.Dispatch), is_taken, target_ms)
 
     def test_request_that_is_in_time_also_when_slowed_starts(self):
@@ -189,8 +189,10 @@
         # Refused at its objective, it made the run that waited for it fail.
         self.fill()
         self.tell_origins()
-        for insist in (False, True):
-            waiting = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, insist=insist)
+        for accept_if_slow in (False, True):
+            waiting = self.hand_over(
+                "quick", target_ms=5.0, remaining_ms=400.0, accept_if_slow=accept_if_slow
+            )
             self.assertEqual(waiting, [])
 
     def test_short_request_of_a_caller_may_not_wait_beyond_its_objective(self):
@@ -203,11 +205,11 @@
         self.fill()
         self.tell_origins()
         self.step(ov.LoadReported(4.0))
-        refused = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, insist=False)
+        refused = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, accept_if_slow=False)
         self.assertIs(self.reason(refused), NotRunReason.QUEUE_FULL)
 
     def test_request_of_a_caller_that_came_back_late_takes_a_free_slot_and_waits_for_none(self):
-        self.assertIsInstance(self.hand_over(target_ms=0.0, insist=False)[0], ov.Dispatch)
+        self.assertIsInstance(self.hand_over(target_ms=0.0, accept_if_slow=False)[0], ov.Dispatch)
         self.hand_over()
         refused = self.hand_over(target_ms=0.0)
         self.assertIs(self.reason(refused), NotRunReason.QUEUE_FULL)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_busy_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_busy_owner.py
@@ -28,7 +28,7 @@
             3000.0,
             Repeat.NEVER,
             1,
-            insist=False,
+            accept_if_slow=False,
             route="read",
             target_ms=955.0,
             may_wait=may_wait,
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_cold_upstream.py
@@ -28,7 +28,7 @@
         self.sequence += 1
         attempt = AttemptId("e", 1, self.sequence)
         parts = (attempt, 1, "s", "u", "GET", b"/", (), remaining_ms, Repeat.IDEMPOTENT, 1)
-        message = HandOver(*parts, insist=True, route="r", target_ms=target_ms)
+        message = HandOver(*parts, accept_if_slow=True, route="r", target_ms=target_ms)
         return self.step(ov.HandOverArrived(message, 1))
 
     def press(self, span, each_s=0.01, **times):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_expiry.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_expiry.py
@@ -50,14 +50,14 @@
         self.check_ends_not_run(effects, NotRunReason.FENCED)
 
     def test_what_is_sent_back_after_its_time_is_told_as_not_run_and_not_sent_again(self):
-        for reason in sorted(entry.FREE_BOUNCES):
+        for reason in sorted(entry.BUDGET_EXEMPT_REFUSALS):
             attempt = self.send_and_expire()
             effects = self.step(ev.AttemptNotRun(attempt, reason), LATE)
             self.check_ends_not_run(effects, reason)
 
     def test_a_lost_attempt_whose_proof_comes_after_its_time_is_not_sent_again(self):
         _, sent = self.begin()
-        self.step(ev.OwnerLost(sent.attempt), EXPIRY - 0.1)
+        self.step(ev.OwnerLinkLost(sent.attempt), EXPIRY - 0.1)
         self.step(ev.TimerFired(ev.TimerKind.EXPIRY), EXPIRY)
         proof = ev.FenceAnswered(sent.attempt, FenceVerdict.NEVER_STARTED)
         self.check_ends_not_run(self.step(proof, LATE), NotRunReason.FENCED)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_free_upstreams.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from bendwind_core.attempts import HandOver, NotRunReason, entry, owner, tries
+from bendwind_core.attempts import HandOver, NotRunReason, entry, no_wait, owner
 from bendwind_core.attempts import events as ev
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.admission import has_place_at_once
@@ -141,7 +141,7 @@
             effect.remaining_ms,
             Repeat.NEVER,
             1,
-            insist=effect.insist,
+            accept_if_slow=effect.accept_if_slow,
             route="read",
             target_ms=effect.target_ms,
             may_wait=effect.may_wait,
@@ -209,7 +209,7 @@
     def find_shares(self, per_second, *, has_phases):
         """Return which share waited beside a free one, with tries that may not wait and without."""
         tried = Replay(8, 20, per_second, has_phases).play(20.0)
-        with mock.patch.object(tries, "may_try", lambda budget: False):
+        with mock.patch.object(no_wait, "may_try", lambda budget: False):
             untried = Replay(8, 20, per_second, has_phases).play(20.0)
         return [one.waited_beside_free / one.started for one in (tried, untried)]
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_entry.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_entry.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from bendwind_core.attempts import entry, sending, tries
+from bendwind_core.attempts import entry, no_wait, sending
 from bendwind_core.attempts import events as ev
 from bendwind_core.attempts.attempt_ids import AttemptIds
 from bendwind_core.attempts.call import AttemptState, CallPhase, create_call
@@ -17,7 +17,7 @@
 
 UPSTREAMS = [Upstream(f"u{i}", "s", Instance("o", "dc", "h", 1, 1), 1, 1) for i in range(3)]
 DEADLINE = 1.0
-FREE = sorted(entry.FREE_BOUNCES)
+FREE = sorted(entry.BUDGET_EXEMPT_REFUSALS)
 pick = st.integers(0, 7)
 skips = st.sampled_from([-1, 0, 0, 0, 1])
 
@@ -115,7 +115,7 @@
         assert len(unproven) <= self.tokens, "retried beyond the budget"
         bounced = [a for a in self.call.attempts if a.not_run in SENT_BACK]
         busy = sum(not attempt.may_wait for attempt in bounced)
-        assert busy <= tries.POLITE_TRIES
+        assert busy <= no_wait.MAX_NO_WAIT_ATTEMPTS
         assert len(self.sent) - busy < sending.MAX_ATTEMPTS
 
     def _pick(self, pick):
@@ -197,7 +197,7 @@
         attempt = self._pick(pick)
         match kind:
             case "lost":
-                self.step(ev.OwnerLost(attempt))
+                self.step(ev.OwnerLinkLost(attempt))
             case "true" if attempt in self.ran:
                 self.step(ev.FenceAnswered(attempt, FenceVerdict.STARTED))
             case "true":
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
@@ -85,7 +85,7 @@
             case ov.ReplyNotRun(attempt, _, reason):
                 assert attempt not in self.started, "told not-run, but it started"
                 self.proven.add(attempt)
-                is_polite = not self.insist or attempt in self.timed
+                is_polite = not self.accept_if_slow or attempt in self.timed
                 assert reason is not NotRunReason.STALLED or is_polite
                 if reason is NotRunReason.QUEUE_FULL and attempt not in self.timed:
                     assert lines[attempt.entry] >= max(lines.values()), "took another's share"
@@ -116,19 +116,21 @@
         incarnation=incarnations,
         remaining_ms=st.sampled_from([0.0, 20.0, 1000.0, 1000.0]),
         repeat=st.sampled_from(Repeat),
-        insist=st.booleans(),
+        accept_if_slow=st.booleans(),
         target_ms=st.sampled_from([None, None, 0.0, 15.0, 400.0]),
     )
-    def hand_over(self, attempt, epoch, incarnation, remaining_ms, repeat, insist, target_ms):
+    def hand_over(
+        self, attempt, epoch, incarnation, remaining_ms, repeat, accept_if_slow, target_ms
+    ):
         if self.peers == 1 and attempt in self.seen:
             return  # A link is ordered: nothing of an attempt follows once its peer was dropped.
         self.seen.add(attempt)
         if incarnation != INCARNATION:
             attempt = AttemptId("other", 1, attempt.sequence)
-        self.insist = insist
+        self.accept_if_slow = accept_if_slow
         parts = (attempt, incarnation, "s", "u", "GET", b"/", (), remaining_ms, repeat, 1)
         route = "" if target_ms is None else f"route-{attempt.sequence % 2}"
-        message = HandOver(*parts, insist=insist, route=route, target_ms=target_ms)
+        message = HandOver(*parts, accept_if_slow=accept_if_slow, route=route, target_ms=target_ms)
         if target_ms is not None:
             self.timed.add(attempt)
         self.step(ov.HandOverArrived(message, epoch))
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_room.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_room.py
@@ -76,7 +76,7 @@
         parts = (attempt, 1, "s", "u", "GET", b"/", (), 5000.0, Repeat.IDEMPOTENT, 1)
         message = HandOver(
             *parts,
-            insist=insist,
+            accept_if_slow=insist,
             route=route,
             target_ms=target_ms,
             origin="shop" if route == "call" else f"place-{self.sequence % 3}",
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_near_first.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_near_first.py
@@ -7,7 +7,7 @@
 from bendwind_core.attempts.attempt_ids import AttemptIds
 from bendwind_core.attempts.call import create_call
 from bendwind_core.attempts.messages import NotRunReason
-from bendwind_core.attempts.tries import FAR_TRIES
+from bendwind_core.attempts.no_wait import MAX_FAR_NO_WAIT_ATTEMPTS
 from bendwind_core.limits import RetryBudget
 from bendwind_core.world import Instance, LoadSample, Policy, Repeat, Rule, Service, Upstream
 
@@ -61,7 +61,7 @@
     def test_asks_few_in_other_data_centres_and_then_waits_where_it_is_shortest(self):
         sent = self.play({"n": 90.0, "f2": 60.0})
         far = [name for name, may_wait in sent if name != "n" and not may_wait]
-        self.assertEqual(len(far), FAR_TRIES)
+        self.assertEqual(len(far), MAX_FAR_NO_WAIT_ATTEMPTS)
         self.assertEqual(sent[-1], ("f2", True))
 
     def test_without_near_upstreams_all_are_asked(self):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_sending.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_sending.py
@@ -3,13 +3,17 @@
 import types
 import unittest
 
-from bendwind_core.attempts import entry, owner, tries
+from bendwind_core.attempts import entry, no_wait, owner
 from bendwind_core.attempts import events as ev
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.attempts.attempt_ids import AttemptIds
 from bendwind_core.attempts.call import create_call
 from bendwind_core.attempts.messages import AttemptId, HandOver, NotRunReason
-from bendwind_core.attempts.retry_after import LONGEST_MS, SHORTEST_MS, estimate_retry_after_ms
+from bendwind_core.attempts.retry_after import (
+    MAX_RETRY_AFTER_MS,
+    MIN_RETRY_AFTER_MS,
+    estimate_retry_after_ms,
+)
 from bendwind_core.limits import RetryBudget
 from bendwind_core.world import (
     Instance,
@@ -45,7 +49,7 @@
             last = effects[-1]
             if not isinstance(last, ev.SendHandOver):
                 return sent, last
-            sent.append((last.upstream.name, last.insist))
+            sent.append((last.upstream.name, last.accept_if_slow))
             self.may_wait.append(last.may_wait)
             if reason is not None:
                 load = LoadSample(2, 0, 3, wait_ms=waits.get(last.upstream.name, 0.0))
@@ -62,11 +66,11 @@
 
     def test_busy_ones_are_tried_in_turn_and_then_the_one_that_is_free_first(self):
         waits = {f"u{number}": 100.0 - 10.0 * (number == 3) for number in range(9)}
-        busy = [NotRunReason.BUSY] * tries.POLITE_TRIES
+        busy = [NotRunReason.BUSY] * no_wait.MAX_NO_WAIT_ATTEMPTS
         sent, _ = self.bounce(9, Policy.SCORE, busy, waits)
-        names = [f"u{number}" for number in range(tries.POLITE_TRIES)]
+        names = [f"u{number}" for number in range(no_wait.MAX_NO_WAIT_ATTEMPTS)]
         self.assertEqual([name for name, _ in sent], [*names, "u3"])
-        self.assertEqual(self.may_wait, [False] * tries.POLITE_TRIES + [True])
+        self.assertEqual(self.may_wait, [False] * no_wait.MAX_NO_WAIT_ATTEMPTS + [True])
 
     def test_where_fewer_serve_the_first_to_be_free_is_handed_over_to_after_all_were_asked(self):
         sent, _ = self.bounce(2, Policy.SCORE, [NotRunReason.BUSY] * 2, {"u0": 90.0, "u1": 20.0})
@@ -113,7 +117,7 @@
     def test_full_upstreams_refuse_at_once_and_say_when_to_come_back(self):
         sent, final = self.bounce(2, Policy.SCORE, [NotRunReason.QUEUE_FULL] * 2)
         self.assertEqual(len(sent), 2)
-        self.assertEqual(final, ev.FinishNotRun(NotRunReason.QUEUE_FULL, SHORTEST_MS))
+        self.assertEqual(final, ev.FinishNotRun(NotRunReason.QUEUE_FULL, MIN_RETRY_AFTER_MS))
 
 
 class TestStall(unittest.TestCase):
@@ -132,7 +136,7 @@
     def hand_over(self, owner_state, sequence, now):
         attempt = AttemptId("e", 1, sequence)
         parts = (attempt, 1, "s", "u", "GET", b"/", (), 1000.0, Repeat.NEVER, 1)
-        message = HandOver(*parts, insist=False)
+        message = HandOver(*parts, accept_if_slow=False)
         return owner.step(owner_state, ov.HandOverArrived(message, 1), now)[0]
 
 
@@ -142,14 +146,14 @@
             estimate_retry_after_ms(NotRunReason.BUSY, LoadSample(2, 0, 3, wait_ms=wait_ms))
             for wait_ms in (0.0, 300.0)
         ]
-        self.assertEqual(times, [SHORTEST_MS, 300.0])
+        self.assertEqual(times, [MIN_RETRY_AFTER_MS, 300.0])
 
     def test_grows_with_the_backlog_within_its_bounds(self):
         times = [
             estimate_retry_after_ms(NotRunReason.SHED, LoadSample(4, queued, 4, latency_ms=100.0))
             for queued in (0, 16, 4000)
         ]
-        self.assertEqual(times, [100.0, 500.0, LONGEST_MS])
+        self.assertEqual(times, [100.0, 500.0, MAX_RETRY_AFTER_MS])
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -24,7 +24,7 @@
 from bendwind_core.attempts import events as ev
 from bendwind_core.attempts.attempt_ids import AttemptIds
 from bendwind_core.attempts.call import Attempt, find_attempt
-from bendwind_core.attempts.retry_after import NoRoom
+from bendwind_core.attempts.retry_after import NoCapacity
 from bendwind_core.claims import ClaimAnswer, ClaimState
 from bendwind_core.claims.messages import MAX_KEPT_ANSWER_BYTES
 from bendwind_core.limits import ConcurrencyShare, set_services
@@ -149,7 +149,7 @@
         for run, attempt in self._find_attempts_at(link.peer.name):
             table = self.choices[run.call.service.name].table
             note_unknown(table, attempt.upstream.name, attempt.id, now)
-            run.feed(ev.OwnerLost(attempt.id))
+            run.feed(ev.OwnerLinkLost(attempt.id))
         for service, choice in self.choices.items():
             owners = {view.upstream.owner.name for view in choice.table.views.values()}
             if link.peer.name in owners:
@@ -260,7 +260,7 @@
         call = run.call
         choice = self.choices[call.service.name]
 
-        def choose(excluded: frozenset[str]) -> Upstream | NoRoom | None:
+        def choose(excluded: frozenset[str]) -> Upstream | NoCapacity | None:
             if not may_send(self.membership, run):
                 return None
             note_own_load(choice, self.owner, now)
@@ -325,7 +325,7 @@
             self.membership.view.version,
             first,
             bool(rest),
-            insist=effect.insist,
+            accept_if_slow=effect.accept_if_slow,
             route=run.call.rule.name,
             target_ms=effect.target_ms,
             origin=self.origin_service,
--- a/packages/bendwind-node/src/bendwind_node/calls/service_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/service_choice.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from bendwind_core.attempts import NotRunReason
-from bendwind_core.attempts.retry_after import NoRoom
+from bendwind_core.attempts.retry_after import NoCapacity
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
 from bendwind_core.limits import RetryBudget
 from bendwind_core.routing import (
@@ -108,7 +108,7 @@
     rng: random.Random,
     *,
     stays: bool,
-) -> Upstream | NoRoom | None:
+) -> Upstream | NoCapacity | None:
     """Return the upstream of a call's next attempt, or why there is none."""
     service = run.call.service
     near = own.data_centre if service.near_first else None
@@ -125,7 +125,7 @@
     return _explain_absence(choice.table, now, rng) if chosen is None else chosen
 
 
-def _explain_absence(table: UpstreamTable, now: Seconds, rng: random.Random) -> NoRoom | None:
+def _explain_absence(table: UpstreamTable, now: Seconds, rng: random.Random) -> NoCapacity | None:
     """Say when there is room again where only cold or limited upstreams are left, else None."""
     room_at = find_room_at(table)
     if room_at is None or room_at <= now:
@@ -133,9 +133,9 @@
     wait_ms = (room_at - now) * MILLISECONDS_PER_SECOND
     limits = [find_limit(table.notices, view.upstream) for view in table.views.values()]
     if all(limit is None for limit in limits):
-        return NoRoom(wait_ms)
+        return NoCapacity(wait_ms)
     # At a limit there is room for one at that moment, and for one more each such while.
-    return NoRoom(wait_ms * rng.uniform(1.0, RETURN_SPREAD), NotRunReason.LIMITED)
+    return NoCapacity(wait_ms * rng.uniform(1.0, RETURN_SPREAD), NotRunReason.LIMITED)
 
 
 def note_own_load(choice: ServiceChoice, owner: OwnerNode, now: Seconds) -> None:
