--- a/packages/bendwind-core/src/bendwind_core/attempts/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the state machines of a call: the entry node's and the owner node's."""
+"""Provide the state machines of a call on its entry node and on its owner node."""
 
 from bendwind_core.attempts.messages import (
     AnswerHead,
--- a/packages/bendwind-core/src/bendwind_core/attempts/attempt_ids.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/attempt_ids.py
@@ -1,4 +1,4 @@
-"""Number the attempts of one entry node."""
+"""Assign the ids of one entry node's attempts."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class AttemptIds(msgspec.Struct):
-    """Hold the last sequence number given out by this run of an entry node."""
+    """Hold the last sequence number assigned by this incarnation of an entry node."""
 
     entry: str
     incarnation: int
@@ -14,7 +14,7 @@
 
 
 def next_attempt_id(ids: AttemptIds) -> AttemptId:
-    """Give out the next attempt id.
+    """Return a new attempt id with the next sequence number.
 
     >>> next_attempt_id(AttemptIds("sala-norte-1", 3)).sequence
     1
--- a/packages/bendwind-core/src/bendwind_core/attempts/call.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/call.py
@@ -12,7 +12,7 @@
 
 
 class CallPhase(enum.Enum):
-    """Name the phases of a call."""
+    """List the phases of a call."""
 
     NEW = "new"
     CLAIMING = "claiming"
@@ -22,10 +22,10 @@
 
 
 class AttemptState(enum.Enum):
-    """Say what the entry node knows of an attempt.
+    """List the states of an attempt as its entry node sees them.
 
-    LOST: its link broke and a fence is under way. HELD: its whole answer is an error that is
-    delivered only if nothing better comes.
+    LOST: its link broke and the owner is being asked to fence it. HELD: its complete answer is an
+    error, which is delivered only if no other attempt brings a better answer.
     """
 
     OUTSTANDING = "outstanding"
@@ -46,14 +46,14 @@
     AttemptState.WON,
     AttemptState.CANCELLED,
 )
-# Such refusals are the upstream's own: the request got as far as that.
+# The upstream itself refuses for these reasons, so the request has reached it.
 _REFUSED_BY_UPSTREAM = (NotRunReason.SHED, NotRunReason.MISDIRECTED)
 
 
 class Attempt(msgspec.Struct):
     """Hold one attempt of a call.
 
-    Units: `wait_ms` is when its owner would take it, in milliseconds, None where that is not known.
+    Units: `wait_ms` is the time until its owner would accept it, in milliseconds, None if unknown.
     """
 
     id: AttemptId
@@ -69,12 +69,12 @@
 
 
 class EntryCall(msgspec.Struct):
-    """Hold one call from its arrival to its one final outcome.
+    """Hold one call from its arrival to its single final outcome.
 
-    `rank` says how urgent it is, 0 the most, and `customer` whose it is, empty where that is not
-    known. `near` is the data centre whose upstreams go first, empty where none do. At `expires_at`
-    the open attempts of a call that may not be repeated are fenced, and nothing is sent from then
-    on; None for a call that may be repeated.
+    `rank` is its urgency, 0 the most urgent, and `customer` the customer that it belongs to, empty
+    if unknown. `near` is the data centre whose upstreams are preferred, empty if none is. At
+    `expires_at` the open attempts of a call that may not be repeated are fenced, and nothing is
+    sent afterwards; None for a call that may be repeated.
     """
 
     call_id: str
@@ -98,12 +98,12 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether the rule permits attempts without proof that earlier ones did not run."""
+        """Tell whether the rule permits attempts without a proof that earlier ones did not run."""
         return self.rule.repeat is Repeat.IDEMPOTENT
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether the call had its final outcome."""
+        """Tell whether the call has its final outcome."""
         return self.phase is CallPhase.FINISHED
 
 
@@ -123,8 +123,8 @@
 ) -> EntryCall:
     """Create a call; `has_key` says that it carries an idempotency key to be claimed.
 
-    An answer after `target_at` is late, if there is such a time. `rank` is that of the customer,
-    None where the rule's holds.
+    An answer after `target_at` is late; None without a latency objective. `rank` is the customer's
+    rank, None if the rule's priority applies.
     """
     is_claimed = has_key and rule.repeat is Repeat.NEVER
     return EntryCall(
@@ -143,7 +143,7 @@
 
 
 def find_attempt(call: EntryCall, attempt_id: AttemptId) -> Attempt | None:
-    """Return the call's attempt of this id, or None."""
+    """Return the call's attempt with this id, or None."""
     for attempt in call.attempts:
         if attempt.id == attempt_id:
             return attempt
@@ -151,7 +151,7 @@
 
 
 def has_pending(call: EntryCall) -> bool:
-    """Tell whether an attempt may still bring an answer or a proof."""
+    """Tell whether an attempt may still bring an answer or a proof that it did not run."""
     return any(attempt.state in _PENDING for attempt in call.attempts)
 
 
@@ -168,10 +168,10 @@
 
 
 def has_expired(call: EntryCall, now: Seconds) -> bool:
-    """Tell whether the time of a call that may not be repeated is up."""
+    """Tell whether a call that may not be repeated has reached its expiry time."""
     return call.expires_at is not None and now >= call.expires_at
 
 
 def may_have_run(call: EntryCall) -> bool:
-    """Tell whether any attempt lacks the proof that it did not run."""
+    """Tell whether any attempt lacks a proof that it did not run."""
     return any(attempt.state in _MAY_HAVE_RUN for attempt in call.attempts)
--- a/packages/bendwind-core/src/bendwind_core/attempts/endings.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/endings.py
@@ -1,4 +1,4 @@
-"""End a call with its one final outcome."""
+"""End a call with its single final outcome."""
 
 from bendwind_core.attempts.call import (
     Attempt,
@@ -28,7 +28,7 @@
 def deliver(
     call: EntryCall, attempt: Attempt, *, is_complete: bool, effects: list[EntryEffect]
 ) -> None:
-    """Deliver an attempt's answer; it is the only one that ever is."""
+    """Deliver an attempt's answer; no other attempt's answer is ever delivered."""
     attempt.state = AttemptState.WON
     call.winner = attempt
     call.phase = CallPhase.DELIVERING
@@ -39,7 +39,7 @@
 
 
 def cancel_pending(call: EntryCall, effects: list[EntryEffect]) -> None:
-    """Cancel the attempts whose answers nobody awaits any more."""
+    """Cancel the attempts whose answers are no longer needed."""
     for attempt in call.attempts:
         if attempt.state is AttemptState.OUTSTANDING:
             effects.append(SendCancel(attempt.id, attempt.upstream))
@@ -50,7 +50,7 @@
 
 
 def finish_if_none_pending(call: EntryCall, effects: list[EntryEffect]) -> None:
-    """End the call now, unless an attempt may still bring an answer or a proof."""
+    """End the call unless an attempt may still bring an answer or a proof that it did not run."""
     if has_pending(call):
         return
     held = find_held(call)
@@ -66,7 +66,7 @@
 
 
 def find_held(call: EntryCall) -> Attempt | None:
-    """Return the newest attempt whose answer is an error held back."""
+    """Return the newest attempt whose answer is an error that is held back, or None."""
     for attempt in reversed(call.attempts):
         if attempt.state is AttemptState.HELD:
             return attempt
@@ -74,7 +74,7 @@
 
 
 def cut(call: EntryCall, reason: CutReason, effects: list[EntryEffect]) -> None:
-    """End the call by cutting the answer under way."""
+    """End the call by cutting off the answer that is being delivered."""
     if call.winner is not None:
         effects.append(SendCancel(call.winner.id, call.winner.upstream))
     if call.is_claim_held:
@@ -83,14 +83,14 @@
 
 
 def finish_delivered(call: EntryCall, attempt: Attempt, effects: list[EntryEffect]) -> None:
-    """End the call: its answer is whole."""
+    """End the call after its whole answer was delivered."""
     if call.is_claim_held:
         effects.append(RecordClaim(ClaimOutcome.ANSWERED))
     finish(call, FinishDelivered(attempt.id), effects)
 
 
 def finish_unknown(call: EntryCall, reason: CutReason, effects: list[EntryEffect]) -> None:
-    """End the call: it may have run."""
+    """End the call, which may have run."""
     if call.is_claim_held:
         effects.append(RecordClaim(ClaimOutcome.UNKNOWN))
     finish(call, FinishUnknown(reason), effects)
@@ -99,7 +99,7 @@
 def finish_not_run(
     call: EntryCall, reason: NotRunReason, last: Attempt | None, effects: list[EntryEffect]
 ) -> None:
-    """End the call: it was proven not to have run."""
+    """End the call, which is proven not to have run."""
     if call.is_claim_held or call.phase is CallPhase.CLAIMING:
         effects.append(ReleaseClaim())
     load = last.load if last is not None else None
@@ -114,7 +114,7 @@
 def refuse_for_lack_of_capacity(
     call: EntryCall, reason: NotRunReason, wait_ms: Milliseconds, effects: list[EntryEffect]
 ) -> None:
-    """End a call that no cold or limited upstream can serve in time, before anything was sent."""
+    """End a call, before any attempt, that no cold or rate-limited upstream can serve in time."""
     if call.is_claim_held or call.phase is CallPhase.CLAIMING:
         effects.append(ReleaseClaim())
     finish(call, FinishNotRun(reason, bound_retry_after_ms(wait_ms)), effects)
--- a/packages/bendwind-core/src/bendwind_core/attempts/entry.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/entry.py
@@ -1,9 +1,9 @@
 """Decide what an entry node does with one call.
 
 An attempt that may not be repeated is followed by another only after a proof that it did not run.
-An idempotent one may also be followed after an unknown result or an error, paid for from the
-service's retry budget. A bounce by an owner that cost its upstream nothing is retried elsewhere
-without pay, a few times. Only one attempt is ever delivered.
+An idempotent one may also be followed by another after an unknown result or an error, which is
+charged to the service's retry budget. An owner's refusal that cost its upstream nothing is retried
+elsewhere without using the retry budget, a few times. Only one attempt's answer is ever delivered.
 """
 
 from bendwind_core.attempts.call import (
@@ -70,8 +70,8 @@
 CLAIM_PENDING_RETRY_MS = 1000.0
 _FAILED_STATUSES = frozenset({500, 502, 503, 504})
 
-# No other upstream would take the attempt: its time is up, the service that all of them call has no
-# room, or too many upstreams ended under it.
+# No other upstream would accept the attempt: its time is up, the service that all of them call has
+# no capacity, or too many upstreams ended while they ran the request.
 _FINAL_REFUSALS = frozenset(
     {
         NotRunReason.DEADLINE,
@@ -81,7 +81,7 @@
     }
 )
 
-# These bounces cost the upstream nothing.
+# These refusals cost the upstream nothing, so that the next attempt does not use the retry budget.
 BUDGET_EXEMPT_REFUSALS = frozenset(
     {
         NotRunReason.QUEUE_FULL,
@@ -102,47 +102,47 @@
 def step(
     call: EntryCall, event: EntryEvent, now: Seconds, choose: ChooseUpstream
 ) -> list[EntryEffect]:
-    """Apply an event to a call.
+    """Apply an event to a call and return the effects.
 
-    `choose` picks an upstream whose name is not excluded, or returns None.
+    `choose` returns an upstream whose name is not excluded, or NoCapacity or None if there is none.
     """
     effects: list[EntryEffect] = []
     if call.phase is CallPhase.FINISHED:
-        _step_finished(event, effects)
+        _handle_after_end(event, effects)
         return effects
     match event:
         case AttemptHead():
-            _on_head(call, event, now, choose, effects)
+            _handle_head(call, event, now, choose, effects)
         case Begin():
-            _on_begin(call, now, choose, effects)
+            _handle_begin(call, now, choose, effects)
         case AttemptBodyPart():
-            _on_body_part(call, event, effects)
+            _handle_body_part(call, event, effects)
         case AttemptNotRun():
-            _on_not_run(call, event, now, choose, effects)
+            _handle_not_run(call, event, now, choose, effects)
         case AttemptUnknown():
-            _on_unknown(call, event, now, choose, effects)
+            _handle_unknown(call, event, now, choose, effects)
         case OwnerLinkLost():
-            _on_owner_lost(call, event, now, choose, effects)
+            _handle_owner_link_lost(call, event, now, choose, effects)
         case FenceAnswered():
-            _on_fence_answered(call, event, now, choose, effects)
+            _handle_fence_answered(call, event, now, choose, effects)
         case FenceFailed():
             _mark_lost_unknown(call, event.attempt, CutReason.LINK_LOST, now, choose, effects)
         case TimerFired():
-            _on_timer(call, event.kind, now, choose, effects)
+            _handle_timer(call, event.kind, now, choose, effects)
         case ClaimGranted() | ClaimRefused() | ClaimHeldByOther():
-            _on_claim(call, event, now, choose, effects)
+            _handle_claim(call, event, now, choose, effects)
         case CallerGone():
-            _on_caller_gone(call, effects)
+            _handle_caller_gone(call, effects)
     return effects
 
 
-def _step_finished(event: EntryEvent, effects: list[EntryEffect]) -> None:
-    # The call ended while its claim was being asked for: it never ran under this claim.
+def _handle_after_end(event: EntryEvent, effects: list[EntryEffect]) -> None:
+    # The call ended while its claim was being requested: it never ran under this claim.
     if isinstance(event, ClaimGranted):
         effects.append(ReleaseClaim())
 
 
-def _on_begin(
+def _handle_begin(
     call: EntryCall, now: Seconds, choose: ChooseUpstream, effects: list[EntryEffect]
 ) -> None:
     if now >= call.deadline_at:
@@ -160,7 +160,7 @@
     send_first(call, now, choose, effects)
 
 
-def _on_claim(
+def _handle_claim(
     call: EntryCall,
     event: ClaimGranted | ClaimRefused | ClaimHeldByOther,
     now: Seconds,
@@ -184,7 +184,7 @@
             finish(call, pending, effects)
 
 
-def _on_head(
+def _handle_head(
     call: EntryCall,
     event: AttemptHead,
     now: Seconds,
@@ -203,7 +203,7 @@
     deliver(call, attempt, is_complete=event.is_complete, effects=effects)
 
 
-def _on_body_part(call: EntryCall, event: AttemptBodyPart, effects: list[EntryEffect]) -> None:
+def _handle_body_part(call: EntryCall, event: AttemptBodyPart, effects: list[EntryEffect]) -> None:
     winner = call.winner
     if winner is None or winner.id != event.attempt or event.index < call.next_part:
         return
@@ -216,7 +216,7 @@
         finish_delivered(call, winner, effects)
 
 
-def _on_not_run(
+def _handle_not_run(
     call: EntryCall,
     event: AttemptNotRun,
     now: Seconds,
@@ -252,7 +252,7 @@
     )
 
 
-def _on_unknown(
+def _handle_unknown(
     call: EntryCall,
     event: AttemptUnknown,
     now: Seconds,
@@ -287,7 +287,7 @@
         finish_if_none_pending(call, effects)
 
 
-def _on_owner_lost(
+def _handle_owner_link_lost(
     call: EntryCall,
     event: OwnerLinkLost,
     now: Seconds,
@@ -310,7 +310,7 @@
     effects.append(StartTimer(TimerKind.FENCE, min(call.deadline_at, now + FENCE_TIMEOUT)))
 
 
-def _on_fence_answered(
+def _handle_fence_answered(
     call: EntryCall,
     event: FenceAnswered,
     now: Seconds,
@@ -339,13 +339,13 @@
     choose: ChooseUpstream,
     effects: list[EntryEffect],
 ) -> None:
-    # An attempt whose link still stands may yet be answered, whatever its fence said.
+    # An attempt whose link is still open may yet be answered, whatever the verdict on its fence is.
     attempt = find_attempt(call, attempt_id)
     if attempt is not None and attempt.state is AttemptState.LOST:
         _mark_unknown(call, attempt, reason, now, choose, effects)
 
 
-def _on_timer(
+def _handle_timer(
     call: EntryCall,
     kind: TimerKind,
     now: Seconds,
@@ -354,9 +354,9 @@
 ) -> None:
     match kind:
         case TimerKind.EXPIRY:
-            _on_expiry(call, effects)
+            _handle_expiry(call, effects)
         case TimerKind.DEADLINE:
-            _on_deadline(call, effects)
+            _handle_deadline(call, effects)
         case TimerKind.HEDGE:
             send_hedge(call, now, choose, effects)
         case TimerKind.FENCE:
@@ -364,7 +364,7 @@
                 _mark_lost_unknown(call, attempt.id, CutReason.LINK_LOST, now, choose, effects)
 
 
-def _on_expiry(call: EntryCall, effects: list[EntryEffect]) -> None:
+def _handle_expiry(call: EntryCall, effects: list[EntryEffect]) -> None:
     effects.append(StartTimer(TimerKind.DEADLINE, call.deadline_at))
     if call.phase is not CallPhase.TRYING:
         return
@@ -373,7 +373,7 @@
             effects.append(SendFence(attempt.id, attempt.upstream))
 
 
-def _on_deadline(call: EntryCall, effects: list[EntryEffect]) -> None:
+def _handle_deadline(call: EntryCall, effects: list[EntryEffect]) -> None:
     match call.phase:
         case CallPhase.CLAIMING:
             finish_not_run(call, NotRunReason.CLAIM_UNAVAILABLE, None, effects)
@@ -390,8 +390,8 @@
                 finish_not_run(call, NotRunReason.DEADLINE, None, effects)
 
 
-def _on_caller_gone(call: EntryCall, effects: list[EntryEffect]) -> None:
-    # A claimed call goes on, so that a resend finds its outcome.
+def _handle_caller_gone(call: EntryCall, effects: list[EntryEffect]) -> None:
+    # A call that holds a claim continues, so that a resent request finds its outcome.
     call.is_caller_gone = True
     if call.is_claim_held:
         return
--- a/packages/bendwind-core/src/bendwind_core/attempts/events.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/events.py
@@ -1,7 +1,7 @@
-"""Define the events and effects of a call's decisions on its entry node.
+"""Define the events and effects of a call's state machine on its entry node.
 
-The task that carries a call feeds events to `bendwind_core.attempts.entry.step` and carries out
-the effects in the order given. A timer of a finished call may still fire: it is ignored. These
+The task that handles a call passes events to `bendwind_core.attempts.entry.step` and carries out
+the returned effects in order. A timer of a finished call may still fire; it is ignored. These
 classes are not frozen only because a frozen data class costs three times as much to create.
 """
 
@@ -15,7 +15,7 @@
 
 
 class TimerKind(enum.Enum):
-    """Name the timers of a call."""
+    """List the timers of a call."""
 
     EXPIRY = "expiry"
     DEADLINE = "deadline"
@@ -24,14 +24,14 @@
 
 
 class ClaimRefusal(enum.StrEnum):
-    """Say why a claim on an idempotency key was not granted."""
+    """List the reasons for which a claim on an idempotency key is not granted."""
 
     KEY_REUSED = "key-reused"
     UNAVAILABLE = "unavailable"
 
 
 class ClaimOutcome(enum.StrEnum):
-    """Say what is recorded with a claim when its call ends."""
+    """List the outcomes that are recorded with a claim when its call ends."""
 
     ANSWERED = "answered"
     UNKNOWN = "unknown"
@@ -42,17 +42,20 @@
 
 
 class ClaimGranted(msgspec.Struct):
-    """Report that the key of this call is claimed for it."""
+    """Report that the call's idempotency key is claimed for it."""
 
 
 class ClaimRefused(msgspec.Struct):
-    """Report that the key cannot be claimed."""
+    """Report that the idempotency key cannot be claimed."""
 
     reason: ClaimRefusal
 
 
 class ClaimHeldByOther(msgspec.Struct):
-    """Report that an earlier call claimed the key; `is_recorded` if its answer can be replayed."""
+    """Report that an earlier call claimed the key.
+
+    `is_recorded` says that the answer of that call can be replayed.
+    """
 
     is_recorded: bool = False
 
@@ -67,7 +70,7 @@
 
 
 class AttemptHead(msgspec.Struct):
-    """Report the head of an answer; `is_complete` if its whole body came with it."""
+    """Report the head of an answer; `is_complete` says that its whole body came with it."""
 
     attempt: AttemptId
     status: int
@@ -75,7 +78,7 @@
 
 
 class AttemptBodyPart(msgspec.Struct):
-    """Report a further part of an answer's body, counted from 1."""
+    """Report a further part of an answer's body; `index` counts from 1."""
 
     attempt: AttemptId
     index: int
@@ -83,27 +86,27 @@
 
 
 class AttemptUnknown(msgspec.Struct):
-    """Report that a started attempt's answer is lost or cut."""
+    """Report that a started attempt's answer is lost or cut off."""
 
     attempt: AttemptId
     reason: CutReason
 
 
 class OwnerLinkLost(msgspec.Struct):
-    """Report that the link which carried the attempt broke before its answer was whole."""
+    """Report that the link which carried the attempt broke before its answer was complete."""
 
     attempt: AttemptId
 
 
 class FenceAnswered(msgspec.Struct):
-    """Report the owner's answer to a fence."""
+    """Report the owner's verdict on a fence."""
 
     attempt: AttemptId
     verdict: FenceVerdict
 
 
 class FenceFailed(msgspec.Struct):
-    """Report that the fence could not be put to the owner."""
+    """Report that the fence could not be sent to the owner."""
 
     attempt: AttemptId
 
@@ -136,10 +139,10 @@
 
 
 class SendHandOver(msgspec.Struct):
-    """Hand the attempt to the owner of `upstream`, which may let it wait if `may_wait`.
+    """Hand the attempt over to the owner of `upstream`, which may queue it if `may_wait` is true.
 
-    Units: `remaining_ms` is the time the owner has and `target_ms` that left to the latency
-    objective, None without one, in milliseconds.
+    Units: `remaining_ms` is the time that the owner has and `target_ms` the time left to the
+    latency objective, None without one, in milliseconds.
     """
 
     attempt: AttemptId
@@ -151,7 +154,7 @@
 
 
 class SendCancel(msgspec.Struct):
-    """Tell the owner that nobody awaits the attempt."""
+    """Tell the owner that the attempt's answer is no longer needed."""
 
     attempt: AttemptId
     upstream: Upstream
@@ -165,11 +168,11 @@
 
 
 class RequestClaim(msgspec.Struct):
-    """Claim the call's key for it."""
+    """Request a claim on the call's idempotency key."""
 
 
 class ReleaseClaim(msgspec.Struct):
-    """Give the key back, or withdraw the request for it: the call did not run."""
+    """Release the claim, or withdraw the request for it, because the call did not run."""
 
 
 class RecordClaim(msgspec.Struct):
@@ -179,41 +182,41 @@
 
 
 class StartTimer(msgspec.Struct):
-    """Feed back `TimerFired(kind)` at a time; a later effect of the same kind replaces it."""
+    """Schedule `TimerFired(kind)` for a time; a later effect of the same kind replaces it."""
 
     kind: TimerKind
     at: Seconds
 
 
 class DeliverHead(msgspec.Struct):
-    """Send this attempt's answer head, with the body part that came with it, to the caller.
+    """Send the head of the attempt's answer, with the body part that came with it, to the caller.
 
-    The task keeps the head of each attempt until the call ends, since an answer may be held.
+    The task keeps the head of each attempt until the call ends, since an answer may be held back.
     """
 
     attempt: AttemptId
 
 
 class DeliverPart(msgspec.Struct):
-    """Send the body part just reported to the caller."""
+    """Send the body part that the current event reports to the caller."""
 
     attempt: AttemptId
 
 
 class DeliverRecorded(msgspec.Struct):
-    """Send the answer recorded with the claim to the caller; the call is over."""
+    """End the call by sending the answer recorded with the claim to the caller."""
 
 
 class FinishDelivered(msgspec.Struct):
-    """End the call: its answer was delivered whole."""
+    """End the call after its whole answer was delivered."""
 
     attempt: AttemptId
 
 
 class FinishNotRun(msgspec.Struct):
-    """End the call: it was proven not to have run.
+    """End the call, which is proven not to have run.
 
-    Units: `retry_after_ms` is when to come back, in milliseconds.
+    Units: `retry_after_ms` is the time after which the caller should retry, in milliseconds.
     """
 
     reason: NotRunReason
@@ -221,9 +224,10 @@
 
 
 class FinishUnknown(msgspec.Struct):
-    """End the call: it may have run.
+    """End the call, which may have run.
 
-    Units: `retry_after_ms` is when to ask again, in milliseconds; None where asking is unsafe.
+    Units: `retry_after_ms` is the time after which the caller may send the call again, in
+    milliseconds; None if sending it again is unsafe.
     """
 
     reason: CutReason
@@ -231,17 +235,20 @@
 
 
 class FinishRefused(msgspec.Struct):
-    """End the call: the claim on its key forbids it."""
+    """End the call because its idempotency key could not be claimed."""
 
     reason: ClaimRefusal
 
 
 class FinishGone(msgspec.Struct):
-    """End the call: its caller went away."""
+    """End the call because its caller closed the connection."""
 
 
 class Cut(msgspec.Struct):
-    """End the call by aborting the caller's connection, so that a part is never taken as whole."""
+    """End the call by aborting the caller's connection.
+
+    Otherwise the caller could take a partial answer for a complete one.
+    """
 
     reason: CutReason
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages of one call between its entry node and an upstream's owner node."""
+"""Define the messages of a call between its entry node and the owner node of an upstream."""
 
 import enum
 
@@ -10,9 +10,9 @@
 
 
 class AttemptId(Record, frozen=True, array_like=True):
-    """Identify one attempt of one call, unique over all entry nodes and their restarts.
+    """Identify one attempt of one call uniquely across all entry nodes and their restarts.
 
-    `sequence` grows by one with every attempt of an entry node's incarnation.
+    `sequence` increases by one with each attempt of an entry node's incarnation.
     """
 
     entry: str
@@ -21,7 +21,7 @@
 
 
 class NotRunReason(enum.StrEnum):
-    """Say why a request was proven not to have run on any upstream."""
+    """List the reasons for which a request is proven not to have run on any upstream."""
 
     SHED = "shed"
     MISDIRECTED = "misdirected"
@@ -47,7 +47,7 @@
 
 
 class CutReason(enum.StrEnum):
-    """Say why the result of a started request is not known."""
+    """List the reasons for which the result of a started request is unknown."""
 
     LINK_LOST = "link-lost"
     UPSTREAM_RESET = "upstream-reset"
@@ -62,7 +62,7 @@
 
 
 class FenceVerdict(enum.StrEnum):
-    """Say what the owner knows of an attempt that it was asked to fence."""
+    """List what an owner can report about an attempt that it was asked to fence."""
 
     NEVER_STARTED = "never-started"
     STARTED = "started"
@@ -70,21 +70,25 @@
 
 
 class HandOver(Record, frozen=True, array_like=True, tag="call"):
-    """Hand one attempt to the upstream's owner node.
+    """Hand one attempt over to the upstream's owner node.
 
-    `owner_incarnation` names the run of the owner this is meant for; any other run refuses it.
-    `insist` says to take the attempt even while the upstream has stalled.
+    `owner_incarnation` is the incarnation of the owner that the message is meant for; any other
+    incarnation refuses it.
+    `accept_if_slow` tells the owner to accept the attempt even if the upstream has stalled, or
+    could start it at once but would answer late.
     `body` is the first part of the request body; `more` says that BodyPart messages follow.
-    `route` names the route that the call came by, and `origin` the service whose upstream stands
-    beside the entry node, if any. `suspicion` is what the entry node knows against the request.
-    `rank` says how urgent the request is, 0 the most, and `customer` whose it is, empty where that
-    is not known. An owner refuses as busy what it
-    cannot start at once where `may_wait` is false. `run_rank` is the most urgent rank of what runs
-    beside the entry node, None where nothing does: a call that an upstream makes is as urgent.
-    `limit_per_s` is the upstream's limit as the entry node heard it last, None where it heard none:
-    an owner that has just started knows nothing else of it.
-    Units: `remaining_ms` is the time left to the caller's deadline and `target_ms` that left to
-    the latency objective, None without one, in milliseconds; `limit_per_s` in requests a second.
+    `route` is the name of the route that the call matched, and `origin` the service whose upstream
+    runs on the entry node's instance, if any. `suspicion` is the entry node's report on the request
+    if it is suspected of ending upstreams. `rank` is the urgency of the request, 0 the most urgent,
+    and `customer` the customer that it belongs to, empty if unknown. If `may_wait` is false, the
+    owner refuses the attempt as busy unless it can start it at once. `run_rank` is the most urgent
+    rank of the requests that run on the entry node's instance, None if none runs: a call that an
+    upstream makes is as urgent as that. `limit_per_s` is the upstream's rate limit as the entry
+    node received it last, None if it received none: an owner that has just started has no other
+    source for it.
+    Units: `remaining_ms` is the time left to the caller's deadline and `target_ms` the time left to
+    the latency objective, None without one, in milliseconds; `limit_per_s` is in requests per
+    second.
     """
 
     attempt: AttemptId
@@ -114,7 +118,7 @@
 class AnswerHead(Record, frozen=True, array_like=True, tag="answer"):
     """Carry the status, headers and first body part of an upstream's answer.
 
-    Units: `upstream_ms` is the time to the first byte, in milliseconds, as the owner saw it.
+    Units: `upstream_ms` is the time to the first byte as measured by the owner, in milliseconds.
     """
 
     attempt: AttemptId
@@ -127,9 +131,9 @@
 
 
 class BodyPart(Record, frozen=True, array_like=True, tag="body"):
-    """Carry a further part of a request's or answer's body, in order.
+    """Carry a further part of the body of a request or answer, in order.
 
-    `index` counts parts from 1, so that a lost or repeated part is seen.
+    `index` counts the parts from 1, so that a lost or repeated part is detected.
     """
 
     attempt: AttemptId
@@ -148,8 +152,10 @@
 class NotRun(Record, frozen=True, array_like=True, tag="not-run"):
     """Prove that the attempt did not run and never will.
 
-    `is_inner` says that the request is a call that an upstream makes while it runs another.
-    Units: `wait_ms` is when the owner would take it, in milliseconds, None where it does not know.
+    `is_inner` says that the request is an inner call: a call that an upstream makes while it runs
+    another request.
+    Units: `wait_ms` is the time until the owner would accept the attempt, in milliseconds, None if
+    the owner does not know it.
     """
 
     attempt: AttemptId
@@ -160,7 +166,7 @@
 
 
 class Unknown(Record, frozen=True, array_like=True, tag="unknown"):
-    """Tell that the attempt was started and its answer is lost or cut."""
+    """Report that the attempt was started and its answer is lost or cut off."""
 
     attempt: AttemptId
     reason: CutReason
@@ -168,14 +174,14 @@
 
 
 class Cancel(Record, frozen=True, array_like=True, tag="cancel"):
-    """Ask the owner to give up an attempt whose answer nobody awaits."""
+    """Ask the owner to stop an attempt whose answer is no longer needed."""
 
     attempt: AttemptId
     upstream: str
 
 
 class Fence(Record, frozen=True, array_like=True, tag="fence"):
-    """Ask the owner to make sure that an attempt which has not started never starts."""
+    """Ask the owner to ensure that an attempt which has not started never starts."""
 
     attempt: AttemptId
     owner_incarnation: int
@@ -183,7 +189,7 @@
 
 
 class Fenced(Record, frozen=True, array_like=True, tag="fenced"):
-    """Answer a fence."""
+    """Report the owner's verdict on a fence."""
 
     attempt: AttemptId
     verdict: FenceVerdict
--- a/packages/bendwind-core/src/bendwind_core/attempts/retry_after.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/retry_after.py
@@ -1,4 +1,4 @@
-"""Estimate when a caller whose request was not run should come back."""
+"""Estimate when a caller whose request did not run should retry."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 MIN_RETRY_AFTER_MS: Milliseconds = 50.0
 MAX_RETRY_AFTER_MS: Milliseconds = 5000.0
-# Within this time drains, leases and configuration settle.
+# Drains, lease expiry and configuration pushes usually complete within this time.
 DEFAULT_RETRY_AFTER_MS: Milliseconds = 1000.0
 
 _LOAD_REASONS = frozenset(
@@ -23,9 +23,9 @@
 
 
 class NoCapacity(msgspec.Struct, frozen=True):
-    """Say that every upstream is cold, or at its limit, and bears no further request in time.
+    """Report that every upstream is cold or rate-limited and cannot serve a request in time.
 
-    Units: `wait_ms` is the time until the first of them does.
+    Units: `wait_ms` is the time until the first of them can, in milliseconds.
     """
 
     wait_ms: Milliseconds
@@ -33,12 +33,12 @@
 
 
 def bound_retry_after_ms(wait_ms: Milliseconds) -> Milliseconds:
-    """Return a time to come back that is neither in a rush nor for ever."""
+    """Return the time clamped to a range that is neither too short nor too long for a retry."""
     return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, wait_ms))
 
 
 def estimate_retry_after_ms(reason: NotRunReason, load: LoadSample | None) -> Milliseconds:
-    """Return the time after which a slot should be free, from the last load seen."""
+    """Return the time after which a slot should be free, by the last load sample."""
     if reason is NotRunReason.BUSY and load is not None:
         return bound_retry_after_ms(load.wait_ms)
     if reason not in _LOAD_REASONS:
--- a/packages/bendwind-core/src/bendwind_core/attempts/sending.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/sending.py
@@ -24,7 +24,7 @@
     exclude_busy_refusals,
     find_upstream_with_shortest_wait,
     may_ask_another_owner,
-    may_send_no_wait,
+    should_send_no_wait,
 )
 from bendwind_core.attempts.retry_after import NoCapacity
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
@@ -34,12 +34,13 @@
 ChooseUpstream = Callable[[frozenset[str]], Upstream | NoCapacity | None]
 
 MAX_ATTEMPTS = 5
-# So many attempts are sent back by a stalled upstream rather than taken.
+# A stalled upstream refuses this many attempts of a call; it has to accept a later one.
 STALL_REFUSABLE_ATTEMPTS = 3
-# The owner's time ends a little before the caller's, so that its proof still arrives in time.
+# The owner's time limit ends slightly before the caller's, so that the owner's proof that an
+# attempt did not run still arrives in time.
 REPLY_MARGIN_MAX: Seconds = 0.020
 REPLY_MARGIN_SHARE = 0.1
-# After these the same upstream may well take the next attempt.
+# After these refusals the same upstream may well accept the next attempt.
 _TRANSIENT_REFUSALS = frozenset(
     {
         NotRunReason.STALLED,
@@ -57,9 +58,9 @@
 def send_first(
     call: EntryCall, now: Seconds, choose: ChooseUpstream, effects: list[EntryEffect]
 ) -> None:
-    """Send the first attempt."""
+    """Send the first attempt of a call."""
     if has_expired(call, now):
-        # Its claim was granted too late.
+        # The claim was granted too late.
         finish_not_run(call, NotRunReason.DEADLINE, None, effects)
         return
     call.phase = CallPhase.TRYING
@@ -78,7 +79,9 @@
         upstream,
         now,
         effects,
-        may_wait=not (may_send_no_wait(call, upstream, now) and _has_alternative(upstream, choose)),
+        may_wait=not (
+            should_send_no_wait(call, upstream, now) and _has_alternative(upstream, choose)
+        ),
     )
     hedge_after_ms = call.service.hedge_after_ms
     if hedge_after_ms is not None and call.is_idempotent:
@@ -88,14 +91,14 @@
 
 
 def _has_alternative(upstream: Upstream, choose: ChooseUpstream) -> bool:
-    """Tell whether another upstream serves; where there is none, a request has to wait anyway."""
+    """Tell whether there is another upstream; without one, a request has to wait anyway."""
     return isinstance(choose(frozenset((upstream.name,))), Upstream)
 
 
 def send_hedge(
     call: EntryCall, now: Seconds, choose: ChooseUpstream, effects: list[EntryEffect]
 ) -> None:
-    """Send a second attempt beside the first."""
+    """Send a hedge, which is a second attempt in parallel to the first."""
     not_refused = [one for one in call.attempts if one.state is not AttemptState.NOT_RUN]
     is_open = len(not_refused) == 1 and not_refused[0].state is AttemptState.OUTSTANDING
     if call.phase is not CallPhase.TRYING or not is_open or not may_retry(call.budget):
@@ -144,7 +147,7 @@
 
 
 def _should_accept_if_slow(call: EntryCall, upstream: Upstream) -> bool:
-    # The other policies stay the plain baselines that they are.
+    # The other policies are plain baselines: their attempts do not avoid stalled upstreams.
     if call.service.policy is not Policy.SCORE:
         return True
     # The last attempt in the list is the one being sent.
@@ -155,7 +158,7 @@
 
 
 def reply_margin(call: EntryCall, now: Seconds) -> Seconds:
-    """Return how much of the time left is kept for the owner's proof to arrive in."""
+    """Return how much of the time left is reserved for the owner's proof to arrive."""
     return min(REPLY_MARGIN_MAX, REPLY_MARGIN_SHARE * (call.deadline_at - now))
 
 
@@ -167,7 +170,7 @@
     *,
     is_budget_exempt: bool,
 ) -> None:
-    """Send another attempt if rule, budget and time permit, else give up."""
+    """Send another attempt if rule, budget and time permit, else end the call."""
     if has_pending(call):
         return
     upstream = None
@@ -185,7 +188,8 @@
 def _is_retry_permitted(call: EntryCall, now: Seconds, *, is_budget_exempt: bool) -> bool:
     if call.is_caller_gone or len(exclude_busy_refusals(call.attempts)) >= MAX_ATTEMPTS:
         return False
-    # An attempt sent now would have no fence: it could end as unknown despite a proof of not-run.
+    # An attempt sent now would not be fenced: the call could end as unknown despite a proof of
+    # not-run.
     if has_expired(call, now) or now + reply_margin(call, now) >= call.deadline_at:
         return False
     if not call.is_idempotent and may_have_run(call):
@@ -198,9 +202,9 @@
 
 
 def _would_refuse_again(attempt: Attempt) -> bool:
-    """Tell whether an upstream that sent an attempt back would send the next one back too."""
+    """Tell whether the upstream that refused this attempt would refuse the next one too."""
     if attempt.not_run is NotRunReason.LIMITED:
-        # It would have let it wait for its turn, if there were one in time.
+        # The owner would have let it wait if the rate limit allowed it to start in time.
         return attempt.may_wait
     return attempt.not_run not in _TRANSIENT_REFUSALS
 
@@ -208,9 +212,9 @@
 def _choose_next(
     call: EntryCall, now: Seconds, choose: ChooseUpstream
 ) -> tuple[Upstream | NoCapacity | None, bool]:
-    """Return the upstream of the next attempt, and whether the attempt may wait there."""
+    """Return the upstream of the next attempt and whether the attempt may wait there."""
     upstream = choose(frozenset(attempt.upstream.name for attempt in call.attempts))
-    if isinstance(upstream, Upstream) and may_send_no_wait(call, upstream, now):
+    if isinstance(upstream, Upstream) and should_send_no_wait(call, upstream, now):
         return upstream, False
     first_free = find_upstream_with_shortest_wait(call, now)
     if first_free is not None:
