--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/call_path_world.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/call_path_world.py
@@ -1,4 +1,4 @@
-"""Carry entry calls and owners over links that lose, repeat, reorder and break."""
+"""Simulate entry nodes and owners on links that lose, repeat and reorder messages and break."""
 
 import collections
 from dataclasses import dataclass, field
@@ -19,17 +19,17 @@
 
 @dataclass
 class Run:
-    """Follow one dispatch at an upstream."""
+    """Hold the progress of one dispatch at an upstream."""
 
     hand_over: messages.HandOver
     is_read: bool = False
     parts: int = 0
-    is_headed: bool = False
+    is_head_sent: bool = False
 
 
 @dataclass
 class Caller:
-    """Hold what one caller saw."""
+    """Hold what one caller received and how often its call ran."""
 
     call: EntryCall
     entry: "EntryNode"
@@ -44,22 +44,22 @@
     incarnation: int
     ids: AttemptIds
     budget: RetryBudget
-    firsts: int = 0
-    paid_runs: int = 0
+    first_attempts: int = 0
+    run_count: int = 0
 
 
 class OwnerNode:
     def __init__(self, index: int):
         self.index = index
         self.incarnation = 0
-        self.orphans: list[Run] = []
+        self.orphaned_runs: list[Run] = []
         self.runs: dict[messages.AttemptId, Run] = {}
         self.is_reachable = True
         self.restart()
 
     def restart(self) -> None:
         self.incarnation += 1
-        self.orphans += [run for run in self.runs.values() if not run.is_read]
+        self.orphaned_runs += [run for run in self.runs.values() if not run.is_read]
         self.runs = {}
         self.is_drained = False
         self.owner_state = owner.create_owner_state(
@@ -87,12 +87,12 @@
         self.entries = [self._create_entry(f"e{index}", 1) for index in range(entries)]
         self.links = {(e.name, o.index): Link() for e in self.entries for o in self.owners}
         self.callers: list[Caller] = []
-        self.by_attempt: dict[messages.AttemptId, Caller] = {}
+        self.caller_of: dict[messages.AttemptId, Caller] = {}
         self.upstream_of: dict[messages.AttemptId, int] = {}
         self.heads: dict[messages.AttemptId, messages.AnswerHead] = {}
         self.timers: dict[tuple[int, ev.TimerKind], float] = {}
-        self.prefer = 0
-        self.part: messages.BodyPart | None = None
+        self.preferred_owner = 0
+        self.current_part: messages.BodyPart | None = None
         self.events: collections.deque = collections.deque()
         for node in self.owners:
             self.announce(node, UpstreamState.READY)
@@ -103,23 +103,25 @@
 
     # Entry side.
 
-    def start_call(self, node: EntryNode, repeat: Repeat, wait: float, hedge_ms, has_key) -> None:
+    def start_call(
+        self, node: EntryNode, repeat: Repeat, timeout: float, hedge_ms, has_key
+    ) -> None:
         service = Service("s", ("*",), hedge_after_ms=hedge_ms)
         rule = Rule("*", repeat=repeat)
         name = f"c{len(self.callers)}"
         call = create_call(
-            name, service, rule, self.now + wait, node.ids, node.budget, has_key=has_key
+            name, service, rule, self.now + timeout, node.ids, node.budget, has_key=has_key
         )
         self.callers.append(Caller(call, node))
         self.entry_step(self.callers[-1], ev.Begin())
 
     def choose(self, excluded: frozenset[str]) -> Upstream | None:
-        self.prefer += 1
-        order = self.owners[self.prefer % len(self.owners) :] + self.owners
+        self.preferred_owner += 1
+        order = self.owners[self.preferred_owner % len(self.owners) :] + self.owners
         return next((o.upstream for o in order if f"u{o.index}" not in excluded), None)
 
     def entry_step(self, caller: Caller, event) -> None:
-        # Effects of one event are carried out before the next event, as the real tasks do.
+        # The effects of one event are carried out before the next event, as the real tasks do.
         self.events.append((caller, event))
         if len(self.events) > 1:
             return
@@ -127,11 +129,13 @@
             caller, event = self.events[0]
             if caller.entry in self.entries:
                 for effect in entry.step(caller.call, event, self.now, self.choose):
-                    self.carry_entry(caller, effect)
+                    self.apply_entry_effect(caller, effect)
             self.events.popleft()
 
-    def carry_entry(self, caller: Caller, effect) -> None:
-        assert not caller.finals or isinstance(effect, ev.ReleaseClaim), "effect after the end"
+    def apply_entry_effect(self, caller: Caller, effect) -> None:
+        assert not caller.finals or isinstance(
+            effect, ev.ReleaseClaim
+        ), "effect after the final outcome"
         match effect:
             case ev.SendHandOver():
                 self.send_hand_over(caller, effect)
@@ -148,13 +152,13 @@
             case ev.DeliverHead(attempt):
                 caller.received.append((attempt, 0, self.heads[attempt].more))
             case ev.DeliverPart(attempt):
-                caller.received.append((attempt, self.part.index, self.part.more))
+                caller.received.append((attempt, self.current_part.index, self.current_part.more))
             case _ if isinstance(effect, ev.FINAL_EFFECTS):
                 caller.finals.append(effect)
 
     def send_hand_over(self, caller: Caller, effect: ev.SendHandOver) -> None:
-        caller.entry.firsts += len(caller.call.attempts) == 1
-        self.by_attempt[effect.attempt] = caller
+        caller.entry.first_attempts += len(caller.call.attempts) == 1
+        self.caller_of[effect.attempt] = caller
         hand_over = messages.HandOver(
             effect.attempt,
             effect.upstream.owner.incarnation,
@@ -189,15 +193,15 @@
 
     def owner_step(self, node: OwnerNode, event) -> None:
         for effect in owner.step(node.owner_state, event, self.now):
-            self.carry_owner(node, effect)
+            self.apply_owner_effect(node, effect)
 
-    def carry_owner(self, node: OwnerNode, effect) -> None:
+    def apply_owner_effect(self, node: OwnerNode, effect) -> None:
         match effect:
             case ov.Dispatch(hand_over):
                 assert not node.is_drained, "a drained owner dispatched"
                 assert hand_over.attempt not in node.runs, "an attempt was dispatched twice"
                 node.runs[hand_over.attempt] = Run(hand_over)
-                assert len(node.runs) <= SLOTS, "slots exceeded"
+                assert len(node.runs) <= SLOTS, "more runs than slots"
             case ov.ReplyNotRun(attempt, epoch, reason, load):
                 self.reply(node, attempt, epoch, messages.NotRun(attempt, reason, load))
             case ov.ReplyUnknown(attempt, epoch, reason, load):
@@ -205,7 +209,7 @@
             case ov.ReplyFenced(attempt, epoch, verdict):
                 self.reply(node, attempt, epoch, messages.Fenced(attempt, verdict))
             case ov.Drained():
-                assert not node.runs, "drained with a request in flight"
+                assert not node.runs, "reported as drained with a request in flight"
                 node.is_drained = True
 
     def reply(self, node: OwnerNode, attempt, epoch: int, message) -> None:
@@ -224,19 +228,19 @@
 
     # The upstream.
 
-    def read(self, run: Run) -> None:
+    def mark_read(self, run: Run) -> None:
         if run.is_read:
             return
         run.is_read = True
-        caller = self.by_attempt[run.hand_over.attempt]
+        caller = self.caller_of[run.hand_over.attempt]
         caller.runs += 1
-        caller.entry.paid_runs += 1
+        caller.entry.run_count += 1
 
     def answer(self, node: OwnerNode, attempt, status: int, more: bool) -> None:
         run = node.runs[attempt]
-        self.read(run)
-        if not run.is_headed:
-            run.is_headed = True
+        self.mark_read(run)
+        if not run.is_head_sent:
+            run.is_head_sent = True
             self.owner_step(node, ov.DispatchHead(attempt, status, 1.0))
             message = messages.AnswerHead(attempt, status, (), IDLE, more=more)
         else:
@@ -270,14 +274,14 @@
                 self.owner_step(node, ov.FenceArrived(message, epoch))
 
     def deliver_to_entry(self, message) -> None:
-        caller = self.by_attempt[message.attempt]
+        caller = self.caller_of[message.attempt]
         attempt = message.attempt
         match message:
             case messages.AnswerHead(status=status, more=more):
                 self.heads[attempt] = message
                 self.entry_step(caller, ev.AttemptHead(attempt, status, not more))
             case messages.BodyPart(index=index, more=more):
-                self.part = message
+                self.current_part = message
                 self.entry_step(caller, ev.AttemptBodyPart(attempt, index, more))
             case messages.NotRun(reason=reason, load=load):
                 self.entry_step(caller, ev.AttemptNotRun(attempt, reason, load))
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_attempt_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_attempt_limit.py
@@ -25,13 +25,13 @@
         effects = entry.step(self.call, event, 0.0, choose)
         return [effect for effect in effects if isinstance(effect, ev.SendHandOver)]
 
-    def test_no_more_upstreams_run_a_call_than_its_rule_permits(self):
+    def test_call_runs_on_no_more_upstreams_than_its_rule_permits(self):
         (sent,) = self.start(2)
         (second,) = self.send(ev.AttemptUnknown(sent.attempt, "upstream-reset"))
         self.assertEqual(self.send(ev.AttemptUnknown(second.attempt, "upstream-reset")), [])
         self.assertTrue(self.call.is_finished)
 
-    def test_refusals_of_owners_do_not_count_but_those_of_upstreams_do(self):
+    def test_refusals_by_upstreams_count_as_attempts_and_those_by_owners_do_not(self):
         (sent,) = self.start(1)
         (second,) = self.send(ev.AttemptNotRun(sent.attempt, NotRunReason.QUEUE_FULL))
         self.assertEqual(self.send(ev.AttemptNotRun(second.attempt, NotRunReason.SHED)), [])
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_expiry.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_expiry.py
@@ -1,4 +1,4 @@
-"""Check what is sent of a call that may not be repeated once its time is up."""
+"""Check what is sent of a call that may not be repeated after its expiry time."""
 
 import unittest
 
@@ -39,47 +39,47 @@
         self.assertIn(ev.SendFence(sent.attempt, sent.upstream), fenced)
         return sent.attempt
 
-    def check_ends_not_run(self, effects, reason):
+    def check_finished_as_not_run(self, effects, reason):
         [final] = effects
         self.assertIsInstance(final, ev.FinishNotRun)
         self.assertEqual(final.reason, reason)
 
-    def test_what_was_fenced_in_time_is_told_as_not_run_and_not_sent_again(self):
+    def test_attempt_fenced_in_time_ends_as_not_run_and_is_not_retried(self):
         attempt = self.send_and_expire()
         effects = self.step(ev.FenceAnswered(attempt, FenceVerdict.NEVER_STARTED), LATE)
-        self.check_ends_not_run(effects, NotRunReason.FENCED)
+        self.check_finished_as_not_run(effects, NotRunReason.FENCED)
 
-    def test_what_is_sent_back_after_its_time_is_told_as_not_run_and_not_sent_again(self):
+    def test_attempt_refused_after_expiry_ends_as_not_run_and_is_not_retried(self):
         for reason in sorted(entry.BUDGET_EXEMPT_REFUSALS):
             attempt = self.send_and_expire()
             effects = self.step(ev.AttemptNotRun(attempt, reason), LATE)
-            self.check_ends_not_run(effects, reason)
+            self.check_finished_as_not_run(effects, reason)
 
-    def test_a_lost_attempt_whose_proof_comes_after_its_time_is_not_sent_again(self):
+    def test_lost_attempt_with_a_proof_after_expiry_is_not_retried(self):
         _, sent = self.begin()
         self.step(ev.OwnerLinkLost(sent.attempt), EXPIRY - 0.1)
         self.step(ev.TimerFired(ev.TimerKind.EXPIRY), EXPIRY)
         proof = ev.FenceAnswered(sent.attempt, FenceVerdict.NEVER_STARTED)
-        self.check_ends_not_run(self.step(proof, LATE), NotRunReason.FENCED)
+        self.check_finished_as_not_run(self.step(proof, LATE), NotRunReason.FENCED)
 
-    def test_a_proof_that_comes_before_a_late_timer_is_not_followed_by_a_send_either(self):
+    def test_refusal_after_expiry_but_before_the_late_timer_is_not_retried(self):
         _, sent = self.begin()
         effects = self.step(ev.AttemptNotRun(sent.attempt, NotRunReason.BUSY), LATE)
-        self.check_ends_not_run(effects, NotRunReason.BUSY)
+        self.check_finished_as_not_run(effects, NotRunReason.BUSY)
 
-    def test_a_claim_that_is_granted_after_the_time_is_given_back_and_nothing_is_sent(self):
+    def test_claim_granted_after_expiry_is_released_and_nothing_is_sent(self):
         self.begin(has_key=True)
         self.step(ev.TimerFired(ev.TimerKind.EXPIRY), EXPIRY)
         released, *rest = self.step(ev.ClaimGranted(), LATE)
         self.assertEqual(released, ev.ReleaseClaim())
-        self.check_ends_not_run(rest, NotRunReason.DEADLINE)
+        self.check_finished_as_not_run(rest, NotRunReason.DEADLINE)
 
-    def test_within_its_time_what_was_sent_back_is_sent_again(self):
+    def test_attempt_refused_before_expiry_is_retried(self):
         _, sent = self.begin()
         again = self.step(ev.AttemptNotRun(sent.attempt, NotRunReason.BUSY), EXPIRY - 0.001)
         self.assertIsInstance(again[-1], ev.SendHandOver)
 
-    def test_a_call_that_may_be_repeated_is_tried_to_its_end(self):
+    def test_idempotent_call_is_retried_until_its_deadline(self):
         _, sent = self.begin(repeat=Repeat.IDEMPOTENT)
         again = self.step(ev.AttemptNotRun(sent.attempt, NotRunReason.BUSY), LATE)
         self.assertIsInstance(again[-1], ev.SendHandOver)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_call_path.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_call_path.py
@@ -1,4 +1,4 @@
-"""Check calls end to end: entry machines, links, owners and upstreams that count their runs."""
+"""Check calls end to end through entry nodes, links, owners and upstreams that count their runs."""
 
 import unittest
 
@@ -31,14 +31,14 @@
             for node in self.world.owners:
                 yield entry_node, node, self.world.links[entry_node.name, node.index]
 
-    def _lines(self):
+    def _queues(self):
         for entry_node, node, link in self._links():
-            for line in (link.to_owner, link.to_entry):
-                if line:
-                    yield entry_node, node, link, line
+            for queue in (link.to_owner, link.to_entry):
+                if queue:
+                    yield entry_node, node, link, queue
 
-    def _has_lines(self):
-        return any(self._lines())
+    def _has_messages(self):
+        return any(self._queues())
 
     def _runs(self):
         return [(node, attempt) for node in self.world.owners for attempt in node.runs]
@@ -46,38 +46,40 @@
     @rule(
         pick=number,
         repeat=st.sampled_from(Repeat),
-        wait=st.sampled_from([0.0, 0.05, 1.0, 3.0]),
-        hedge=st.sampled_from([None, 10.0]),
-        key=st.booleans(),
-        is_carried=st.booleans(),
+        timeout=st.sampled_from([0.0, 0.05, 1.0, 3.0]),
+        hedge_ms=st.sampled_from([None, 10.0]),
+        has_key=st.booleans(),
+        is_delivered=st.booleans(),
     )
-    def call(self, pick, repeat, wait, hedge, key, is_carried):
-        self.world.start_call(self._pick(self.world.entries, pick), repeat, wait, hedge, key)
-        if is_carried:
-            self.flow()
-
-    @precondition(_has_lines)
+    def start_call(self, pick, repeat, timeout, hedge_ms, has_key, is_delivered):
+        self.world.start_call(
+            self._pick(self.world.entries, pick), repeat, timeout, hedge_ms, has_key
+        )
+        if is_delivered:
+            self.deliver_all()
+
+    @precondition(_has_messages)
     @rule()
-    def flow(self):
-        while self._has_lines():
-            entry_node, node, link, line = next(self._lines())
-            self._carry(entry_node, node, link, line, line.pop(0))
+    def deliver_all(self):
+        while self._has_messages():
+            entry_node, node, link, queue = next(self._queues())
+            self._deliver(entry_node, node, link, queue, queue.pop(0))
 
-    def _carry(self, entry_node, node, link, line, message):
-        if line is link.to_owner:
+    def _deliver(self, entry_node, node, link, queue, message):
+        if queue is link.to_owner:
             self.world.deliver_to_owner(entry_node, node, message)
         else:
             self.world.deliver_to_entry(message)
 
-    @precondition(_has_lines)
+    @precondition(_has_messages)
     @rule(pick=number, index=number, how=st.sampled_from(["move", "move", "repeat", "lose"]))
-    def carry_one(self, pick, index, how):
-        entry_node, node, link, line = self._pick(self._lines(), pick)
-        message = self._pick(line, index)
+    def deliver_one(self, pick, index, how):
+        entry_node, node, link, queue = self._pick(self._queues(), pick)
+        message = self._pick(queue, index)
         if how != "repeat":
-            line.remove(message)
+            queue.remove(message)
         if how != "lose":
-            self._carry(entry_node, node, link, line, message)
+            self._deliver(entry_node, node, link, queue, message)
 
     @rule(
         pick=number,
@@ -111,7 +113,7 @@
         node, attempt = self._pick(self._runs(), pick)
         match kind:
             case "read":
-                self.world.read(node.runs[attempt])
+                self.world.mark_read(node.runs[attempt])
             case "shed":
                 self.world.refuse(node, attempt, NotRunReason.SHED)
             case "connect":
@@ -119,22 +121,22 @@
             case "reset":
                 self.world.reset(node, attempt)
 
-    @precondition(lambda self: any(node.orphans for node in self.world.owners))
+    @precondition(lambda self: any(node.orphaned_runs for node in self.world.owners))
     @rule()
-    def read_orphans(self):
+    def read_orphaned_runs(self):
         for node in self.world.owners:
-            for run in node.orphans:
-                self.world.read(run)
+            for run in node.orphaned_runs:
+                self.world.mark_read(run)
 
     @precondition(lambda self: self.world.callers)
     @rule(pick=number)
-    def leave(self, pick):
+    def close_caller_connection(self, pick):
         caller = self.world.callers[-1 - pick % len(self.world.callers)]
         self.world.entry_step(caller, ev.CallerGone())
 
-    @rule(dt=st.sampled_from([0.001, 0.01, 0.04, 0.5, 3.0]))
-    def advance(self, dt):
-        self.world.advance(self.world.now + dt)
+    @rule(duration=st.sampled_from([0.001, 0.01, 0.04, 0.5, 3.0]))
+    def advance(self, duration):
+        self.world.advance(self.world.now + duration)
 
     @precondition(lambda self: self.world.timers)
     @rule()
@@ -142,12 +144,12 @@
         self.world.advance(max(self.world.now, min(self.world.timers.values())))
 
     @invariant()
-    def outcomes_are_honest(self):
+    def outcomes_match_runs(self):
         for caller in self.world.callers:
             self._check_caller(caller)
 
     def _check_caller(self, caller):
-        assert len(caller.finals) <= 1, f"two outcomes: {caller.finals}"
+        assert len(caller.finals) <= 1, f"several outcomes: {caller.finals}"
         is_alive = caller.entry in self.world.entries
         is_overdue = self.world.now > caller.call.deadline_at
         assert caller.finals or not (is_alive and is_overdue), "no outcome by the deadline"
@@ -155,13 +157,15 @@
             assert caller.runs <= 1, f"ran {caller.runs} times"
         attempts = {attempt for attempt, _, _ in caller.received}
         assert len(attempts) <= 1, "parts of two attempts were delivered"
-        assert all(self.world.by_attempt[attempt] is caller for attempt in attempts)
+        assert all(self.world.caller_of[attempt] is caller for attempt in attempts)
         assert [index for _, index, _ in caller.received] == list(range(len(caller.received)))
         match caller.finals:
             case [ev.FinishNotRun()]:
-                assert caller.runs == 0, "told not-run, but it ran"
+                assert caller.runs == 0, "ended as not-run, but it ran"
             case [ev.FinishDelivered()]:
-                assert caller.received and not caller.received[-1][2], "a cut answer was delivered"
+                assert (
+                    caller.received and not caller.received[-1][2]
+                ), "a truncated answer was delivered as complete"
                 assert caller.runs >= 1
             case [ev.FinishUnknown()]:
                 assert not caller.received
@@ -176,8 +180,8 @@
             assert len(log.ended) <= log.capacity and len(log.fates) == len(log.ended) + live
             assert len(log.peers) <= log.peer_capacity
         for entry_node in self.world.entries:
-            limit = entry_node.firsts * (1 + RETRY_RATIO)
-            assert entry_node.paid_runs <= limit, "amplification beyond the budget"
+            limit = entry_node.first_attempts * (1 + RETRY_RATIO)
+            assert entry_node.run_count <= limit, "more runs than the retry budget permits"
 
 
 TestCallPath = CallPath.TestCase
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_entry.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_entry.py
@@ -1,4 +1,4 @@
-"""Check one call against the truth about its attempts."""
+"""Check the decisions on one call against a record of what its attempts really did."""
 
 import unittest
 
@@ -17,15 +17,15 @@
 
 UPSTREAMS = [Upstream(f"u{i}", "s", Instance("o", "dc", "h", 1, 1), 1, 1) for i in range(3)]
 DEADLINE = 1.0
-FREE = sorted(entry.BUDGET_EXEMPT_REFUSALS)
+EXEMPT = sorted(entry.BUDGET_EXEMPT_REFUSALS)
 pick = st.integers(0, 7)
 skips = st.sampled_from([-1, 0, 0, 0, 1])
 
-# By these an owner says that its upstream, whose slots or limit are used up, takes no try now.
-SENT_BACK = (NotRunReason.BUSY, NotRunReason.LIMITED)
+# An owner refuses a no-wait attempt for these reasons: its upstream's slots or limit are used up.
+NO_WAIT_REFUSALS = (NotRunReason.BUSY, NotRunReason.LIMITED)
 
 
-class Call(RuleBasedStateMachine):
+class CallMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
         self.reset()
@@ -76,10 +76,12 @@
 
     def step(self, event):
         for effect in entry.step(self.call, event, self.now, self.choose):
-            assert not self.finals or isinstance(effect, ev.ReleaseClaim), "effect after the end"
-            self.carry(effect)
+            assert not self.finals or isinstance(
+                effect, ev.ReleaseClaim
+            ), "effect after the final outcome"
+            self.apply_effect(effect)
 
-    def carry(self, effect):
+    def apply_effect(self, effect):
         match effect:
             case ev.SendHandOver(attempt, upstream, remaining_ms):
                 assert 0 < remaining_ms <= (DEADLINE - self.now) * 1000
@@ -109,20 +111,24 @@
         unproven = set(self.sent) - self.proven
         if not self.call.is_idempotent:
             assert not unproven, "repeated without a proof"
-            assert self.now < self.expires_at, "sent after the fences of its time"
-        tried = {u.name for u in self.sent.values()}
-        assert upstream.name not in tried or len(tried) == len(UPSTREAMS)
+            assert (
+                self.now < self.expires_at
+            ), "sent after the expiry time, at which open attempts are fenced"
+        upstreams_used = {u.name for u in self.sent.values()}
+        assert upstream.name not in upstreams_used or len(upstreams_used) == len(UPSTREAMS)
         assert len(unproven) <= self.tokens, "retried beyond the budget"
-        bounced = [a for a in self.call.attempts if a.not_run in SENT_BACK]
-        busy = sum(not attempt.may_wait for attempt in bounced)
-        assert busy <= no_wait.MAX_NO_WAIT_ATTEMPTS
-        assert len(self.sent) - busy < sending.MAX_ATTEMPTS
+        refused = [a for a in self.call.attempts if a.not_run in NO_WAIT_REFUSALS]
+        no_wait_count = sum(not attempt.may_wait for attempt in refused)
+        assert no_wait_count <= no_wait.MAX_NO_WAIT_ATTEMPTS
+        assert len(self.sent) - no_wait_count < sending.MAX_ATTEMPTS
 
     def _pick(self, pick):
-        is_open = (AttemptState.OUTSTANDING, AttemptState.LOST, AttemptState.WON)
-        opened = [attempt.id for attempt in self.call.attempts if attempt.state in is_open]
-        # Now and then a settled attempt is heard of again.
-        choices = list(self.sent) if pick % 4 == 3 or not opened else opened
+        open_states = (AttemptState.OUTSTANDING, AttemptState.LOST, AttemptState.WON)
+        open_attempts = [
+            attempt.id for attempt in self.call.attempts if attempt.state in open_states
+        ]
+        # Sometimes an event reports on an attempt that is settled already.
+        choices = list(self.sent) if pick % 4 == 3 or not open_attempts else open_attempts
         return choices[pick % len(choices)]
 
     def _has_sent(self):
@@ -143,7 +149,7 @@
                 self.step(ev.ClaimHeldByOther(kind == "recorded"))
 
     @precondition(_has_sent)
-    @rule(pick=pick, reason=st.sampled_from(FREE * 2 + sorted(NotRunReason)))
+    @rule(pick=pick, reason=st.sampled_from(EXEMPT * 2 + sorted(NotRunReason)))
     def not_run(self, pick, reason):
         attempt = self._pick(pick)
         if attempt in self.ran:
@@ -193,7 +199,7 @@
 
     @precondition(_has_sent)
     @rule(pick=pick, kind=st.sampled_from(["lost", "lost", "true", "true", "forgotten", "failed"]))
-    def lose_link(self, pick, kind):
+    def break_link_or_answer_fence(self, pick, kind):
         attempt = self._pick(pick)
         match kind:
             case "lost":
@@ -213,10 +219,10 @@
         if is_gone:
             self.step(ev.CallerGone())
             return
-        strange = AttemptId("e", 1, 99)
-        self.step(ev.AttemptHead(strange, 200, True))
-        self.step(ev.AttemptNotRun(strange, NotRunReason.SHED))
-        self.step(ev.AttemptUnknown(strange, CutReason.BODY_CUT))
+        unknown_attempt = AttemptId("e", 1, 99)
+        self.step(ev.AttemptHead(unknown_attempt, 200, True))
+        self.step(ev.AttemptNotRun(unknown_attempt, NotRunReason.SHED))
+        self.step(ev.AttemptUnknown(unknown_attempt, CutReason.BODY_CUT))
 
     @precondition(lambda self: self.timers)
     @rule()
@@ -227,7 +233,7 @@
             self.step(ev.TimerFired(due[0]))
 
     @invariant()
-    def one_honest_outcome(self):
+    def outcome_is_single_and_true(self):
         if not hasattr(self, "call"):
             return
         assert len(self.finals) <= 1
@@ -235,34 +241,36 @@
         assert self.finals or self.now < DEADLINE, "no outcome by the deadline"
         if self.call.phase is CallPhase.TRYING:
             pending = (AttemptState.OUTSTANDING, AttemptState.LOST)
-            is_open = any(attempt.state in pending for attempt in self.call.attempts)
-            assert is_open, "held back an outcome"
+            has_pending = any(attempt.state in pending for attempt in self.call.attempts)
+            assert has_pending, "no outcome although no attempt is pending"
         match self.finals:
             case [ev.FinishNotRun(_, retry_after_ms)]:
-                assert not set(self.sent) - self.proven, "told not-run without proof"
+                assert not set(self.sent) - self.proven, "ended as not-run without a proof"
                 assert retry_after_ms > 0
             case [ev.FinishDelivered(attempt)]:
                 assert self.heads[attempt] and attempt == self.delivered[-1]
             case [ev.FinishUnknown()]:
                 assert not self.delivered
-        self.check_losers()
+        self.check_other_attempts()
         self.check_claim()
 
-    def check_losers(self):
+    def check_other_attempts(self):
         if not self.finals:
             return
         for attempt in self.call.attempts:
             is_settled = attempt.id in self.proven | self.ran
             is_link_up = attempt.state is not AttemptState.UNKNOWN
             if attempt.state is AttemptState.CANCELLED or (is_link_up and not is_settled):
-                assert attempt.id in self.cancelled, "a loser was left running"
+                assert (
+                    attempt.id in self.cancelled
+                ), "an attempt whose answer is not needed was left running"
 
     def check_claim(self):
         if "granted" in self.claims and self.finals:
             assert self.claims[-1] != "granted", "a claim was left without an outcome"
 
 
-TestCall = Call.TestCase
+TestCall = CallMachine.TestCase
 TestCall.settings = settings(max_examples=max(600, settings().max_examples))
 
 if __name__ == "__main__":
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_near_first.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_near_first.py
@@ -1,4 +1,4 @@
-"""Check when a request waits at a near upstream and when it goes to another data centre."""
+"""Check when a request waits at a near upstream and when it is sent to another data centre."""
 
 import unittest
 
@@ -12,21 +12,21 @@
 from bendwind_core.world import Instance, LoadSample, Policy, Repeat, Rule, Service, Upstream
 
 
-def describe(name, data_centre):
+def create_upstream(name, data_centre):
     return Upstream(name, "s", Instance(f"o-{name}", data_centre, "h", 1, 1), 4, 4)
 
 
 class NearFirstTest(unittest.TestCase):
-    """A small deployment: one upstream of the service beside, three in other data centres.
+    """Send calls in a small deployment: one upstream is near, three are in other data centres.
 
-    With all of them tried in turn, the bytes between data centres of a calm day rose from 6.5 to
-    10.3 in a hundred of its worth.
+    When no-wait attempts went to all of them in turn, the bytes sent between data centres on a day
+    without faults rose from 6.5 to 10.3 in a hundred of its worth.
     """
 
-    def play(self, waits, *, near="here"):
+    def list_attempts(self, waits, *, near="here"):
         upstreams = [
-            describe("n", "here"),
-            *(describe(f"f{number}", "there") for number in (1, 2, 3)),
+            create_upstream("n", "here"),
+            *(create_upstream(f"f{number}", "there") for number in (1, 2, 3)),
         ]
 
         def choose(excluded):
@@ -51,21 +51,21 @@
             effects = entry.step(call, busy, 0.0, choose)
         return sent
 
-    def test_waits_near_for_what_leaves_it_well_in_time(self):
-        self.assertEqual(self.play({"n": 19.0}), [("n", False), ("n", True)])
+    def test_waits_at_the_near_upstream_if_the_wait_is_short(self):
+        self.assertEqual(self.list_attempts({"n": 19.0}), [("n", False), ("n", True)])
 
-    def test_goes_further_where_the_wait_is_longer(self):
-        sent = self.play({"n": 90.0})
+    def test_asks_a_far_upstream_if_the_wait_is_longer(self):
+        sent = self.list_attempts({"n": 90.0})
         self.assertEqual(sent[:2], [("n", False), ("f1", False)])
 
-    def test_asks_few_in_other_data_centres_and_then_waits_where_it_is_shortest(self):
-        sent = self.play({"n": 90.0, "f2": 60.0})
+    def test_asks_few_far_upstreams_and_then_waits_at_the_shortest_wait(self):
+        sent = self.list_attempts({"n": 90.0, "f2": 60.0})
         far = [name for name, may_wait in sent if name != "n" and not may_wait]
         self.assertEqual(len(far), MAX_FAR_NO_WAIT_ATTEMPTS)
         self.assertEqual(sent[-1], ("f2", True))
 
-    def test_without_near_upstreams_all_are_asked(self):
-        sent = self.play({"n": 19.0}, near="")
+    def test_asks_all_upstreams_without_a_preferred_data_centre(self):
+        sent = self.list_attempts({"n": 19.0}, near="")
         self.assertEqual([name for name, may_wait in sent if not may_wait], ["n", "f1", "f2", "f3"])
 
 
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_quarantined_call.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_quarantined_call.py
@@ -12,7 +12,7 @@
 
 
 class QuarantinedCallTest(unittest.TestCase):
-    """Drive one call whose owners answer as a test says."""
+    """Check a call whose request an owner refuses as quarantined, or whose upstream resets."""
 
     def begin(self, repeat, *, has_key=False):
         rule = Rule("*", repeat=repeat)
@@ -31,38 +31,38 @@
     def attempt(self):
         return self.call.attempts[-1].id
 
-    def quarantine(self):
+    def refuse_as_quarantined(self):
         return self.step(ev.AttemptNotRun(self.attempt, NotRunReason.QUARANTINED, None, WAIT_MS))
 
-    def reset(self):
+    def reset_by_upstream(self):
         return self.step(ev.AttemptUnknown(self.attempt, CutReason.UPSTREAM_RESET))
 
-    def test_refusal_is_told_at_once_with_the_time_to_come_back(self):
+    def test_refusal_ends_the_call_at_once_with_the_retry_time(self):
         for repeat in Repeat:
             self.begin(repeat)
             self.assertEqual(
-                self.quarantine(), [ev.FinishNotRun(NotRunReason.QUARANTINED, WAIT_MS)]
+                self.refuse_as_quarantined(), [ev.FinishNotRun(NotRunReason.QUARANTINED, WAIT_MS)]
             )
             self.assertEqual(len(self.call.attempts), 1)
 
-    def test_call_that_ran_before_it_was_refused_is_unknown(self):
+    def test_call_that_ran_before_it_was_refused_ends_as_unknown(self):
         self.begin(Repeat.IDEMPOTENT)
-        self.reset()
+        self.reset_by_upstream()
         self.assertEqual(len(self.call.attempts), 2)
-        self.assertEqual(self.quarantine(), [ev.FinishUnknown(CutReason.UPSTREAM_RESET)])
+        self.assertEqual(self.refuse_as_quarantined(), [ev.FinishUnknown(CutReason.UPSTREAM_RESET)])
 
-    def test_call_not_to_be_repeated_runs_once_however_its_upstream_ended(self):
+    def test_call_that_may_not_be_repeated_runs_once_if_its_upstream_resets(self):
         self.begin(Repeat.NEVER)
-        self.assertEqual(self.reset(), [ev.FinishUnknown(CutReason.UPSTREAM_RESET)])
+        self.assertEqual(self.reset_by_upstream(), [ev.FinishUnknown(CutReason.UPSTREAM_RESET)])
         self.assertEqual(len(self.call.attempts), 1)
 
-    def test_key_of_a_refused_call_is_given_back_and_that_of_one_that_ran_is_kept(self):
+    def test_claim_of_a_refused_call_is_released_and_that_of_one_that_ran_is_kept(self):
         self.begin(Repeat.NEVER, has_key=True)
-        self.assertIn(ev.ReleaseClaim(), self.quarantine())
+        self.assertIn(ev.ReleaseClaim(), self.refuse_as_quarantined())
         self.begin(Repeat.NEVER, has_key=True)
-        self.assertIn(ev.RecordClaim(ev.ClaimOutcome.UNKNOWN), self.reset())
+        self.assertIn(ev.RecordClaim(ev.ClaimOutcome.UNKNOWN), self.reset_by_upstream())
 
-    def test_call_that_was_kept_apart_is_tried_elsewhere_for_nothing(self):
+    def test_call_refused_as_kept_apart_is_retried_elsewhere_for_free(self):
         self.begin(Repeat.NEVER)
         effects = self.step(ev.AttemptNotRun(self.attempt, NotRunReason.KEPT_APART))
         self.assertIsInstance(effects[0], ev.SendHandOver)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_sending.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_sending.py
@@ -1,4 +1,4 @@
-"""Check when an attempt is pressed upon a stalled upstream, and what a refused caller is told."""
+"""Check when a stalled upstream has to accept an attempt, and the retry times after refusals."""
 
 import types
 import unittest
@@ -27,15 +27,15 @@
 )
 
 
-def describe(count):
+def create_upstreams(count):
     node = Instance("o", "dc", "h", 1, 1)
     return [Upstream(f"u{index}", "s", node, 4, 4) for index in range(count)]
 
 
 class TestSending(unittest.TestCase):
-    def bounce(self, count, policy, reasons, waits=types.MappingProxyType({})):
+    def send_and_refuse(self, count, policy, reasons, waits=types.MappingProxyType({})):
         self.may_wait = []
-        upstreams = describe(count)
+        upstreams = create_upstreams(count)
 
         def choose(excluded):
             return next((u for u in upstreams if u.name not in excluded), None)
@@ -57,41 +57,43 @@
                 effects = entry.step(call, not_run, 0.0, choose)
         return sent, None
 
-    def test_the_fourth_attempt_and_a_second_at_one_upstream_insist(self):
+    def test_fourth_attempt_and_second_at_one_upstream_are_accepted_if_slow(self):
         stalled = [NotRunReason.STALLED] * 3
-        sent, _ = self.bounce(5, Policy.SCORE, stalled)
+        sent, _ = self.send_and_refuse(5, Policy.SCORE, stalled)
         self.assertEqual(sent, [("u0", False), ("u1", False), ("u2", False), ("u3", True)])
-        sent, _ = self.bounce(1, Policy.SCORE, stalled[:1])
+        sent, _ = self.send_and_refuse(1, Policy.SCORE, stalled[:1])
         self.assertEqual(sent, [("u0", False), ("u0", True)])
 
-    def test_busy_ones_are_tried_in_turn_and_then_the_one_that_is_free_first(self):
+    def test_busy_upstreams_are_tried_in_turn_and_then_the_one_free_first(self):
         waits = {f"u{number}": 100.0 - 10.0 * (number == 3) for number in range(9)}
         busy = [NotRunReason.BUSY] * no_wait.MAX_NO_WAIT_ATTEMPTS
-        sent, _ = self.bounce(9, Policy.SCORE, busy, waits)
+        sent, _ = self.send_and_refuse(9, Policy.SCORE, busy, waits)
         names = [f"u{number}" for number in range(no_wait.MAX_NO_WAIT_ATTEMPTS)]
         self.assertEqual([name for name, _ in sent], [*names, "u3"])
         self.assertEqual(self.may_wait, [False] * no_wait.MAX_NO_WAIT_ATTEMPTS + [True])
 
-    def test_where_fewer_serve_the_first_to_be_free_is_handed_over_to_after_all_were_asked(self):
-        sent, _ = self.bounce(2, Policy.SCORE, [NotRunReason.BUSY] * 2, {"u0": 90.0, "u1": 20.0})
+    def test_with_few_upstreams_the_one_free_first_is_used_after_all_were_busy(self):
+        sent, _ = self.send_and_refuse(
+            2, Policy.SCORE, [NotRunReason.BUSY] * 2, {"u0": 90.0, "u1": 20.0}
+        )
         self.assertEqual([name for name, _ in sent], ["u0", "u1", "u1"])
         self.assertEqual(self.may_wait, [False, False, True])
 
-    def test_upstream_whose_limit_leaves_no_turn_in_time_is_not_asked_again(self):
-        sent, final = self.bounce(1, Policy.SCORE, [NotRunReason.LIMITED])
+    def test_upstream_whose_rate_limit_leaves_no_turn_in_time_is_not_asked_again(self):
+        sent, final = self.send_and_refuse(1, Policy.SCORE, [NotRunReason.LIMITED])
         self.assertEqual(len(sent), 1)
         self.assertIs(final.reason, NotRunReason.LIMITED)
-        sent, _ = self.bounce(2, Policy.SCORE, [NotRunReason.LIMITED] * 2, {"u0": 90.0})
+        sent, _ = self.send_and_refuse(2, Policy.SCORE, [NotRunReason.LIMITED] * 2, {"u0": 90.0})
         self.assertEqual([name for name, _ in sent], ["u0", "u1", "u1"])
 
-    def test_a_request_may_wait_where_there_is_one_upstream_or_another_policy(self):
-        self.bounce(1, Policy.SCORE, [])
+    def test_request_may_wait_with_a_single_upstream_or_another_policy(self):
+        self.send_and_refuse(1, Policy.SCORE, [])
         self.assertEqual(self.may_wait, [True])
-        self.bounce(3, Policy.LEAST_IN_FLIGHT, [])
+        self.send_and_refuse(3, Policy.LEAST_IN_FLIGHT, [])
         self.assertEqual(self.may_wait, [True])
 
-    def test_a_call_whose_first_try_was_sent_back_is_hedged_too(self):
-        upstreams = describe(3)
+    def test_call_whose_first_attempt_was_refused_is_hedged(self):
+        upstreams = create_upstreams(3)
 
         def choose(excluded):
             return next((u for u in upstreams if u.name not in excluded), None)
@@ -105,23 +107,23 @@
         [hedge] = entry.step(call, ev.TimerFired(ev.TimerKind.HEDGE), 0.01, choose)
         self.assertEqual(hedge.upstream.name, "u2")
 
-    def test_baseline_policies_always_insist(self):
+    def test_baseline_policies_always_accept_if_slow(self):
         for policy in set(Policy) - {Policy.SCORE}:
-            self.assertEqual(self.bounce(1, policy, [])[0], [("u0", True)])
+            self.assertEqual(self.send_and_refuse(1, policy, [])[0], [("u0", True)])
 
-    def test_a_leaving_upstream_sends_the_call_back_to_a_stalled_one(self):
+    def test_call_refused_by_a_draining_upstream_returns_to_a_stalled_one(self):
         reasons = [NotRunReason.STALLED, NotRunReason.DRAINING]
-        sent, _ = self.bounce(2, Policy.SCORE, reasons)
+        sent, _ = self.send_and_refuse(2, Policy.SCORE, reasons)
         self.assertEqual(sent, [("u0", False), ("u1", False), ("u0", True)])
 
-    def test_full_upstreams_refuse_at_once_and_say_when_to_come_back(self):
-        sent, final = self.bounce(2, Policy.SCORE, [NotRunReason.QUEUE_FULL] * 2)
+    def test_call_refused_by_full_upstreams_ends_at_once_with_a_retry_time(self):
+        sent, final = self.send_and_refuse(2, Policy.SCORE, [NotRunReason.QUEUE_FULL] * 2)
         self.assertEqual(len(sent), 2)
         self.assertEqual(final, ev.FinishNotRun(NotRunReason.QUEUE_FULL, MIN_RETRY_AFTER_MS))
 
 
 class TestStall(unittest.TestCase):
-    def test_an_upstream_that_ends_nothing_sends_back_until_it_does(self):
+    def test_owner_refuses_while_its_upstream_completes_nothing(self):
         owner_state = owner.create_owner_state("u", 1, 4)
         owner.step(owner_state, ov.UpstreamAnnounced(4, 4, UpstreamState.READY), 0.0)
         self.hand_over(owner_state, 1, 0.0)
@@ -141,14 +143,14 @@
 
 
 class TestRetryAfter(unittest.TestCase):
-    def test_a_busy_owner_tells_when_it_is_free_within_the_bounds(self):
+    def test_busy_owner_gives_its_wait_within_the_bounds(self):
         times = [
             estimate_retry_after_ms(NotRunReason.BUSY, LoadSample(2, 0, 3, wait_ms=wait_ms))
             for wait_ms in (0.0, 300.0)
         ]
         self.assertEqual(times, [MIN_RETRY_AFTER_MS, 300.0])
 
-    def test_grows_with_the_backlog_within_its_bounds(self):
+    def test_retry_time_grows_with_the_backlog_within_its_bounds(self):
         times = [
             estimate_retry_after_ms(NotRunReason.SHED, LoadSample(4, queued, 4, latency_ms=100.0))
             for queued in (0, 16, 4000)
