--- a/packages/bendwind-core/src/bendwind_core/attempts/admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/admission.py
@@ -105,14 +105,16 @@
     is_free = is_free and not urgency_queue.has_at_least_as_urgent(
         owner_state.timed_queue, queued.queue_rank
     )
-    if is_free and (hand_over.insist or _is_target_unreachable(owner_state, hand_over, now)):
+    if is_free and (
+        hand_over.accept_if_slow or _is_target_unreachable(owner_state, hand_over, now)
+    ):
         return None
     expected_ms = estimate_completion_ms(owner_state, hand_over.route, now)
     wait_ms = 0.0 if is_free else estimate_wait_ms(owner_state, queued, now)
-    share = 1.0 if hand_over.insist else REROUTABLE_TARGET_SHARE
+    share = 1.0 if hand_over.accept_if_slow else REROUTABLE_TARGET_SHARE
     is_slow = paces.is_slow(owner_state.pace, now)
     limit_ms = _find_time_limit_ms(queued)
-    if is_slow and not hand_over.insist:
+    if is_slow and not hand_over.accept_if_slow:
         # Other upstreams may be at their usual pace.
         limit_ms = hand_over.target_ms
     if wait_ms + expected_ms <= share * limit_ms:
@@ -149,7 +151,7 @@
     Slow phases follow each other at random: an attempt that waits for the end of a second one is
     certainly late, while another upstream may be at its usual pace.
     """
-    if queued.hand_over.insist or queued.hand_over.target_ms is None:
+    if queued.hand_over.accept_if_slow or queued.hand_over.target_ms is None:
         return False
     if (
         not paces.is_slow(owner_state.pace, now)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_admission.py
@@ -27,11 +27,11 @@
     def step(self, event):
         return owner.step(self.owner_state, event, self.now)
 
-    def hand_over(self, route="slow", target_ms=1000.0, remaining_ms=1000.0, insist=True):
+    def hand_over(self, route="slow", target_ms=1000.0, remaining_ms=1000.0, accept_if_slow=True):
         self.sequence += 1
         attempt = AttemptId("e", 1, self.sequence)
         parts = (attempt, 1, "s", "u", "GET", b"/", (), remaining_ms, Repeat.IDEMPOTENT, 1)
-        message = HandOver(*parts, insist=insist, route=route, target_ms=target_ms)
+        message = HandOver(*parts, accept_if_slow=accept_if_slow, route=route, target_ms=target_ms)
         return self.step(ov.HandOverArrived(message, 1))
 
     def fill_slots(self):
@@ -90,13 +90,14 @@
 
     def test_late_attempt_uses_a_free_slot_unless_it_can_go_elsewhere(self):
         self.assertIs(
-            self.find_reason(self.hand_over(target_ms=50.0, insist=False)), NotRunReason.STALLED
+            self.find_reason(self.hand_over(target_ms=50.0, accept_if_slow=False)),
+            NotRunReason.STALLED,
         )
         self.assertIsInstance(self.hand_over(target_ms=50.0)[0], ov.Dispatch)
 
     def test_slow_upstream_is_avoided_until_its_phase_should_have_ended(self):
         self.step(ov.LoadReported(4.0))
-        reroutable = {"target_ms": 150.0, "insist": False}
+        reroutable = {"target_ms": 150.0, "accept_if_slow": False}
         self.assertIs(self.find_reason(self.hand_over(**reroutable)), NotRunReason.STALLED)
         self.now += DEFAULT_PHASE_LENGTH
         self.assertEqual(self.hand_over(**reroutable), [ov.QueryLoad()])
@@ -117,20 +118,20 @@
         # The request would otherwise be held until its deadline, although another upstream could
         # answer it in time.
         results = {}
-        for insist in (False, True):
+        for accept_if_slow in (False, True):
             self.setUp()
             self.step(ov.LoadReported(4.0))
             self.now += 0.2
-            self.assertEqual(self.hand_over(target_ms=350.0, insist=insist), [])
+            self.assertEqual(self.hand_over(target_ms=350.0, accept_if_slow=accept_if_slow), [])
             self.now = owner.next_due(self.owner_state, self.now)
             self.step(ov.Tick())
-            results[insist] = self.step(ov.LoadReported(4.0))
+            results[accept_if_slow] = self.step(ov.LoadReported(4.0))
         self.assertIs(self.find_reason(results[False]), NotRunReason.STALLED)
         self.assertIsInstance(results[True][0], ov.Dispatch)
 
     def test_request_that_can_go_elsewhere_is_accepted_only_with_a_margin_for_variation(self):
         for target_ms, is_accepted in ((100.0, False), (130.0, True)):
-            effects = self.hand_over(target_ms=target_ms, insist=False)
+            effects = self.hand_over(target_ms=target_ms, accept_if_slow=False)
             self.assertEqual(isinstance(effects[0], ov.Dispatch), is_accepted, target_ms)
 
     def test_request_that_is_in_time_even_at_the_slow_pace_starts(self):
@@ -195,8 +196,10 @@
         # If it were refused at its objective, the run that waits for it would fail.
         self.fill_slots()
         self.record_origins()
-        for insist in (False, True):
-            waiting = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, insist=insist)
+        for accept_if_slow in (False, True):
+            waiting = self.hand_over(
+                "quick", target_ms=5.0, remaining_ms=400.0, accept_if_slow=accept_if_slow
+            )
             self.assertEqual(waiting, [])
 
     def test_short_request_of_a_caller_may_not_wait_beyond_its_objective(self):
@@ -209,11 +212,11 @@
         self.fill_slots()
         self.record_origins()
         self.step(ov.LoadReported(4.0))
-        refused = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, insist=False)
+        refused = self.hand_over("quick", target_ms=5.0, remaining_ms=400.0, accept_if_slow=False)
         self.assertIs(self.find_reason(refused), NotRunReason.QUEUE_FULL)
 
     def test_late_caller_retry_uses_a_free_slot_but_does_not_wait_for_one(self):
-        self.assertIsInstance(self.hand_over(target_ms=0.0, insist=False)[0], ov.Dispatch)
+        self.assertIsInstance(self.hand_over(target_ms=0.0, accept_if_slow=False)[0], ov.Dispatch)
         self.hand_over()
         refused = self.hand_over(target_ms=0.0)
         self.assertIs(self.find_reason(refused), NotRunReason.QUEUE_FULL)
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_owner.py
@@ -90,7 +90,7 @@
             case ov.ReplyNotRun(attempt, _, reason):
                 assert attempt not in self.started, "reported as not run, but it started"
                 self.proven_not_run.add(attempt)
-                may_be_stalled = not self.insist or attempt in self.timed_attempts
+                may_be_stalled = not self.accept_if_slow or attempt in self.timed_attempts
                 assert reason is not NotRunReason.STALLED or may_be_stalled
                 if reason is NotRunReason.QUEUE_FULL and attempt not in self.timed_attempts:
                     assert queue_lengths[attempt.entry] >= max(
@@ -125,19 +125,21 @@
         incarnation=incarnations,
         remaining_ms=st.sampled_from([0.0, 20.0, 1000.0, 1000.0]),
         repeat=st.sampled_from(Repeat),
-        insist=st.booleans(),
+        accept_if_slow=st.booleans(),
         target_ms=st.sampled_from([None, None, 0.0, 15.0, 400.0]),
     )
-    def hand_over(self, attempt, epoch, incarnation, remaining_ms, repeat, insist, target_ms):
+    def hand_over(
+        self, attempt, epoch, incarnation, remaining_ms, repeat, accept_if_slow, target_ms
+    ):
         if self.max_peers == 1 and attempt in self.seen:
             return  # Links are ordered: no message of an attempt arrives after its peer is evicted.
         self.seen.add(attempt)
         if incarnation != INCARNATION:
             attempt = AttemptId("other", 1, attempt.sequence)
-        self.insist = insist
+        self.accept_if_slow = accept_if_slow
         parts = (attempt, incarnation, "s", "u", "GET", b"/", (), remaining_ms, repeat, 1)
         route = "" if target_ms is None else f"route-{attempt.sequence % 2}"
-        message = HandOver(*parts, insist=insist, route=route, target_ms=target_ms)
+        message = HandOver(*parts, accept_if_slow=accept_if_slow, route=route, target_ms=target_ms)
         if target_ms is not None:
             self.timed_attempts.add(attempt)
         self.step(ov.HandOverArrived(message, epoch))
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_limit.py
@@ -12,7 +12,7 @@
 from bendwind_core.attempts.owner_state import OwnerState
 from bendwind_core.attempts.precedence import list_in_start_order
 from bendwind_core.attempts.refusals import find_expiry, refuse_waiting, remove_from_queue
-from bendwind_core.attempts.retry_after import LONGEST_MS
+from bendwind_core.attempts.retry_after import MAX_RETRY_AFTER_MS
 from bendwind_core.attempts.slots import is_blocked_by_rate_limit
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 
@@ -65,5 +65,5 @@
 
 def assign_retry_wait_ms(owner_state: OwnerState, now: Seconds) -> Milliseconds:
     """Return after how long the caller of an attempt that the rate limit excludes should retry."""
-    longest = LONGEST_MS / MILLISECONDS_PER_SECOND
+    longest = MAX_RETRY_AFTER_MS / MILLISECONDS_PER_SECOND
     return (assign_retry_at(owner_state.rate_limit, now, longest) - now) * MILLISECONDS_PER_SECOND
