--- a/packages/bendwind-bench/src/bendwind_bench/slopes_customers.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_customers.py
@@ -13,8 +13,12 @@
 from bendwind_bench.slopes_membership.slope import Point, Slope, decode, encode, fit, time_median
 from bendwind_core.customers import CustomersChange, find_customer
 from bendwind_core.membership import ConfigurationChanged
-from bendwind_core.membership.customer_ledger import CustomerLedger, make_change, take_customers
-from bendwind_core.membership.holdings import Holdings, put_customers
+from bendwind_core.membership.customer_history import (
+    CustomerHistory,
+    make_customers_change,
+    update_customers,
+)
+from bendwind_core.membership.watch_cache import WatchCache, put_customers
 from bendwind_core.plans import ControlState, PutRevision, encode_command
 from bendwind_core.world import Customer, Routing, digest_key
 
@@ -36,46 +40,46 @@
     return tuple(make_customer(index, salt) for index in range(count))
 
 
-def make_ledger(count: int) -> CustomerLedger:
+def make_ledger(count: int) -> CustomerHistory:
     """Make a voter's record of customers that came with one version."""
-    ledger = CustomerLedger()
-    take_customers(ledger, make_customers(count), FIRST_VERSION)
+    ledger = CustomerHistory()
+    update_customers(ledger, make_customers(count), FIRST_VERSION)
     return ledger
 
 
-def make_holdings(count: int) -> Holdings:
+def make_holdings(count: int) -> WatchCache:
     """Make what a node holds after its first push."""
-    holdings = Holdings()
-    put_customers(holdings, make_change(make_ledger(count), 0))
-    return holdings
+    cache = WatchCache()
+    put_customers(cache, make_customers_change(make_ledger(count), 0))
+    return cache
 
 
 def _change_all(count: int, version: int) -> tuple[CustomersChange, CustomersChange]:
     """Return a change of every customer's key, and the one that takes it back."""
     ledger = make_ledger(count)
-    take_customers(ledger, make_customers(count, 1), version)
-    there = make_change(ledger, FIRST_VERSION)
-    take_customers(ledger, make_customers(count), version + 1)
-    return there, make_change(ledger, version)
+    update_customers(ledger, make_customers(count, 1), version)
+    there = make_customers_change(ledger, FIRST_VERSION)
+    update_customers(ledger, make_customers(count), version + 1)
+    return there, make_customers_change(ledger, version)
 
 
 def _change_one(count: int) -> tuple[CustomersChange, CustomersChange]:
     ledger = make_ledger(count)
     others = make_customers(count)[1:]
-    take_customers(ledger, (make_customer(0, 1), *others), FIRST_VERSION + 1)
-    there = make_change(ledger, FIRST_VERSION)
-    take_customers(ledger, (make_customer(0), *others), FIRST_VERSION + 2)
-    return there, make_change(ledger, FIRST_VERSION + 1)
+    update_customers(ledger, (make_customer(0, 1), *others), FIRST_VERSION + 1)
+    there = make_customers_change(ledger, FIRST_VERSION)
+    update_customers(ledger, (make_customer(0), *others), FIRST_VERSION + 2)
+    return there, make_customers_change(ledger, FIRST_VERSION + 1)
 
 
 def _time_put(count: int, changes: tuple[CustomersChange, ...]) -> float:
-    holdings = make_holdings(count)
+    cache = make_holdings(count)
     rounds = max(1, WORK_UNITS // count)
 
     def run() -> int:
         for _ in range(rounds):
             for change in changes:
-                assert put_customers(holdings, change) is not None
+                assert put_customers(cache, change) is not None
         return rounds * len(changes)
 
     return time_median(run)
@@ -90,7 +94,7 @@
         for _ in range(rounds):
             for customers in lists:
                 version += 1
-                assert take_customers(ledger, customers, version)
+                assert update_customers(ledger, customers, version)
         return rounds * len(lists)
 
     return time_median(run)
@@ -117,7 +121,7 @@
 
 
 def _time_decode(count: int) -> float:
-    data = encode(make_push(make_change(make_ledger(count), 0)))
+    data = encode(make_push(make_customers_change(make_ledger(count), 0)))
 
     def run() -> int:
         decode(data)
@@ -159,13 +163,13 @@
 
 
 def _measure_node(count: int) -> float:
-    data = encode(make_push(make_change(make_ledger(count), 0)))
+    data = encode(make_push(make_customers_change(make_ledger(count), 0)))
 
-    def receive() -> Holdings:
-        holdings = Holdings()
+    def receive() -> WatchCache:
+        cache = WatchCache()
         message = decode(data)
-        put_customers(holdings, message.customers)
-        return holdings
+        put_customers(cache, message.customers)
+        return cache
 
     return _measure_memory(receive)
 
@@ -173,9 +177,9 @@
 def _measure_voter(count: int) -> float:
     customers = make_customers(count)
 
-    def take() -> CustomerLedger:
-        ledger = CustomerLedger()
-        take_customers(ledger, customers, FIRST_VERSION)
+    def take() -> CustomerHistory:
+        ledger = CustomerHistory()
+        update_customers(ledger, customers, FIRST_VERSION)
         return ledger
 
     return _measure_memory(take)
@@ -188,13 +192,19 @@
         "voter_ledger_memory": ("byte", _measure_voter),
         "node_put_one_key_time": ("us", lambda n: _time_put(n, _change_one(n))),
         "node_put_all_keys_time": ("us", lambda n: _time_put(n, _change_all(n, 8))),
-        "node_put_whole_time": ("us", lambda n: _time_put(n, (make_change(make_ledger(n), 0),))),
+        "node_put_whole_time": (
+            "us",
+            lambda n: _time_put(n, (make_customers_change(make_ledger(n), 0),)),
+        ),
         "node_decode_whole_time": ("us", _time_decode),
         "node_find_time": ("us", _time_find),
         "voter_take_one_key_time": ("us", _time_take_one),
         "voter_take_all_keys_time": ("us", _time_take_all),
         "push_one_key_bytes": ("byte", lambda n: _count_bytes(_change_one(n)[0])),
-        "push_whole_bytes": ("byte", lambda n: _count_bytes(make_change(make_ledger(n), 0))),
+        "push_whole_bytes": (
+            "byte",
+            lambda n: _count_bytes(make_customers_change(make_ledger(n), 0)),
+        ),
         "command_bytes": ("byte", _count_command),
         "snapshot_bytes": ("byte", _count_snapshot),
     }
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/node.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/node.py
@@ -55,7 +55,7 @@
 def beat_view(view: NodeView, rng: random.Random) -> int:
     """Send heartbeats and take their replies in bytes, as a node does."""
     for _ in range(BATCH):
-        now = view.attachment.next_beat
+        now = view.attachment.next_heartbeat_at
         for effect in step_view(view, Tick(), now, rng):
             if isinstance(effect, SendTo):
                 beat = effect.message
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/scene.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/scene.py
@@ -117,6 +117,6 @@
     """Tick until nothing is left to push and return how many messages went out."""
     registry = scene.registry
     sent = 0
-    while registry.dirty or registry.urgent or registry.outdated:
+    while registry.dirty_services or registry.urgent_services or registry.outdated_clients:
         sent += len(deliver(scene, Tick()))
     return sent
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/voter.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/voter.py
@@ -127,7 +127,7 @@
     changed = Service(service, ("*",), longest_wait_ms=1000.0 + version)
     services = tuple(changed if old.name == service else old for old in configuration.services)
     deliver(scene, ConfigurationAccepted(Configuration(version, services)))
-    while scene.registry.outdated:
+    while scene.registry.outdated_clients:
         encode_all(deliver(scene, Tick()))
     return 1
 
@@ -153,7 +153,7 @@
             deliver(scene, MessageReceived(VOTERS[1], MemberGossip(VOTERS[1], (state,))))
         pushes, ticks = 0, 0
         registry = scene.registry
-        while registry.dirty or registry.urgent:
+        while registry.dirty_services or registry.urgent_services:
             effects = deliver(scene, Tick())
             encode_all(effects)
             pushes += len(effects)
--- a/packages/bendwind-core/src/bendwind_core/membership/attachment.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/attachment.py
@@ -11,20 +11,20 @@
 
 # Longer waits would keep a node at a voter of a minority for seconds after the others have a leader
 # again; a move costs one heartbeat, since a node that has everything is sent nothing.
-_MAX_PATIENCE_BEATS = 2
+_MAX_STAY_BEATS = 2
 _JITTER = 0.1
 # A node that no voter has answered since its start tries them this fast: it refuses all calls
 # until then, and where all restart at once the voters listen a moment later than the nodes.
-FIRST_RETRY: Seconds = 0.08
+FIRST_RETRY_INTERVAL: Seconds = 0.08
 NO_REPLY = "no reply"
 
 
-class SentBeat(msgspec.Struct, frozen=True):
+class SentHeartbeat(msgspec.Struct, frozen=True):
     """Hold when and to whom a heartbeat was sent, and which Watch and customers it stated."""
 
-    at: Seconds
+    sent_at: Seconds
     watch: int
-    version: int = 0
+    customers: int = 0
     voter: str = ""
 
 
@@ -39,15 +39,15 @@
 
     order: tuple[str, ...]
     index: int = 0
-    next_beat: Seconds = 0.0
+    next_heartbeat_at: Seconds = 0.0
     sequence: int = 0
-    sent: dict[int, SentBeat] = msgspec.field(default_factory=dict)
+    unanswered: dict[int, SentHeartbeat] = msgspec.field(default_factory=dict)
     moved_at: Seconds = 0.0
-    heard_at: Seconds = 0.0
-    good_at: Seconds = 0.0
+    last_reply_at: Seconds = 0.0
+    last_good_reply_at: Seconds = 0.0
     behind_since: Seconds | None = None
-    patience: float = 1.0
-    has_heard: bool = False
+    stay_beats: float = 1.0
+    has_received_reply: bool = False
 
     @property
     def voter(self) -> str:
@@ -70,7 +70,7 @@
     return tuple(voter.name for voter in sorted(voters, key=rank))
 
 
-def set_order(attachment: Attachment, order: tuple[str, ...]) -> bool:
+def set_voter_order(attachment: Attachment, order: tuple[str, ...]) -> bool:
     """Take over a new order of preference; tell whether the voter in use is none of it."""
     voter = attachment.voter
     attachment.order = order
@@ -78,33 +78,33 @@
     return voter not in order
 
 
-def schedule_beat(
+def schedule_heartbeat(
     attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
 ) -> None:
     """Set the time of the next heartbeat, jittered so that nodes do not beat in step."""
-    attachment.next_beat = now + times.heartbeat * rng.uniform(1 - _JITTER, 1 + _JITTER)
+    attachment.next_heartbeat_at = now + times.heartbeat * rng.uniform(1 - _JITTER, 1 + _JITTER)
 
 
-def spread_beat(
+def schedule_spread_heartbeat(
     attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
 ) -> None:
     """Set the next heartbeat anywhere in one interval, so that nodes losing a voter spread."""
-    attachment.next_beat = now + times.heartbeat * rng.random()
+    attachment.next_heartbeat_at = now + times.heartbeat * rng.random()
 
 
-def hurry_beat(attachment: Attachment, now: Seconds, rng: random.Random) -> None:
+def schedule_early_heartbeat(attachment: Attachment, now: Seconds, rng: random.Random) -> None:
     """Have the next heartbeat follow soon, for a node that serves nothing without a reply."""
-    soon = now + FIRST_RETRY * rng.uniform(0.5, 1.5)
-    attachment.next_beat = min(attachment.next_beat, soon)
+    soon = now + FIRST_RETRY_INTERVAL * rng.uniform(0.5, 1.5)
+    attachment.next_heartbeat_at = min(attachment.next_heartbeat_at, soon)
 
 
 def find_reason_to_move(attachment: Attachment, times: LeaseTimes, now: Seconds) -> str | None:
     """Say why the voter should be left, or None."""
-    stay = attachment.patience * times.heartbeat
-    if now - max(attachment.heard_at, attachment.moved_at) > max(times.reply_timeout, stay):
+    stay = attachment.stay_beats * times.heartbeat
+    if now - max(attachment.last_reply_at, attachment.moved_at) > max(times.reply_timeout, stay):
         return NO_REPLY
     limit = max(times.confirmation_limit, stay)
-    if now - max(attachment.good_at, attachment.moved_at) > limit:
+    if now - max(attachment.last_good_reply_at, attachment.moved_at) > limit:
         return "confirmation too old"
     behind = attachment.behind_since
     if behind is not None and now - max(behind, attachment.moved_at) > limit:
@@ -117,28 +117,32 @@
     attachment.index = (attachment.index + 1) % len(attachment.order)
     attachment.moved_at = now
     attachment.behind_since = None
-    attachment.patience = min(attachment.patience * 2, _MAX_PATIENCE_BEATS)
-    attachment.next_beat = now + 0.5 * times.heartbeat * rng.random()
+    attachment.stay_beats = min(attachment.stay_beats * 2, _MAX_STAY_BEATS)
+    attachment.next_heartbeat_at = now + 0.5 * times.heartbeat * rng.random()
 
 
-def is_awaited(attachment: Attachment, peer: str) -> bool:
+def is_reply_expected(attachment: Attachment, peer: str) -> bool:
     """Tell whether a peer is the voter in use, or one left whose answer may still come."""
-    return peer == attachment.voter or any(beat.voter == peer for beat in attachment.sent.values())
+    return peer == attachment.voter or any(
+        beat.voter == peer for beat in attachment.unanswered.values()
+    )
 
 
-def forget_beats(attachment: Attachment, voter: str) -> None:
+def discard_heartbeats(attachment: Attachment, voter: str) -> None:
     """Await no answer of a voter any more."""
-    attachment.sent = {n: beat for n, beat in attachment.sent.items() if beat.voter != voter}
+    attachment.unanswered = {
+        n: beat for n, beat in attachment.unanswered.items() if beat.voter != voter
+    }
 
 
-def forget_other_beats(attachment: Attachment) -> None:
+def discard_other_heartbeats(attachment: Attachment) -> None:
     """Await no answer of any voter but the one in use."""
-    attachment.sent = {
-        n: beat for n, beat in attachment.sent.items() if beat.voter == attachment.voter
+    attachment.unanswered = {
+        n: beat for n, beat in attachment.unanswered.items() if beat.voter == attachment.voter
     }
 
 
-def turn_back(attachment: Attachment, voter: str, now: Seconds) -> None:
+def return_to_voter(attachment: Attachment, voter: str, now: Seconds) -> None:
     """Turn back to a voter that answered late, if it still is one."""
     if voter in attachment.order:
         attachment.index = attachment.order.index(voter)
@@ -146,11 +150,13 @@
         attachment.behind_since = None
 
 
-def go_home(attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random) -> None:
+def return_to_preferred_voter(
+    attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
+) -> None:
     """Turn back to the voter that is preferred."""
     attachment.index = 0
-    attachment.sent.clear()
+    attachment.unanswered.clear()
     attachment.moved_at = now
     attachment.behind_since = None
-    attachment.patience = 1.0
-    attachment.next_beat = now + 0.5 * times.heartbeat * rng.random()
+    attachment.stay_beats = 1.0
+    attachment.next_heartbeat_at = now + 0.5 * times.heartbeat * rng.random()
--- /dev/null
+++ b/packages/bendwind-core/src/bendwind_core/membership/customer_history.py
@@ -0,0 +1,103 @@
+"""Hold for a voter when each customer changed, so that nodes are sent only what they lack."""
+
+from collections.abc import Iterator
+
+import msgspec
+
+from bendwind_core.customers import CustomersChange
+from bendwind_core.membership.digest import digest_record
+from bendwind_core.world import Customer
+
+# Names of removed customers that are remembered: a node that has not heard of one forgotten since
+# is sent all customers. A day of changes removes far fewer.
+MAX_REMEMBERED_REMOVALS = 4_096
+
+
+class CustomerHistory(msgspec.Struct):
+    """Hold the customers in force, None if no key is needed, and the version of each one's change.
+
+    `changed_at` and `removed_at` are in the order of the versions. What changed since a version
+    before `oldest_base` is not known any more. `digest` sums up all customers.
+    """
+
+    customers: dict[str, Customer] | None = None
+    changed_at: dict[str, int] = msgspec.field(default_factory=dict)
+    removed_at: dict[str, int] = msgspec.field(default_factory=dict)
+    oldest_base: int = 0
+    newest_change: int = 0
+    digest: int = 0
+
+
+def update_customers(
+    history: CustomerHistory, customers: tuple[Customer, ...] | None, version: int
+) -> bool:
+    """Take over the customers of a newer version and tell whether any differ."""
+    if (customers is None) is not (history.customers is None):
+        _start_again(history, customers, version)
+        return True
+    if customers is None:
+        return False
+    wanted = {customer.name: customer for customer in customers}
+    changed = [
+        customer for customer in customers if history.customers.get(customer.name) != customer
+    ]
+    removed = [name for name in history.customers if name not in wanted]
+    for customer in changed:
+        _put(history, customer, version)
+    for name in removed:
+        _remove(history, name, version)
+    if changed or removed:
+        history.newest_change = version
+    return bool(changed or removed)
+
+
+def _start_again(
+    history: CustomerHistory, customers: tuple[Customer, ...] | None, version: int
+) -> None:
+    """Begin with customers, or end with them: every node is to hear of all."""
+    history.customers = None if customers is None else {}
+    history.changed_at.clear()
+    history.removed_at.clear()
+    history.oldest_base = history.newest_change = version
+    history.digest = 0
+    for customer in customers or ():
+        _put(history, customer, version)
+
+
+def _put(history: CustomerHistory, customer: Customer, version: int) -> None:
+    held = history.customers.get(customer.name)
+    if held is not None:
+        history.digest ^= digest_record(held)
+    history.customers[customer.name] = customer
+    history.digest ^= digest_record(customer)
+    # Removed first, so that the newest change stands at the end of the dict.
+    history.changed_at.pop(customer.name, None)
+    history.changed_at[customer.name] = version
+    history.removed_at.pop(customer.name, None)
+
+
+def _remove(history: CustomerHistory, name: str, version: int) -> None:
+    history.digest ^= digest_record(history.customers.pop(name))
+    del history.changed_at[name]
+    history.removed_at[name] = version
+    if len(history.removed_at) > MAX_REMEMBERED_REMOVALS:
+        oldest = next(iter(history.removed_at))
+        history.oldest_base = history.removed_at.pop(oldest)
+
+
+def make_customers_change(history: CustomerHistory, base: int) -> CustomersChange:
+    """Return what changed since a version that this voter held; base 0 asks for all customers."""
+    is_needed = history.customers is not None
+    if base == 0 or base < history.oldest_base:
+        put = tuple((history.customers or {}).values())
+        return CustomersChange(0, put, (), is_needed, history.digest)
+    put = tuple(history.customers[name] for name in _list_since(history.changed_at, base))
+    removed = tuple(_list_since(history.removed_at, base))
+    return CustomersChange(base, put, removed, is_needed, history.digest)
+
+
+def _list_since(changed_at: dict[str, int], base: int) -> Iterator[str]:
+    for name, version in reversed(changed_at.items()):
+        if version <= base:
+            return
+        yield name
--- a/packages/bendwind-core/src/bendwind_core/membership/events.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/events.py
@@ -38,7 +38,7 @@
     upstream: Upstream
 
 
-class PeerSeen(msgspec.Struct, frozen=True):
+class PeerVersionReceived(msgspec.Struct, frozen=True):
     """Report the version and the age of confirmation that another process stated.
 
     Units: `confirmed_age_ms` in milliseconds, None without a confirmation.
@@ -108,7 +108,7 @@
     service: str
 
 
-class SuspectsLearned(msgspec.Struct, frozen=True):
+class SuspectsReceived(msgspec.Struct, frozen=True):
     """Tell what a voter knows against requests of the services that a node watches."""
 
     suspects: tuple[SuspectReport, ...]
@@ -118,13 +118,13 @@
     """Tell that a claim group of a service which a node watches changed."""
 
 
-class InstancesLearned(msgspec.Struct, frozen=True):
+class InstancesReceived(msgspec.Struct, frozen=True):
     """Tell a node where other instances are reached."""
 
     instances: tuple[Instance, ...]
 
 
-class VotersLearned(msgspec.Struct, frozen=True):
+class VotersReceived(msgspec.Struct, frozen=True):
     """Tell a node which voters there are."""
 
     voters: tuple[VoterPlace, ...]
@@ -155,15 +155,17 @@
     node: Instance
 
 
-ViewEvent = Tick | MessageReceived | LinkLost | ServiceWatched | UpstreamAnnounced | PeerSeen
+ViewEvent = (
+    Tick | MessageReceived | LinkLost | ServiceWatched | UpstreamAnnounced | PeerVersionReceived
+)
 ViewEffect = (
-    InstancesLearned
-    | VotersLearned
+    InstancesReceived
+    | VotersReceived
     | SendTo
     | ConfigurationApplied
     | CustomersChanged
     | UpstreamsChanged
-    | SuspectsLearned
+    | SuspectsReceived
     | ClaimGroupsChanged
     | AttachmentChanged
     | FreshnessChanged
--- a/packages/bendwind-core/src/bendwind_core/membership/gossip.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/gossip.py
@@ -13,7 +13,7 @@
     RegistryEffect,
     SendTo,
 )
-from bendwind_core.membership.member import Member, bucket_of, merge, put_state
+from bendwind_core.membership.member import Member, find_bucket, merge, put_state
 from bendwind_core.membership.messages import (
     MemberDigest,
     MemberGossip,
@@ -24,8 +24,8 @@
 from bendwind_core.membership.state import Client, VoterRegistry
 from bendwind_core.world import Upstream, UpstreamState
 
-_NEWS_INTERVAL = 0.1
-_ALIVE_INTERVAL = 0.5
+_CHANGES_INTERVAL = 0.1
+_KEEPALIVE_INTERVAL = 0.5
 _DIGEST_INTERVAL = 5.0
 _MEMBERS_PER_MESSAGE = 100
 
@@ -34,11 +34,11 @@
     registry: VoterRegistry, state: MemberState, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     """Merge what this voter saw itself and tell the others of it."""
-    if _absorb(registry, state, effects, now):
-        registry.news[state.node.name] = None
+    if _merge_state(registry, state, effects, now):
+        registry.changed_members[state.node.name] = None
 
 
-def _absorb(
+def _merge_state(
     registry: VoterRegistry, state: MemberState, effects: list[RegistryEffect], now: Seconds
 ) -> bool:
     name = state.node.name
@@ -49,8 +49,8 @@
     if member is None:
         member = registry.members[name] = Member(state, now)
     before = member.state.upstreams if member.is_visible else ()
-    registry.buckets[bucket_of(name)] ^= put_state(member, merged, now)
-    _show(registry, member, effects, now)
+    registry.buckets[find_bucket(name)] ^= put_state(member, merged, now)
+    _update_visibility(registry, member, effects, now)
     _mark_changes(registry, name, before, member)
     return True
 
@@ -63,16 +63,16 @@
     pushes.mark_dirty(registry, name, (*before, *after), is_urgent=is_leaving)
 
 
-def _is_heard(registry: VoterRegistry, voter: str) -> bool:
+def _is_reachable(registry: VoterRegistry, voter: str) -> bool:
     is_peer = voter in registry.peers and voter not in registry.lost_voters
     return is_peer or voter == registry.name
 
 
-def _show(
+def _update_visibility(
     registry: VoterRegistry, member: Member, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     state = member.state
-    is_visible = state.is_alive and _is_heard(registry, state.home)
+    is_visible = state.is_alive and _is_reachable(registry, state.home)
     if is_visible == member.is_visible:
         return
     member.is_visible = is_visible
@@ -80,7 +80,7 @@
     effects.append(MemberAppeared(state.node) if is_visible else MemberLost(state.node))
 
 
-def take_gossip(
+def handle_gossip(
     registry: VoterRegistry, message: MemberGossip, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     """Merge what another voter tells, and contradict it where this voter knows better."""
@@ -89,19 +89,19 @@
     registry.peers[message.voter] = now
     if message.voter in registry.lost_voters:
         registry.lost_voters.discard(message.voter)
-        _reconsider(registry, message.voter, effects, now)
+        _update_members_of_voter(registry, message.voter, effects, now)
     for state in message.members:
-        _take_state(registry, state, effects, now)
+        _handle_state(registry, state, effects, now)
 
 
-def _take_state(
+def _handle_state(
     registry: VoterRegistry, state: MemberState, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     name = state.node.name
     if name not in registry.members and not state.is_alive:
         # Taken over, a forgotten death would go round between the voters for ever.
         return
-    if not _absorb(registry, state, effects, now):
+    if not _merge_state(registry, state, effects, now):
         return
     merged = registry.members[name].state
     client = registry.clients.get(name)
@@ -111,17 +111,17 @@
             # An earlier run of this voter registered it: it has one lease to be heard of.
             registry.clients[name] = Client(merged.node.incarnation, merged.beat, now)
     elif client.incarnation < merged.node.incarnation:
-        pushes.drop_client(registry, name)
+        pushes.remove_client(registry, name)
     elif not is_adopted and client.sequence > merged.beat:
         claim = msgspec.structs.replace(
             merged, home=registry.name, beat=client.sequence, is_alive=True
         )
         register(registry, claim, effects, now)
     elif not is_adopted:
-        pushes.drop_client(registry, name)
+        pushes.remove_client(registry, name)
 
 
-def take_digest(
+def handle_digest(
     registry: VoterRegistry, message: MemberDigest, effects: list[RegistryEffect]
 ) -> None:
     """Send and ask for the members of buckets that differ."""
@@ -133,7 +133,9 @@
     _send_buckets(registry, message.voter, differing, effects)
 
 
-def take_pull(registry: VoterRegistry, message: MemberPull, effects: list[RegistryEffect]) -> None:
+def handle_pull(
+    registry: VoterRegistry, message: MemberPull, effects: list[RegistryEffect]
+) -> None:
     """Answer a voter that asked for buckets."""
     _send_buckets(registry, message.voter, message.buckets, effects)
 
@@ -143,7 +145,7 @@
 ) -> None:
     wanted = frozenset(buckets)
     states = [
-        member.state for name, member in registry.members.items() if bucket_of(name) in wanted
+        member.state for name, member in registry.members.items() if find_bucket(name) in wanted
     ]
     _send_states(registry, (voter,), states, effects)
 
@@ -160,24 +162,24 @@
         effects.extend(SendTo(voter, message) for voter in voters)
 
 
-def send_due(
+def send_due_gossip(
     registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds, rng: random.Random
 ) -> None:
     """Send news, a sign of life and a digest when each is due."""
-    since = now - registry.gossip_at
-    if since >= _ALIVE_INTERVAL or (registry.news and since >= _NEWS_INTERVAL):
-        registry.gossip_at = now
-        _send_news(registry, effects)
-    if now >= registry.digest_at and registry.peers:
-        registry.digest_at = now + _DIGEST_INTERVAL * rng.uniform(0.5, 1.0)
+    since = now - registry.gossip_sent_at
+    if since >= _KEEPALIVE_INTERVAL or (registry.changed_members and since >= _CHANGES_INTERVAL):
+        registry.gossip_sent_at = now
+        _send_changed_members(registry, effects)
+    if now >= registry.next_digest_at and registry.peers:
+        registry.next_digest_at = now + _DIGEST_INTERVAL * rng.uniform(0.5, 1.0)
         partner = rng.choice(list(registry.peers))
         digest = MemberDigest(registry.name, tuple(registry.buckets))
         effects.append(SendTo(partner, digest))
 
 
-def _send_news(registry: VoterRegistry, effects: list[RegistryEffect]) -> None:
-    states = [registry.members[name].state for name in registry.news]
-    registry.news.clear()
+def _send_changed_members(registry: VoterRegistry, effects: list[RegistryEffect]) -> None:
+    states = [registry.members[name].state for name in registry.changed_members]
+    registry.changed_members.clear()
     if states:
         _send_states(registry, registry.peers, states, effects)
     else:
@@ -192,23 +194,23 @@
 
     A voter without a confirmation within the lease may itself be the one cut off: it hides none.
     """
-    confirmed = registry.confirmed_from
+    confirmed = registry.confirmed_round_started_at
     lease = registry.times.lease
     if confirmed is None or now - confirmed >= lease:
         return
-    for voter, heard_at in registry.peers.items():
-        if now - heard_at >= lease and voter not in registry.lost_voters:
+    for voter, received_at in registry.peers.items():
+        if now - received_at >= lease and voter not in registry.lost_voters:
             registry.lost_voters.add(voter)
-            _reconsider(registry, voter, effects, now)
+            _update_members_of_voter(registry, voter, effects, now)
 
 
-def _reconsider(
+def _update_members_of_voter(
     registry: VoterRegistry, voter: str, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     for name, member in registry.members.items():
         if member.state.home == voter:
             before = member.state.upstreams if member.is_visible else ()
-            _show(registry, member, effects, now)
+            _update_visibility(registry, member, effects, now)
             _mark_changes(registry, name, before, member)
 
 
@@ -220,16 +222,16 @@
 ) -> None:
     """Take over a changed set of voters and have the attached nodes told."""
     registry.voters = voters
-    registry.uninformed.update(dict.fromkeys(registry.clients))
+    registry.clients_awaiting_voters.update(dict.fromkeys(registry.clients))
     peers = [voter.name for voter in voters if voter.name != registry.name]
     changed = set(peers) ^ set(registry.peers)
     registry.peers = {voter: registry.peers.get(voter, now) for voter in peers}
     registry.lost_voters.intersection_update(peers)
     for voter in changed:
-        _reconsider(registry, voter, effects, now)
+        _update_members_of_voter(registry, voter, effects, now)
 
 
-def forget_dead(registry: VoterRegistry, before: Seconds) -> None:
+def remove_dead_members(registry: VoterRegistry, before: Seconds) -> None:
     """Drop members that have been dead or hidden since `before`."""
     names = [
         name
@@ -238,5 +240,5 @@
     ]
     for name in names:
         member = registry.members.pop(name)
-        registry.buckets[bucket_of(name)] ^= member.digest
-        registry.news.pop(name, None)
+        registry.buckets[find_bucket(name)] ^= member.digest
+        registry.changed_members.pop(name, None)
--- a/packages/bendwind-core/src/bendwind_core/membership/member.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/member.py
@@ -6,7 +6,7 @@
 from bendwind_core.membership.digest import digest_record, digest_text
 from bendwind_core.membership.messages import MemberState
 
-BUCKETS = 256
+BUCKET_COUNT = 256
 
 
 class Member(msgspec.Struct):
@@ -21,9 +21,9 @@
     digest: int = 0
 
 
-def bucket_of(name: str) -> int:
+def find_bucket(name: str) -> int:
     """Return the bucket that holds a node of this name."""
-    return digest_text(name) % BUCKETS
+    return digest_text(name) % BUCKET_COUNT
 
 
 def liveness_order(state: MemberState) -> tuple[int, int, bool]:
--- a/packages/bendwind-core/src/bendwind_core/membership/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/messages.py
@@ -111,7 +111,7 @@
     port: int = 0
 
 
-class VotersKnown(Record, frozen=True, array_like=True, tag="voters"):
+class VoterList(Record, frozen=True, array_like=True, tag="voters"):
     """Tell a node which voters there are, so that it need not rely on its settings."""
 
     voters: tuple[VoterPlace, ...]
@@ -168,7 +168,7 @@
     operators: str = ""
 
 
-class SuspectsTold(Record, frozen=True, array_like=True, tag="suspects"):
+class SuspectReports(Record, frozen=True, array_like=True, tag="suspects"):
     """Tell what is known against requests, from node to voter, between voters and to nodes."""
 
     suspects: tuple[SuspectReport, ...]
--- a/packages/bendwind-core/src/bendwind_core/membership/pushes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/pushes.py
@@ -8,18 +8,17 @@
 
 from bendwind_core.claims import ClaimGroup, node_of
 from bendwind_core.core import Seconds
-from bendwind_core.membership.customer_ledger import make_change, take_customers
+from bendwind_core.membership.customer_history import make_customers_change, update_customers
 from bendwind_core.membership.digest import digest_record
 from bendwind_core.membership.events import RegistryEffect, SendTo
-from bendwind_core.membership.holdings import UpstreamKey, upstream_key
 from bendwind_core.membership.messages import (
     ConfigurationChanged,
     Heartbeat,
-    VotersKnown,
+    VoterList,
     Watch,
     WatchUpdate,
 )
-from bendwind_core.membership.routing_changes import make_routing_change, note_routing
+from bendwind_core.membership.routing_changes import make_routing_change, record_routing_change
 from bendwind_core.membership.state import (
     Client,
     ServiceRow,
@@ -27,6 +26,7 @@
     find_row,
     put_claim_group,
 )
+from bendwind_core.membership.watch_cache import UpstreamKey, upstream_key
 from bendwind_core.world import Configuration, Instance, Upstream, UpstreamState
 
 # What one flush sends at most, so that a data centre's loss does not hold up heartbeats.
@@ -35,10 +35,10 @@
 # A push of many routes or customers takes most of this on a slow link, and would hold up itself if
 # it were sent again for each heartbeat that comes meanwhile. One that is lost is sent again after
 # this.
-PUSH_TAKES: Seconds = 1.0
+PUSH_REPEAT_DELAY: Seconds = 1.0
 # A push of more services, routes and customers than this is not repeated within `PUSH_TAKES`; of
 # fewer, it has arrived before the next heartbeat.
-LARGE_PUSH = 128
+LARGE_PUSH_ITEMS = 128
 
 
 def accept_configuration(
@@ -46,14 +46,14 @@
 ) -> None:
     """Take over a newer configuration and mark who must hear of it."""
     if configuration.version > registry.configuration.version:
-        _take_services(registry, configuration)
+        _update_services(registry, configuration)
     groups = {group.service: group for group in claim_groups}
     for name in groups:
         find_row(registry, name)
     for name, row in registry.services.items():
         if row.claim_group != groups.get(name):
             put_claim_group(row, groups.get(name))
-            registry.outdated.update(row.watchers)
+            registry.outdated_clients.update(row.watchers)
 
 
 def accept_drain_marks(
@@ -73,7 +73,7 @@
         mark_dirty(registry, owner, touched, is_urgent=True)
 
 
-def _take_services(registry: VoterRegistry, configuration: Configuration) -> None:
+def _update_services(registry: VoterRegistry, configuration: Configuration) -> None:
     services = {service.name: service for service in configuration.services}
     for name in services:
         find_row(registry, name)
@@ -81,43 +81,50 @@
         if row.service != services.get(name):
             row.service = services.get(name)
             row.changed_at = configuration.version
-            registry.outdated.update(row.watchers)
+            registry.outdated_clients.update(row.watchers)
     if configuration.routing != registry.configuration.routing:
-        oldest = next(iter(registry.held))
+        oldest = next(iter(registry.held_versions))
         before = registry.configuration.routing
-        note_routing(registry.routing, before, configuration.routing, configuration.version, oldest)
-        registry.outdated.update(dict.fromkeys(registry.clients))
+        record_routing_change(
+            registry.routing, before, configuration.routing, configuration.version, oldest
+        )
+        registry.outdated_clients.update(dict.fromkeys(registry.clients))
     if configuration.evacuated != registry.configuration.evacuated:
         registry.evacuated_changed_at = configuration.version
-        registry.outdated.update(dict.fromkeys(registry.clients))
-    if take_customers(registry.customers, configuration.customers, configuration.version):
-        registry.outdated.update(dict.fromkeys(registry.clients))
+        registry.outdated_clients.update(dict.fromkeys(registry.clients))
+    if update_customers(registry.customers, configuration.customers, configuration.version):
+        registry.outdated_clients.update(dict.fromkeys(registry.clients))
     registry.configuration = configuration
-    registry.held[configuration.version] = None
-    if len(registry.held) > _HELD_VERSIONS:
-        del registry.held[next(iter(registry.held))]
+    registry.held_versions[configuration.version] = None
+    if len(registry.held_versions) > _HELD_VERSIONS:
+        del registry.held_versions[next(iter(registry.held_versions))]
 
 
-def bring_up_to_date(
+def push_missing_configuration(
     registry: VoterRegistry, beat: Heartbeat, client: Client, effects: list[RegistryEffect]
 ) -> bool:
     """Tell whether a node misses no configuration, and push what it misses."""
     rows = [find_row(registry, name) for name in client.services]
     is_current = _is_current(registry, beat.version, beat.customers, rows)
     is_ahead = beat.version > registry.configuration.version
-    if not is_current and not is_ahead and not _is_under_way(registry, client):
+    if not is_current and not is_ahead and not _is_push_in_flight(registry, client):
         _push_configuration(registry, beat.node.name, client, effects)
     return is_current
 
 
-def _is_under_way(registry: VoterRegistry, client: Client) -> bool:
+def _is_push_in_flight(registry: VoterRegistry, client: Client) -> bool:
     """Tell whether the newest version was sent so lately that it may not have arrived yet."""
-    is_newest = client.pushed == registry.configuration.version
+    is_newest = client.pushed_version == registry.configuration.version
     is_same = client.pushed_base == _find_base(
         registry, client
     ) and client.pushed_customers_base == _find_customers_base(registry, client)
-    is_large = client.pushed_items > LARGE_PUSH
-    return is_large and is_newest and is_same and registry.ticked_at - client.pushed_at < PUSH_TAKES
+    is_large = client.pushed_items > LARGE_PUSH_ITEMS
+    return (
+        is_large
+        and is_newest
+        and is_same
+        and registry.ticked_at - client.pushed_at < PUSH_REPEAT_DELAY
+    )
 
 
 def _is_current(
@@ -126,9 +133,9 @@
     # Between two versions that this voter held, a service may have changed and changed back: of
     # a version that it did not hold itself it cannot tell what the node has.
     newest_for_all = max(registry.routing.newest, registry.evacuated_changed_at)
-    if version not in registry.held or newest_for_all > version:
+    if version not in registry.held_versions or newest_for_all > version:
         return False
-    if customers and customers not in registry.held:
+    if customers and customers not in registry.held_versions:
         return False
     if registry.customers.newest_change > customers:
         return False
@@ -161,9 +168,9 @@
     rows = [find_row(registry, name) for name in client.services]
     is_same = beat.digest == _sum_digests(rows)
     # One difference may be a push that crossed the heartbeat; two in a row are a loss.
-    if not is_same and client.is_suspect:
+    if not is_same and client.has_digest_mismatch:
         _push_watched(registry, beat.node.name, client, effects)
-    client.is_suspect = not is_same and not client.is_suspect
+    client.has_digest_mismatch = not is_same and not client.has_digest_mismatch
     return is_same
 
 
@@ -175,12 +182,12 @@
 
 def _find_base(registry: VoterRegistry, client: Client) -> int:
     """Return the version that a node holds, 0 if what changed since is not known."""
-    return client.version if client.version in registry.held else 0
+    return client.version if client.version in registry.held_versions else 0
 
 
 def _find_customers_base(registry: VoterRegistry, client: Client) -> int:
     """Return the version as of which a node holds all customers, 0 as in `_find_base`."""
-    return client.customers if client.customers in registry.held else 0
+    return client.customers if client.customers in registry.held_versions else 0
 
 
 def _push_configuration(
@@ -200,9 +207,9 @@
         _find_holders(registry, groups),
         make_routing_change(registry.routing, registry.configuration.routing, base),
         registry.configuration.evacuated,
-        make_change(registry.customers, _find_customers_base(registry, client)),
+        make_customers_change(registry.customers, _find_customers_base(registry, client)),
     )
-    client.pushed = message.version
+    client.pushed_version = message.version
     client.pushed_items = _count_items(message)
     client.pushed_base = base
     client.pushed_customers_base = _find_customers_base(registry, client)
@@ -233,19 +240,19 @@
     """Replace what a node watches."""
     _stop_watching(registry, node, client)
     client.watch = watch.sequence
-    client.pushed = -1
+    client.pushed_version = -1
     client.services = watch.services
     for name in watch.services:
         find_row(registry, name).watchers[node] = None
 
 
-def drop_client(registry: VoterRegistry, node: str) -> None:
+def remove_client(registry: VoterRegistry, node: str) -> None:
     """Forget a node that is no longer attached here."""
     client = registry.clients.pop(node, None)
     if client:
         _stop_watching(registry, node, client)
-        registry.outdated.pop(node, None)
-        registry.uninformed.pop(node, None)
+        registry.outdated_clients.pop(node, None)
+        registry.clients_awaiting_voters.pop(node, None)
 
 
 def _stop_watching(registry: VoterRegistry, node: str, client: Client) -> None:
@@ -257,7 +264,7 @@
 
 
 def _discard_empty(registry: VoterRegistry, name: str, row: ServiceRow) -> None:
-    is_used = row.watchers or row.upstreams or row.dirty or row.service or row.claim_group
+    is_used = row.watchers or row.upstreams or row.dirty_owners or row.service or row.claim_group
     if not is_used and row.changed_at == 0:
         del registry.services[name]
 
@@ -266,26 +273,28 @@
     registry: VoterRegistry, owner: str, upstreams: tuple[Upstream, ...], *, is_urgent: bool
 ) -> None:
     """Note that the upstreams of a node may differ from what was pushed."""
-    queue = registry.urgent if is_urgent else registry.dirty
+    queue = registry.urgent_services if is_urgent else registry.dirty_services
     for upstream in upstreams:
-        find_row(registry, upstream.service).dirty.add(owner)
+        find_row(registry, upstream.service).dirty_owners.add(owner)
         queue[upstream.service] = None
 
 
 def flush(registry: VoterRegistry, effects: list[RegistryEffect]) -> None:
     """Push what changed since the last flush, as far as the limit allows; leaving goes first."""
     limit = len(effects) + _PUSHES_PER_FLUSH
-    while registry.uninformed:
-        effects.append(SendTo(_pop_first(registry.uninformed), VotersKnown(registry.voters)))
-    while registry.urgent:
-        _flush_service(registry, _pop_first(registry.urgent), effects)
-    while registry.outdated and len(effects) < limit:
-        node = _pop_first(registry.outdated)
+    while registry.clients_awaiting_voters:
+        effects.append(
+            SendTo(_pop_first(registry.clients_awaiting_voters), VoterList(registry.voters))
+        )
+    while registry.urgent_services:
+        _flush_service(registry, _pop_first(registry.urgent_services), effects)
+    while registry.outdated_clients and len(effects) < limit:
+        node = _pop_first(registry.outdated_clients)
         client = registry.clients.get(node)
         if client:
             _push_configuration(registry, node, client, effects)
-    while registry.dirty and len(effects) < limit:
-        _flush_service(registry, _pop_first(registry.dirty), effects)
+    while registry.dirty_services and len(effects) < limit:
+        _flush_service(registry, _pop_first(registry.dirty_services), effects)
 
 
 def _pop_first(queue: dict[str, None]) -> str:
@@ -297,9 +306,11 @@
 def _flush_service(registry: VoterRegistry, service: str, effects: list[RegistryEffect]) -> None:
     row = find_row(registry, service)
     changes = [
-        change for owner in row.dirty for change in _find_changes(registry, service, row, owner)
+        change
+        for owner in row.dirty_owners
+        for change in _find_changes(registry, service, row, owner)
     ]
-    row.dirty.clear()
+    row.dirty_owners.clear()
     for change in changes:
         _put_change(row, change)
     if changes:
--- a/packages/bendwind-core/src/bendwind_core/membership/registry.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/registry.py
@@ -26,24 +26,24 @@
     MemberPull,
     MemberState,
     NodeStatus,
-    SuspectsTold,
+    SuspectReports,
+    VoterList,
     VoterPlace,
-    VotersKnown,
     Watch,
 )
 from bendwind_core.membership.settings import LeaseTimes
 from bendwind_core.membership.state import Client, VoterRegistry
 from bendwind_core.membership.suspicions import (
     flush_suspects,
+    merge_suspects,
     send_known_suspects,
-    take_suspects,
 )
 from bendwind_core.world import Instance
 
 # Longer than a voter stays cut off, so that it cannot bring a forgotten node back.
-_FORGET_AFTER = 3600.0
+_EVICTION_DELAY = 3600.0
 # Ticks further apart than this share of the lease mean that the voter itself was stopped.
-_OWN_STOP = 0.5
+_PAUSE_SHARE = 0.5
 
 
 def create_voter_registry(
@@ -51,7 +51,7 @@
 ) -> VoterRegistry:
     """Create the registry of a voter that has just started and knows no node."""
     peers = {voter.name: now for voter in voters if voter.name != name}
-    return VoterRegistry(name, times, peers, ticked_at=now, lenient_until=now, voters=voters)
+    return VoterRegistry(name, times, peers, ticked_at=now, no_expiry_until=now, voters=voters)
 
 
 def step_registry(
@@ -61,7 +61,7 @@
     effects: list[RegistryEffect] = []
     match event:
         case Tick():
-            _pass_time(registry, effects, now, rng)
+            _handle_tick(registry, effects, now, rng)
         case MessageReceived(sender=sender, message=message):
             _receive(registry, sender, message, effects, now)
         case ConfigurationAccepted(configuration=configuration, claim_groups=claim_groups):
@@ -69,33 +69,33 @@
         case DrainMarksAccepted(instances=instances, upstreams=upstreams):
             pushes.accept_drain_marks(registry, instances, upstreams)
         case QuorumConfirmed(started=started):
-            registry.confirmed_from = started
+            registry.confirmed_round_started_at = started
         case VotersChanged(voters=voters):
             gossip.set_voters(registry, voters, effects, now)
     return effects
 
 
-def _pass_time(
+def _handle_tick(
     registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds, rng: random.Random
 ) -> None:
-    _excuse_own_stop(registry, now)
-    if now >= registry.lenient_until:
+    _suspend_expiry_after_pause(registry, now)
+    if now >= registry.no_expiry_until:
         _expire_clients(registry, effects, now)
         gossip.hide_members_of_lost_voters(registry, effects, now)
     if is_voter(registry):
         # Voters heed gossip of voters alone: ten learners sent five voters 100 messages a second
         # in vain (counted over 10 s of a calm day).
-        gossip.send_due(registry, effects, now, rng)
+        gossip.send_due_gossip(registry, effects, now, rng)
         flush_suspects(registry, effects, now)
     pushes.flush(registry, effects)
-    if now >= registry.forget_at:
-        gossip.forget_dead(registry, now - _FORGET_AFTER)
-        registry.forget_at = now + registry.times.lease
+    if now >= registry.next_eviction_at:
+        gossip.remove_dead_members(registry, now - _EVICTION_DELAY)
+        registry.next_eviction_at = now + registry.times.lease
 
 
-def _excuse_own_stop(registry: VoterRegistry, now: Seconds) -> None:
-    if now - registry.ticked_at > _OWN_STOP * registry.times.lease:
-        registry.lenient_until = now + registry.times.lease
+def _suspend_expiry_after_pause(registry: VoterRegistry, now: Seconds) -> None:
+    if now - registry.ticked_at > _PAUSE_SHARE * registry.times.lease:
+        registry.no_expiry_until = now + registry.times.lease
     registry.ticked_at = now
 
 
@@ -106,7 +106,7 @@
         name, client = next(iter(registry.clients.items()))
         if client.renewed_at >= limit:
             return
-        pushes.drop_client(registry, name)
+        pushes.remove_client(registry, name)
         state = registry.members[name].state
         if state.home == registry.name and state.is_alive:
             dead = msgspec.structs.replace(state, beat=client.sequence, is_alive=False)
@@ -118,20 +118,20 @@
 ) -> None:
     match message:
         case Heartbeat():
-            _take_heartbeat(registry, message, effects, now)
+            _handle_heartbeat(registry, message, effects, now)
         case Announce():
-            _take_announce(registry, message, effects, now)
+            _handle_announce(registry, message, effects, now)
         case Watch():
-            _take_watch(registry, message, effects)
+            _handle_watch(registry, message, effects)
             send_known_suspects(registry, message, effects, now)
-        case SuspectsTold():
-            take_suspects(registry, message, now)
+        case SuspectReports():
+            merge_suspects(registry, message, now)
         case MemberGossip():
-            gossip.take_gossip(registry, message, effects, now)
+            gossip.handle_gossip(registry, message, effects, now)
         case MemberDigest():
-            gossip.take_digest(registry, message, effects)
+            gossip.handle_digest(registry, message, effects)
         case MemberPull():
-            gossip.take_pull(registry, message, effects)
+            gossip.handle_pull(registry, message, effects)
 
 
 def _is_outdated(registry: VoterRegistry, beat: Heartbeat) -> bool:
@@ -144,7 +144,7 @@
     return member is not None and order <= (member.state.node.incarnation, member.state.beat)
 
 
-def _take_heartbeat(
+def _handle_heartbeat(
     registry: VoterRegistry, beat: Heartbeat, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     node = beat.node
@@ -152,20 +152,20 @@
         return
     if not is_voter(registry):
         # A learner tells no other voter of a node, so the node has to find a voter.
-        effects.append(SendTo(node.name, VotersKnown(registry.voters)))
+        effects.append(SendTo(node.name, VoterList(registry.voters)))
         return
     client = registry.clients.get(node.name)
     if client is None or client.incarnation != node.incarnation:
-        pushes.drop_client(registry, node.name)
+        pushes.remove_client(registry, node.name)
         client = Client(node.incarnation)
-        registry.uninformed[node.name] = None
+        registry.clients_awaiting_voters[node.name] = None
     registry.clients.pop(node.name, None)
     registry.clients[node.name] = client
     client.sequence = beat.sequence
     client.renewed_at = now
     client.version = beat.version
     client.customers = beat.customers
-    _claim_member(registry, beat, effects, now)
+    _register_member(registry, beat, effects, now)
     _reply(registry, client, beat, effects, now)
 
 
@@ -174,7 +174,7 @@
     return any(voter.name == registry.name for voter in registry.voters)
 
 
-def _claim_member(
+def _register_member(
     registry: VoterRegistry, beat: Heartbeat, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     member = registry.members.get(beat.node.name)
@@ -199,7 +199,7 @@
     is_current = False
     is_same = False
     if not resync:
-        is_current = pushes.bring_up_to_date(registry, beat, client, effects)
+        is_current = pushes.push_missing_configuration(registry, beat, client, effects)
         is_same = pushes.compare_digest(registry, beat, client, effects)
     reply = HeartbeatReply(
         beat.sequence,
@@ -214,12 +214,12 @@
 
 def confirmed_age_ms(registry: VoterRegistry, now: Seconds) -> Milliseconds | None:
     """Return the time since the start of the last confirmed round, None without one."""
-    if registry.confirmed_from is None:
+    if registry.confirmed_round_started_at is None:
         return None
-    return (now - registry.confirmed_from) * MILLISECONDS_PER_SECOND
+    return (now - registry.confirmed_round_started_at) * MILLISECONDS_PER_SECOND
 
 
-def _take_announce(
+def _handle_announce(
     registry: VoterRegistry, announce: Announce, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     member = registry.members.get(announce.node)
@@ -233,7 +233,7 @@
     gossip.register(registry, state, effects, now)
 
 
-def _take_watch(registry: VoterRegistry, watch: Watch, effects: list[RegistryEffect]) -> None:
+def _handle_watch(registry: VoterRegistry, watch: Watch, effects: list[RegistryEffect]) -> None:
     client = registry.clients.get(watch.node)
     if client is None or client.incarnation != watch.incarnation:
         return
@@ -259,7 +259,7 @@
     node = registry.members[name].state.node
     age = now - client.renewed_at
     confirmed = confirmed_age_ms(registry, now)
-    lease_ms = registry.times.provable * MILLISECONDS_PER_SECOND
+    lease_ms = registry.times.provable_lease * MILLISECONDS_PER_SECOND
     is_fresh = (
         client.version == registry.configuration.version
         and confirmed is not None
--- a/packages/bendwind-core/src/bendwind_core/membership/renewal.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/renewal.py
@@ -5,22 +5,22 @@
 from msgspec.structs import replace
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
-from bendwind_core.membership import holdings as held
+from bendwind_core.membership import watch_cache
 from bendwind_core.membership.attachment import (
     NO_REPLY,
-    SentBeat,
+    SentHeartbeat,
+    discard_heartbeats,
+    discard_other_heartbeats,
     find_reason_to_move,
-    forget_beats,
-    forget_other_beats,
-    go_home,
-    hurry_beat,
-    is_awaited,
+    is_reply_expected,
     move,
     order_voters,
-    schedule_beat,
-    set_order,
-    spread_beat,
-    turn_back,
+    return_to_preferred_voter,
+    return_to_voter,
+    schedule_early_heartbeat,
+    schedule_heartbeat,
+    schedule_spread_heartbeat,
+    set_voter_order,
 )
 from bendwind_core.membership.events import (
     AttachmentChanged,
@@ -28,32 +28,32 @@
     ConfigurationApplied,
     CustomersChanged,
     FreshnessChanged,
-    InstancesLearned,
+    InstancesReceived,
     LinkLost,
     MessageReceived,
-    PeerSeen,
+    PeerVersionReceived,
     SendTo,
     ServiceWatched,
-    SuspectsLearned,
+    SuspectsReceived,
     Tick,
     UpstreamAnnounced,
     UpstreamsChanged,
     ViewEffect,
     ViewEvent,
-    VotersLearned,
+    VotersReceived,
 )
 from bendwind_core.membership.messages import (
     Announce,
     ConfigurationChanged,
     Heartbeat,
     HeartbeatReply,
-    SuspectsTold,
+    SuspectReports,
+    VoterList,
     VoterPlace,
-    VotersKnown,
     Watch,
     WatchUpdate,
 )
-from bendwind_core.membership.view import NodeView, Proof
+from bendwind_core.membership.view import NodeView, PendingConfirmation
 from bendwind_core.world import Upstream, UpstreamState
 
 _MAX_UNANSWERED = 8
@@ -63,7 +63,7 @@
 # doubt whether the customers it holds are those of its version: it is sent all of them.
 INCOMPLETE = -1
 # A node away from its preferred voter tries it again at about one good reply in this many.
-_BEATS_AWAY = 120
+_REPLIES_PER_RETURN = 120
 
 
 def step_view(
@@ -75,74 +75,74 @@
         case Tick():
             _renew(view, effects, now, rng)
         case MessageReceived(sender=sender, message=message):
-            if is_awaited(view.attachment, sender):
+            if is_reply_expected(view.attachment, sender):
                 _receive(view, sender, message, effects, now, rng)
         case LinkLost(peer=peer):
-            forget_beats(view.attachment, peer)
+            discard_heartbeats(view.attachment, peer)
             if peer == view.voter:
-                _leave(view, "link lost", effects, now, rng)
-                spread_beat(view.attachment, view.times, now, rng)
-                if not view.attachment.has_heard:
-                    hurry_beat(view.attachment, now, rng)
+                _move_to_next_voter(view, "link lost", effects, now, rng)
+                schedule_spread_heartbeat(view.attachment, view.times, now, rng)
+                if not view.attachment.has_received_reply:
+                    schedule_early_heartbeat(view.attachment, now, rng)
         case ServiceWatched(service=service):
             _watch(view, service, effects)
         case UpstreamAnnounced(upstream=upstream):
             _announce(view, upstream, effects)
-        case PeerSeen(version=version):
+        case PeerVersionReceived(version=version):
             _compare_with_peer(view, version, now)
-    _note_freshness(view, effects, now)
+    _report_freshness(view, effects, now)
     return effects
 
 
-def _note_freshness(view: NodeView, effects: list[ViewEffect], now: Seconds) -> None:
+def _report_freshness(view: NodeView, effects: list[ViewEffect], now: Seconds) -> None:
     is_fresh = view.is_fresh(now)
     if is_fresh != view.was_fresh:
         view.was_fresh = is_fresh
         effects.append(FreshnessChanged(is_fresh))
 
 
-def _stated_version(view: NodeView) -> int:
+def _reported_version(view: NodeView) -> int:
     return view.version if view.is_complete else INCOMPLETE
 
 
 def _customers_version(view: NodeView) -> int:
-    return INCOMPLETE if view.is_in_doubt else view.version
+    return INCOMPLETE if view.has_uncertain_customers else view.version
 
 
 def _renew(view: NodeView, effects: list[ViewEffect], now: Seconds, rng: random.Random) -> None:
     attachment = view.attachment
     reason = find_reason_to_move(attachment, view.times, now)
     if reason:
-        _leave(view, reason, effects, now, rng)
-    if now < attachment.next_beat:
+        _move_to_next_voter(view, reason, effects, now, rng)
+    if now < attachment.next_heartbeat_at:
         return
     attachment.sequence += 1
-    if len(attachment.sent) >= _MAX_UNANSWERED:
-        attachment.sent.pop(next(iter(attachment.sent)))
-    sent = SentBeat(now, view.watch_sequence, _customers_version(view), view.voter)
-    attachment.sent[attachment.sequence] = sent
+    if len(attachment.unanswered) >= _MAX_UNANSWERED:
+        attachment.unanswered.pop(next(iter(attachment.unanswered)))
+    sent = SentHeartbeat(now, view.watch_sequence, _customers_version(view), view.voter)
+    attachment.unanswered[attachment.sequence] = sent
     heartbeat = Heartbeat(
         view.instance,
         attachment.sequence,
-        _stated_version(view),
+        _reported_version(view),
         view.watch_sequence,
         view.announce_sequence,
-        view.holdings.digest,
+        view.cache.digest,
         _customers_version(view),
     )
     effects.append(SendTo(view.voter, heartbeat))
-    schedule_beat(attachment, view.times, now, rng)
+    schedule_heartbeat(attachment, view.times, now, rng)
 
 
-def _leave(
+def _move_to_next_voter(
     view: NodeView, reason: str, effects: list[ViewEffect], now: Seconds, rng: random.Random
 ) -> None:
     # After a timeout the old voter's answer may still come, and sooner than one of the next voter,
     # which this node has to dial over the same slow link.
     if reason != NO_REPLY:
-        forget_beats(view.attachment, view.voter)
+        discard_heartbeats(view.attachment, view.voter)
     move(view.attachment, view.times, now, rng)
-    view.waiting_proof = None
+    view.pending_confirmation = None
     effects.append(AttachmentChanged(view.voter, reason))
 
 
@@ -156,20 +156,20 @@
 ) -> None:
     match message:
         case HeartbeatReply():
-            _take_reply(view, sender, message, effects, now, rng)
+            _handle_reply(view, sender, message, effects, now, rng)
         case ConfigurationChanged():
-            effects.append(InstancesLearned(message.holders))
-            _take_configuration(view, message, effects)
+            effects.append(InstancesReceived(message.holders))
+            _handle_configuration(view, message, effects)
         case WatchUpdate(service=service):
-            if held.put_upstreams(view.holdings, message):
+            if watch_cache.put_upstreams(view.cache, message):
                 effects.append(UpstreamsChanged(service))
-        case SuspectsTold(suspects=suspects):
-            effects.append(SuspectsLearned(suspects))
-        case VotersKnown(voters=voters):
-            _take_voters(view, voters, effects, now, rng)
+        case SuspectReports(suspects=suspects):
+            effects.append(SuspectsReceived(suspects))
+        case VoterList(voters=voters):
+            _handle_voters(view, voters, effects, now, rng)
 
 
-def _take_voters(
+def _handle_voters(
     view: NodeView,
     voters: tuple[VoterPlace, ...],
     effects: list[ViewEffect],
@@ -178,16 +178,16 @@
 ) -> None:
     if not voters:
         return
-    effects.append(VotersLearned(voters))
+    effects.append(VotersReceived(voters))
     own = view.instance
     known = order_voters(own.name, own.name, own.data_centre, voters)
     order = _append_seeds(known, view.seeds)
     if order == view.attachment.order:
         return
-    is_gone = set_order(view.attachment, order)
+    is_gone = set_voter_order(view.attachment, order)
     if is_gone or view.attachment.index >= len(voters):
-        go_home(view.attachment, view.times, now, rng)
-        view.waiting_proof = None
+        return_to_preferred_voter(view.attachment, view.times, now, rng)
+        view.pending_confirmation = None
         effects.append(AttachmentChanged(view.voter, "voters changed"))
 
 
@@ -199,10 +199,10 @@
 def set_seeds(view: NodeView, seeds: tuple[VoterPlace, ...]) -> None:
     """Take over the voters that changed settings name."""
     view.seeds = seeds
-    set_order(view.attachment, _append_seeds(view.attachment.order, seeds))
+    set_voter_order(view.attachment, _append_seeds(view.attachment.order, seeds))
 
 
-def _take_reply(
+def _handle_reply(
     view: NodeView,
     sender: str,
     reply: HeartbeatReply,
@@ -210,40 +210,40 @@
     now: Seconds,
     rng: random.Random,
 ) -> None:
-    sent = view.attachment.sent.pop(reply.sequence, None)
-    if sent is None or not _settle_sender(view, sender, reply, effects, now):
+    sent = view.attachment.unanswered.pop(reply.sequence, None)
+    if sent is None or not _resolve_attachment(view, sender, reply, effects, now):
         return
-    view.attachment.heard_at = now
-    view.attachment.has_heard = True
+    view.attachment.last_reply_at = now
+    view.attachment.has_received_reply = True
     if reply.resync:
         _send_everything(view, effects)
     # What was current at the heartbeat says nothing of what has been put in force since.
-    is_as_sent = sent.watch == view.watch_sequence and sent.version == _customers_version(view)
+    is_as_sent = sent.watch == view.watch_sequence and sent.customers == _customers_version(view)
     if reply.is_current and view.is_complete and is_as_sent:
-        _put_in_force(view, reply.version, effects)
+        _apply_version(view, reply.version, effects)
     if reply.confirmed_age_ms is not None:
-        _take_proof(view, reply, sent.at, now)
-    if view.attachment.index and view.is_fresh(now) and rng.random() * _BEATS_AWAY < 1:
-        go_home(view.attachment, view.times, now, rng)
+        _handle_confirmation(view, reply, sent.sent_at, now)
+    if view.attachment.index and view.is_fresh(now) and rng.random() * _REPLIES_PER_RETURN < 1:
+        return_to_preferred_voter(view.attachment, view.times, now, rng)
         effects.append(AttachmentChanged(view.voter, "preferred"))
 
 
-def _settle_sender(
+def _resolve_attachment(
     view: NodeView, sender: str, reply: HeartbeatReply, effects: list[ViewEffect], now: Seconds
 ) -> bool:
     """Tell whether the node is attached to the sender of a reply, or turns back to it."""
     attachment = view.attachment
-    is_good = _is_good(view, reply)
+    is_good = _is_recently_confirmed(view, reply)
     if sender != view.voter and is_good:
-        turn_back(attachment, sender, now)
+        return_to_voter(attachment, sender, now)
         if sender == view.voter:
             effects.append(AttachmentChanged(sender, "answered late"))
     if sender == view.voter and is_good:
-        forget_other_beats(attachment)
+        discard_other_heartbeats(attachment)
     return sender == view.voter
 
 
-def _is_good(view: NodeView, reply: HeartbeatReply) -> bool:
+def _is_recently_confirmed(view: NodeView, reply: HeartbeatReply) -> bool:
     # Not by this node's clock, which counts the delay of its own link as well.
     age_ms = reply.confirmed_age_ms
     limit = view.times.confirmation_limit
@@ -263,44 +263,46 @@
 
 def _make_watch(view: NodeView) -> Watch:
     instance = view.instance
-    services = tuple(view.holdings.watched)
+    services = tuple(view.cache.watched)
     return Watch(
         instance.name,
         services,
         instance.incarnation,
         view.watch_sequence,
-        _stated_version(view),
-        view.holdings.digest,
+        _reported_version(view),
+        view.cache.digest,
         _customers_version(view),
     )
 
 
-def _put_in_force(view: NodeView, version: int, effects: list[ViewEffect]) -> None:
+def _apply_version(view: NodeView, version: int, effects: list[ViewEffect]) -> None:
     if version <= view.version:
         return
     view.version = version
     effects.append(ConfigurationApplied(version))
 
 
-def _take_proof(view: NodeView, reply: HeartbeatReply, sent: Seconds, now: Seconds) -> None:
+def _handle_confirmation(
+    view: NodeView, reply: HeartbeatReply, sent: Seconds, now: Seconds
+) -> None:
     # The voter's round began at least this long before it answered, and it answered after the
     # heartbeat was sent, so the round began no earlier than this on the node's own clock.
     confirmed_at = sent - reply.confirmed_age_ms / MILLISECONDS_PER_SECOND
-    if _is_good(view, reply) and now - sent < view.times.confirmation_limit:
-        view.attachment.good_at = now
-        view.attachment.patience = 1.0
+    if _is_recently_confirmed(view, reply) and now - sent < view.times.confirmation_limit:
+        view.attachment.last_good_reply_at = now
+        view.attachment.stay_beats = 1.0
     if reply.is_same:
         view.groups_confirmed_at = max(confirmed_at, view.groups_confirmed_at or confirmed_at)
     _compare_versions(view, reply.version, now)
     if view.is_complete and view.version >= reply.version:
         _confirm(view, confirmed_at)
     else:
-        view.waiting_proof = Proof(reply.version, confirmed_at)
+        view.pending_confirmation = PendingConfirmation(reply.version, confirmed_at)
 
 
 def _compare_versions(view: NodeView, voter_version: int, now: Seconds) -> None:
     attachment = view.attachment
-    if voter_version >= max(view.seen_version, view.version):
+    if voter_version >= max(view.newest_peer_version, view.version):
         attachment.behind_since = None
     elif attachment.behind_since is None:
         attachment.behind_since = now
@@ -311,10 +313,10 @@
         view.confirmed_at = confirmed_at
 
 
-def _take_configuration(
+def _handle_configuration(
     view: NodeView, message: ConfigurationChanged, effects: list[ViewEffect]
 ) -> None:
-    if held.put_claim_groups(view.holdings, message.claim_groups):
+    if watch_cache.put_claim_groups(view.cache, message.claim_groups):
         effects.append(ClaimGroupsChanged())
     is_older = message.version < view.version
     is_for_other_watch = message.watch != view.watch_sequence
@@ -324,21 +326,21 @@
     if message.customers.base > max(_customers_version(view), 0):
         return
     had_customers = view.customers is not None
-    differing = held.put_customers(view.holdings, message.customers)
+    differing = watch_cache.put_customers(view.cache, message.customers)
     if differing is None:
-        view.is_in_doubt = True
+        view.has_uncertain_customers = True
         return
-    view.is_in_doubt = False
+    view.has_uncertain_customers = False
     if differing or had_customers is not (view.customers is not None):
         effects.append(_make_customers_changed(view, differing))
-    held.put_services(view.holdings, message)
+    watch_cache.put_services(view.cache, message)
     view.is_complete = True
     view.pending.clear()
-    _put_in_force(view, message.version, effects)
-    proof = view.waiting_proof
+    _apply_version(view, message.version, effects)
+    proof = view.pending_confirmation
     if proof and proof.version <= view.version:
         _confirm(view, proof.confirmed_at)
-        view.waiting_proof = None
+        view.pending_confirmation = None
 
 
 def _make_customers_changed(view: NodeView, names: frozenset[str]) -> CustomersChanged:
@@ -347,22 +349,22 @@
     return CustomersChanged(tuple(sorted(names)), *counts)
 
 
-def _make_room(view: NodeView) -> bool:
-    watched = view.holdings.watched
+def _ensure_watch_capacity(view: NodeView) -> bool:
+    watched = view.cache.watched
     if len(watched) < MAX_WATCHED:
         return True
     unknown = (name for name in watched if name not in view.services)
     dropped = next(unknown, None)
     if dropped is not None:
         view.pending.discard(dropped)
-        held.drop_watched(view.holdings, dropped)
+        watch_cache.remove_watched(view.cache, dropped)
     return dropped is not None
 
 
 def _watch(view: NodeView, service: str, effects: list[ViewEffect]) -> None:
-    if service in view.holdings.watched or not _make_room(view):
+    if service in view.cache.watched or not _ensure_watch_capacity(view):
         return
-    view.holdings.watched[service] = None
+    view.cache.watched[service] = None
     view.pending.add(service)
     view.watch_sequence += 1
     view.is_complete = False
@@ -380,8 +382,8 @@
 
 
 def _compare_with_peer(view: NodeView, version: int, now: Seconds) -> None:
-    if version <= view.seen_version:
+    if version <= view.newest_peer_version:
         return
-    view.seen_version = version
+    view.newest_peer_version = version
     if version > view.version and view.attachment.behind_since is None:
         view.attachment.behind_since = now
--- a/packages/bendwind-core/src/bendwind_core/membership/routing_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/routing_changes.py
@@ -5,7 +5,7 @@
 from bendwind_core.core import Record
 from bendwind_core.world import CallerLimits, Route, Routing
 
-RoutePlace = tuple[str, str]
+RouteKey = tuple[str, str]
 
 
 class RoutingChange(Record, frozen=True, array_like=True):
@@ -17,30 +17,30 @@
     revision: int
     limits: CallerLimits
     routes: tuple[Route, ...]
-    removed: tuple[RoutePlace, ...] = ()
+    removed: tuple[RouteKey, ...] = ()
     is_whole: bool = True
 
 
 class RoutingHistory(msgspec.Struct):
     """Hold at which version each route last changed, and the places of ended ones with theirs."""
 
-    changed_at: dict[RoutePlace, int] = msgspec.field(default_factory=dict)
-    removed_at: dict[RoutePlace, int] = msgspec.field(default_factory=dict)
+    changed_at: dict[RouteKey, int] = msgspec.field(default_factory=dict)
+    removed_at: dict[RouteKey, int] = msgspec.field(default_factory=dict)
     newest: int = 0
 
 
-def find_place(route: Route) -> RoutePlace:
+def find_route_key(route: Route) -> RouteKey:
     """Return what no two routes share."""
     return route.host, route.path_prefix
 
 
-def note_routing(
+def record_routing_change(
     history: RoutingHistory, before: Routing, after: Routing, version: int, oldest: int
 ) -> None:
     """Note what a version changed; nobody is told of changes since versions before `oldest`."""
-    known = {find_place(route): route for route in before.routes}
+    known = {find_route_key(route): route for route in before.routes}
     for route in after.routes:
-        place = find_place(route)
+        place = find_route_key(route)
         if known.pop(place, None) != route:
             history.changed_at[place] = version
             history.removed_at.pop(place, None)
@@ -62,7 +62,7 @@
     if history.newest <= base:
         return None
     changed = tuple(
-        route for route in routing.routes if history.changed_at.get(find_place(route), 0) > base
+        route for route in routing.routes if history.changed_at.get(find_route_key(route), 0) > base
     )
     removed = tuple(place for place, at in history.removed_at.items() if at > base)
     return RoutingChange(routing.revision, routing.limits, changed, removed, is_whole=False)
@@ -72,8 +72,8 @@
     """Return the routes after a change that follows on those held."""
     if change.is_whole:
         return Routing(change.revision, change.routes, change.limits)
-    routes = {find_place(route): route for route in routing.routes}
+    routes = {find_route_key(route): route for route in routing.routes}
     for place in change.removed:
         routes.pop(place, None)
-    routes.update((find_place(route), route) for route in change.routes)
+    routes.update((find_route_key(route), route) for route in change.routes)
     return Routing(change.revision, tuple(routes.values()), change.limits)
--- a/packages/bendwind-core/src/bendwind_core/membership/settings.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/settings.py
@@ -28,6 +28,6 @@
         return 0.5 * self.lease
 
     @property
-    def provable(self) -> Seconds:
+    def provable_lease(self) -> Seconds:
         """Return the lease less what the clocks of node and voter may be wrong by."""
         return self.lease * (1 - CLOCK_RATE_BOUND)
--- a/packages/bendwind-core/src/bendwind_core/membership/state.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/state.py
@@ -4,13 +4,13 @@
 
 from bendwind_core.claims import ClaimGroup
 from bendwind_core.core import Seconds
-from bendwind_core.membership.customer_ledger import CustomerLedger
+from bendwind_core.membership.customer_history import CustomerHistory
 from bendwind_core.membership.digest import digest_record
-from bendwind_core.membership.holdings import UpstreamKey
-from bendwind_core.membership.member import BUCKETS, Member
+from bendwind_core.membership.member import BUCKET_COUNT, Member
 from bendwind_core.membership.messages import VoterPlace
 from bendwind_core.membership.routing_changes import RoutingHistory
 from bendwind_core.membership.settings import LeaseTimes
+from bendwind_core.membership.watch_cache import UpstreamKey
 from bendwind_core.suspicion import SuspectTable
 from bendwind_core.world import EMPTY_CONFIGURATION, Configuration, Service, Upstream
 
@@ -31,8 +31,8 @@
     version: int = 0
     watch: int = 0
     services: tuple[str, ...] = ()
-    is_suspect: bool = False
-    pushed: int = -1
+    has_digest_mismatch: bool = False
+    pushed_version: int = -1
     pushed_items: int = 0
     pushed_base: int = 0
     pushed_customers_base: int = 0
@@ -52,7 +52,7 @@
     claim_group: ClaimGroup | None = None
     upstreams: dict[UpstreamKey, Upstream] = msgspec.field(default_factory=dict)
     watchers: dict[str, None] = msgspec.field(default_factory=dict)
-    dirty: set[str] = msgspec.field(default_factory=set)
+    dirty_owners: set[str] = msgspec.field(default_factory=set)
     digest: int = 0
 
 
@@ -72,31 +72,31 @@
     times: LeaseTimes
     peers: dict[str, Seconds]
     ticked_at: Seconds
-    lenient_until: Seconds
+    no_expiry_until: Seconds
     clients: dict[str, Client] = msgspec.field(default_factory=dict)
     members: dict[str, Member] = msgspec.field(default_factory=dict)
-    buckets: list[int] = msgspec.field(default_factory=lambda: [0] * BUCKETS)
+    buckets: list[int] = msgspec.field(default_factory=lambda: [0] * BUCKET_COUNT)
     services: dict[str, ServiceRow] = msgspec.field(default_factory=dict)
     configuration: Configuration = EMPTY_CONFIGURATION
     routing: RoutingHistory = msgspec.field(default_factory=RoutingHistory)
     evacuated_changed_at: int = 0
-    customers: CustomerLedger = msgspec.field(default_factory=CustomerLedger)
+    customers: CustomerHistory = msgspec.field(default_factory=CustomerHistory)
     voters: tuple[VoterPlace, ...] = ()
-    uninformed: dict[str, None] = msgspec.field(default_factory=dict)
-    held: dict[int, None] = msgspec.field(default_factory=lambda: {0: None})
-    confirmed_from: Seconds | None = None
-    news: dict[str, None] = msgspec.field(default_factory=dict)
-    dirty: dict[str, None] = msgspec.field(default_factory=dict)
-    urgent: dict[str, None] = msgspec.field(default_factory=dict)
-    outdated: dict[str, None] = msgspec.field(default_factory=dict)
+    clients_awaiting_voters: dict[str, None] = msgspec.field(default_factory=dict)
+    held_versions: dict[int, None] = msgspec.field(default_factory=lambda: {0: None})
+    confirmed_round_started_at: Seconds | None = None
+    changed_members: dict[str, None] = msgspec.field(default_factory=dict)
+    dirty_services: dict[str, None] = msgspec.field(default_factory=dict)
+    urgent_services: dict[str, None] = msgspec.field(default_factory=dict)
+    outdated_clients: dict[str, None] = msgspec.field(default_factory=dict)
     draining_instances: frozenset[str] = frozenset()
     draining_upstreams: frozenset[str] = frozenset()
     lost_voters: set[str] = msgspec.field(default_factory=set)
-    gossip_at: Seconds = 0.0
-    digest_at: Seconds = 0.0
-    forget_at: Seconds = 0.0
+    gossip_sent_at: Seconds = 0.0
+    next_digest_at: Seconds = 0.0
+    next_eviction_at: Seconds = 0.0
     suspects: SuspectTable = msgspec.field(default_factory=SuspectTable)
-    suspects_at: Seconds = 0.0
+    next_suspects_repeat_at: Seconds = 0.0
 
 
 def find_row(registry: VoterRegistry, service: str) -> ServiceRow:
--- a/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
@@ -4,7 +4,7 @@
 
 from bendwind_core.core import Seconds
 from bendwind_core.membership.events import RegistryEffect, SendTo
-from bendwind_core.membership.messages import SuspectsTold, Watch
+from bendwind_core.membership.messages import SuspectReports, Watch
 from bendwind_core.membership.state import VoterRegistry
 from bendwind_core.suspicion import (
     SuspectReport,
@@ -17,38 +17,38 @@
 
 # What has a consequence is told again this often. By then a voter that was cut off, or that missed
 # a message, knows as much as the others; nodes have three times as long.
-REPEAT_EVERY: Seconds = 1.0
+REPEAT_INTERVAL: Seconds = 1.0
 # A suspect with three ends takes some 200 bytes.
-_PER_MESSAGE = 50
+_REPORTS_PER_MESSAGE = 50
 
 
-def take_suspects(registry: VoterRegistry, message: SuspectsTold, now: Seconds) -> None:
+def merge_suspects(registry: VoterRegistry, message: SuspectReports, now: Seconds) -> None:
     """Take over what a node or another voter tells; what is new is passed on at the next flush."""
-    for told in message.suspects:
-        merge_and_queue_report(registry.suspects, told, now)
+    for report in message.suspects:
+        merge_and_queue_report(registry.suspects, report, now)
 
 
 def flush_suspects(registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds) -> None:
     """Tell the other voters and the nodes that watch the service what is new against requests."""
     if registry.suspects.unreported:
-        news = pop_unreported(registry.suspects, now)
+        reports = pop_unreported(registry.suspects, now)
         for voter in registry.peers:
-            _send(voter, news, effects)
-        _push(registry, news, effects)
-    if registry.suspects.suspects and now >= registry.suspects_at:
-        registry.suspects_at = now + REPEAT_EVERY
+            _send(voter, reports, effects)
+        _push_to_watchers(registry, reports, effects)
+    if registry.suspects.suspects and now >= registry.next_suspects_repeat_at:
+        registry.next_suspects_repeat_at = now + REPEAT_INTERVAL
         remove_expired(registry.suspects, now)
         serious = list_restricted(registry.suspects, now)
         for voter in registry.peers:
             _send(voter, serious, effects)
 
 
-def _push(
-    registry: VoterRegistry, news: tuple[SuspectReport, ...], effects: list[RegistryEffect]
+def _push_to_watchers(
+    registry: VoterRegistry, reports: tuple[SuspectReport, ...], effects: list[RegistryEffect]
 ) -> None:
     by_service: dict[str, list[SuspectReport]] = {}
-    for told in news:
-        by_service.setdefault(told.service, []).append(told)
+    for report in reports:
+        by_service.setdefault(report.service, []).append(report)
     for service, suspects in by_service.items():
         row = registry.services.get(service)
         for node in row.watchers if row is not None else ():
@@ -69,6 +69,6 @@
 
 
 def _send(to: str, suspects: Iterable[SuspectReport], effects: list[RegistryEffect]) -> None:
-    told = tuple(suspects)
-    for start in range(0, len(told), _PER_MESSAGE):
-        effects.append(SendTo(to, SuspectsTold(told[start : start + _PER_MESSAGE])))
+    report = tuple(suspects)
+    for start in range(0, len(report), _REPORTS_PER_MESSAGE):
+        effects.append(SendTo(to, SuspectReports(report[start : start + _REPORTS_PER_MESSAGE])))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/fakes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/fakes.py
@@ -11,7 +11,7 @@
     LinkLost,
     MessageReceived,
     NodeView,
-    PeerSeen,
+    PeerVersionReceived,
     QuorumConfirmed,
     SendTo,
     Tick,
@@ -226,7 +226,7 @@
         """Let two nodes greet each other, as they do when a call opens a link."""
         view = self.nodes[other].view
         age = view.confirmed_age_ms(self.nodes[other].clock.read(self.now))
-        self.step(one, PeerSeen(other, view.version, age))
+        self.step(one, PeerVersionReceived(other, view.version, age))
 
     def is_fresh(self, name: str) -> bool:
         node = self.nodes[name]
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_customer_pushes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_customer_pushes.py
@@ -14,12 +14,16 @@
     Tick,
     Watch,
     create_voter_registry,
-    customer_ledger,
+    customer_history,
     step_registry,
     step_view,
 )
-from bendwind_core.membership.attachment import SentBeat
-from bendwind_core.membership.customer_ledger import CustomerLedger, make_change, take_customers
+from bendwind_core.membership.attachment import SentHeartbeat
+from bendwind_core.membership.customer_history import (
+    CustomerHistory,
+    make_customers_change,
+    update_customers,
+)
 from bendwind_core.membership.routing_changes import RoutingChange
 from bendwind_core.membership.tests.fakes import PLACES, SERVICES, TIMES, World
 from bendwind_core.world import (
@@ -50,51 +54,51 @@
 
 class LedgerTest(unittest.TestCase):
     def test_one_changed_key_sends_one_customer(self):
-        ledger = CustomerLedger()
-        take_customers(ledger, make_customers(100), 10)
-        self.assertTrue(take_customers(ledger, make_customers(100, c7="new"), 11))
-        change = make_change(ledger, 10)
+        history = CustomerHistory()
+        update_customers(history, make_customers(100), 10)
+        self.assertTrue(update_customers(history, make_customers(100, c7="new"), 11))
+        change = make_customers_change(history, 10)
         self.assertEqual((change.base, change.removed), (10, ()))
         self.assertEqual(change.put, make_customers(0, c7="new"))
-        self.assertEqual(make_change(ledger, 11).put, ())
+        self.assertEqual(make_customers_change(history, 11).put, ())
 
     def test_removed_customers_are_named_to_those_that_may_hold_them(self):
-        ledger = CustomerLedger()
-        take_customers(ledger, make_customers(3), 10)
-        take_customers(ledger, make_customers(3, c1=""), 12)
-        take_customers(ledger, make_customers(3, c1="again"), 14)
-        self.assertEqual(make_change(ledger, 10).put, make_customers(0, c1="again"))
-        self.assertEqual(make_change(ledger, 10).removed, ())
-        take_customers(ledger, make_customers(3, c1=""), 16)
-        self.assertEqual(make_change(ledger, 14).removed, ("c1",))
-        self.assertEqual(make_change(ledger, 16).removed, ())
+        history = CustomerHistory()
+        update_customers(history, make_customers(3), 10)
+        update_customers(history, make_customers(3, c1=""), 12)
+        update_customers(history, make_customers(3, c1="again"), 14)
+        self.assertEqual(make_customers_change(history, 10).put, make_customers(0, c1="again"))
+        self.assertEqual(make_customers_change(history, 10).removed, ())
+        update_customers(history, make_customers(3, c1=""), 16)
+        self.assertEqual(make_customers_change(history, 14).removed, ("c1",))
+        self.assertEqual(make_customers_change(history, 16).removed, ())
 
     def test_nodes_that_miss_a_forgotten_removal_are_sent_all(self):
-        ledger = CustomerLedger()
-        with unittest.mock.patch.object(customer_ledger, "MAX_REMOVED", 2):
-            take_customers(ledger, make_customers(5), 10)
+        history = CustomerHistory()
+        with unittest.mock.patch.object(customer_history, "MAX_REMEMBERED_REMOVALS", 2):
+            update_customers(history, make_customers(5), 10)
             for version, ended in ((11, "c0"), (12, "c1"), (13, "c2")):
-                held = tuple(c for c in ledger.customers.values() if c.name != ended)
-                take_customers(ledger, held, version)
-        self.assertEqual(len(ledger.removed_at), 2)
-        whole = make_change(ledger, 10)
+                held = tuple(c for c in history.customers.values() if c.name != ended)
+                update_customers(history, held, version)
+        self.assertEqual(len(history.removed_at), 2)
+        whole = make_customers_change(history, 10)
         self.assertEqual((whole.base, len(whole.put)), (0, 2))
-        self.assertEqual(set(make_change(ledger, 11).removed), {"c1", "c2"})
+        self.assertEqual(set(make_customers_change(history, 11).removed), {"c1", "c2"})
 
     def test_first_customers_and_their_end_are_told_to_all(self):
-        ledger = CustomerLedger()
-        self.assertFalse(take_customers(ledger, None, 5))
-        self.assertTrue(take_customers(ledger, (), 7))
-        self.assertEqual(make_change(ledger, 5), CustomersChange(is_key_needed=True))
-        self.assertTrue(take_customers(ledger, None, 9))
-        self.assertEqual(make_change(ledger, 7), CustomersChange())
+        history = CustomerHistory()
+        self.assertFalse(update_customers(history, None, 5))
+        self.assertTrue(update_customers(history, (), 7))
+        self.assertEqual(make_customers_change(history, 5), CustomersChange(is_key_needed=True))
+        self.assertTrue(update_customers(history, None, 9))
+        self.assertEqual(make_customers_change(history, 7), CustomersChange())
 
     def test_digest_is_that_of_the_same_customers_sent_whole(self):
-        ledger, other = CustomerLedger(), CustomerLedger()
-        take_customers(ledger, make_customers(4, c9="x"), 3)
-        take_customers(ledger, make_customers(4, c1="new", c2=""), 4)
-        take_customers(other, make_customers(4, c1="new", c2=""), 4)
-        self.assertEqual(ledger.digest, other.digest)
+        history, other = CustomerHistory(), CustomerHistory()
+        update_customers(history, make_customers(4, c9="x"), 3)
+        update_customers(history, make_customers(4, c1="new", c2=""), 4)
+        update_customers(other, make_customers(4, c1="new", c2=""), 4)
+        self.assertEqual(history.digest, other.digest)
 
 
 class PushTest(unittest.TestCase):
@@ -242,14 +246,16 @@
             told.extend(effect for effect in effects if isinstance(effect, CustomersChanged))
 
         version = self.view.version
-        ledger = CustomerLedger()
-        take_customers(ledger, make_customers(5), version)
-        take_customers(ledger, make_customers(5, c3="new", c4=""), version + 1)
-        change = make_change(ledger, version)
+        history = CustomerHistory()
+        update_customers(history, make_customers(5), version)
+        update_customers(history, make_customers(5, c3="new", c4=""), version + 1)
+        change = make_customers_change(history, version)
         message = ConfigurationChanged(version + 1, SERVED, watch=1, customers=change)
         for _ in range(2):
             step(MessageReceived(self.view.voter, message))
-        whole = ConfigurationChanged(version + 2, SERVED, watch=1, customers=make_change(ledger, 0))
+        whole = ConfigurationChanged(
+            version + 2, SERVED, watch=1, customers=make_customers_change(history, 0)
+        )
         step(MessageReceived(self.view.voter, whole))
         self.assertEqual(told, [CustomersChanged(("c3", "c4"), 4, 4)])
         none = ConfigurationChanged(version + 3, SERVED, watch=1)
@@ -288,9 +294,9 @@
         version = view.version
         self.receive(message)
         self.assertEqual((view.customers.by_name, view.version), (held, version))
-        self.assertTrue(view.is_in_doubt)
+        self.assertTrue(view.has_uncertain_customers)
         self.world.advance(2 * TIMES.heartbeat)
-        self.assertFalse(view.is_in_doubt)
+        self.assertFalse(view.has_uncertain_customers)
         self.assert_holds(make_customers(5))
 
     def test_difference_from_a_version_that_a_new_run_never_had_is_not_applied(self):
@@ -307,7 +313,7 @@
         view = self.view
         version = view.version
         for stated, expected in ((version - 1, version), (version, version + 5)):
-            view.attachment.sent[99] = SentBeat(0.0, view.watch_sequence, stated)
+            view.attachment.unanswered[99] = SentHeartbeat(0.0, view.watch_sequence, stated)
             self.receive(HeartbeatReply(99, version + 5, 0.0, is_current=True))
             self.assertEqual(view.version, expected)
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_customers.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_customers.py
@@ -130,7 +130,7 @@
         for name, node in self.world.nodes.items():
             assert self.world.is_fresh(name), f"{name} stays stale"
             assert node.view.version == newest, f"{name} stays at {node.view.version}"
-            assert not node.view.is_in_doubt, f"{name} stays in doubt"
+            assert not node.view.has_uncertain_customers, f"{name} stays in doubt"
 
     def teardown(self):
         if hasattr(self, "world"):
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
@@ -76,7 +76,7 @@
         assert view.routing.revision == truth.routing.revision, f"routes at {view.version}"
         routes = set(map(repr, view.routing.routes))
         assert routes == set(map(repr, truth.routing.routes)), f"routes at {view.version}"
-        for service in view.holdings.watched.keys() - view.pending:
+        for service in view.cache.watched.keys() - view.pending:
             expected = truth.find_service(service)
             assert view.services.get(service) == expected, f"{service} at {view.version}"
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_membership.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_membership.py
@@ -139,7 +139,7 @@
     def seen(self):
         for name, node in self.world.nodes.items():
             if self.world.is_fresh(name):
-                for service in node.view.holdings.watched:
+                for service in node.view.cache.watched:
                     for upstream in node.view.upstreams(service):
                         yield name, upstream
 
@@ -159,7 +159,7 @@
             assert alive == {(node.name, node.incarnation) for node in instances}
         for name, node in world.nodes.items():
             assert world.is_fresh(name), f"{name} stays stale"
-            for service in node.view.holdings.watched:
+            for service in node.view.cache.watched:
                 self.check_upstreams(name, service)
 
     def check_upstreams(self, name, service):
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_renewal.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_renewal.py
@@ -18,8 +18,8 @@
             world.step("n0", ServiceWatched(f"no-such-{number}"))
         world.advance(3)
         view = world.nodes["n0"].view
-        self.assertEqual(len(view.holdings.watched), MAX_WATCHED)
-        self.assertLessEqual(view.pending, view.holdings.watched.keys())
+        self.assertEqual(len(view.cache.watched), MAX_WATCHED)
+        self.assertLessEqual(view.pending, view.cache.watched.keys())
         self.assertIn(SERVICES[0], view.services)
         self.assertTrue(view.is_complete and world.is_fresh("n0"))
 
@@ -27,23 +27,23 @@
 class FirstContactTest(unittest.TestCase):
     """Lose the link to each voter in turn, as where all processes have just restarted."""
 
-    def longest_wait(self, has_heard):
+    def longest_wait(self, has_received_reply):
         longest = 0.0
         for seed in range(20):
             rng = random.Random(seed)
             instance = Instance("n0", "dc0", "127.0.0.1", 1, 1)
             view = create_node_view(instance, PLACES, TIMES, 0.0, rng)
-            view.attachment.has_heard = has_heard
+            view.attachment.has_received_reply = has_received_reply
             step_view(view, LinkLost(view.voter), 1.0, rng)
-            longest = max(longest, view.attachment.next_beat - 1.0)
+            longest = max(longest, view.attachment.next_heartbeat_at - 1.0)
         return longest
 
     def test_node_that_no_voter_has_answered_tries_the_next_one_soon(self):
         # Half of the nodes found a voter half a second after it listened.
-        self.assertLess(self.longest_wait(has_heard=False), 0.15)
+        self.assertLess(self.longest_wait(has_received_reply=False), 0.15)
 
     def test_node_that_loses_its_voter_spreads_over_a_heartbeat(self):
-        self.assertGreater(self.longest_wait(has_heard=True), 0.5 * TIMES.heartbeat)
+        self.assertGreater(self.longest_wait(has_received_reply=True), 0.5 * TIMES.heartbeat)
 
 
 class OrderTest(unittest.TestCase):
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
@@ -7,14 +7,14 @@
     MessageReceived,
     QuorumConfirmed,
     SendTo,
-    SuspectsTold,
+    SuspectReports,
     Tick,
     VoterPlace,
     Watch,
     create_voter_registry,
     step_registry,
 )
-from bendwind_core.membership.suspicions import REPEAT_EVERY
+from bendwind_core.membership.suspicions import REPEAT_INTERVAL
 from bendwind_core.suspicion import (
     Quarantined,
     SuspectTable,
@@ -76,11 +76,11 @@
                 self.carry(voter, effect.to, effect.message)
 
     def carry(self, sender, to, message):
-        self.sent += isinstance(message, SuspectsTold)
+        self.sent += isinstance(message, SuspectReports)
         if to in self.registries:
             if not {sender, to} & self.cut:
                 self.to_voter(to, sender, message)
-        elif isinstance(message, SuspectsTold):
+        elif isinstance(message, SuspectReports):
             for told in message.suspects:
                 merge_report(self.nodes[to], told, self.now)
 
@@ -91,7 +91,7 @@
 
     def tell(self, node, suspects):
         if suspects:
-            self.to_voter(self.homes[node], node, SuspectsTold(suspects))
+            self.to_voter(self.homes[node], node, SuspectReports(suspects))
 
     def pass_time(self, seconds):
         for count in range(round(seconds / TICK)):
@@ -179,7 +179,7 @@
         self.end_three()
         self.world.pass_time(1.0)
         self.world.sent = 0
-        self.world.pass_time(10 * REPEAT_EVERY)
+        self.world.pass_time(10 * REPEAT_INTERVAL)
         # Each of three voters tells the two others once in a while.
         self.assertLessEqual(self.world.sent, 3 * 2 * 11)
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_voter_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_voter_changes.py
@@ -8,10 +8,10 @@
     Heartbeat,
     MessageReceived,
     SendTo,
+    VoterList,
     VoterPlace,
     VotersChanged,
-    VotersKnown,
-    VotersLearned,
+    VotersReceived,
     create_voter_registry,
     set_seeds,
     step_registry,
@@ -97,7 +97,7 @@
         registry = create_voter_registry("x", PLACES, TIMES, 0.0)
         beat = Heartbeat(Instance("n", "dc0", "h", 1, 1), 1, 0)
         effects = step_registry(registry, MessageReceived("n", beat), 0.0, None)
-        self.assertEqual(effects, [SendTo("n", VotersKnown(PLACES))])
+        self.assertEqual(effects, [SendTo("n", VoterList(PLACES))])
         self.assertEqual(registry.clients, {})
 
     def test_node_finds_the_one_voter_with_a_quorum_however_often_it_has_moved(self):
@@ -119,9 +119,9 @@
         world.advance(1)
         view = world.nodes["n0"].view
         known = tuple(VoterPlace(name) for name in ("v0", "v7"))
-        message = MessageReceived(view.voter, VotersKnown(known))
+        message = MessageReceived(view.voter, VoterList(known))
         effects = step_view(view, message, 200.0, world.rng)
-        self.assertIn(VotersLearned(known), effects)
+        self.assertIn(VotersReceived(known), effects)
         self.assertEqual(set(view.attachment.order[:2]), {"v0", "v7"})
         set_seeds(view, (VoterPlace("v8"),))
         self.assertEqual(view.attachment.order[-1], "v8")
--- a/packages/bendwind-core/src/bendwind_core/membership/view.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/view.py
@@ -8,14 +8,14 @@
 from bendwind_core.claims import ClaimGroup
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.customers import CustomerTable
-from bendwind_core.membership import holdings as held
+from bendwind_core.membership import watch_cache
 from bendwind_core.membership.attachment import Attachment, order_voters
 from bendwind_core.membership.messages import VoterPlace
 from bendwind_core.membership.settings import LeaseTimes
 from bendwind_core.world import Instance, Routing, Service, Upstream
 
 
-class Proof(msgspec.Struct):
+class PendingConfirmation(msgspec.Struct):
     """Hold a confirmation that waits for the configuration it confirmed."""
 
     version: int
@@ -36,25 +36,25 @@
     instance: Instance
     times: LeaseTimes
     attachment: Attachment
-    holdings: held.Holdings
+    cache: watch_cache.WatchCache
     version: int = 0
     is_complete: bool = False
     confirmed_at: Seconds | None = None
     groups_confirmed_at: Seconds | None = None
-    waiting_proof: Proof | None = None
+    pending_confirmation: PendingConfirmation | None = None
     watch_sequence: int = 0
     announce_sequence: int = 0
     announced: dict[str, Upstream] = msgspec.field(default_factory=dict)
     pending: set[str] = msgspec.field(default_factory=set)
-    seen_version: int = 0
+    newest_peer_version: int = 0
     was_fresh: bool = False
-    is_in_doubt: bool = False
+    has_uncertain_customers: bool = False
     seeds: tuple[VoterPlace, ...] = ()
 
     def is_fresh(self, now: Seconds) -> bool:
         """Tell whether nothing newer can have been accepted more than a lease ago."""
         confirmed = self.confirmed_at
-        return confirmed is not None and now - confirmed < self.times.provable
+        return confirmed is not None and now - confirmed < self.times.provable_lease
 
     def confirmed_age_ms(self, now: Seconds) -> Milliseconds | None:
         """Return the age of the proof of freshness, None without one."""
@@ -65,27 +65,27 @@
     @property
     def services(self) -> Mapping[str, Service]:
         """Return the services in force among those watched."""
-        return self.holdings.services
+        return self.cache.services
 
     @property
     def routing(self) -> Routing:
         """Return the routes in force."""
-        return self.holdings.routing
+        return self.cache.routing
 
     @property
     def evacuated(self) -> frozenset[str]:
         """Return the data centres whose upstreams get nothing new."""
-        return self.holdings.evacuated
+        return self.cache.evacuated
 
     @property
     def customers(self) -> CustomerTable | None:
         """Return the customers in force, None if requests need no key."""
-        return self.holdings.customers
+        return self.cache.customers
 
     @property
     def claim_groups(self) -> Mapping[str, ClaimGroup]:
         """Return the claim groups of the watched services."""
-        return self.holdings.claim_groups
+        return self.cache.claim_groups
 
     @property
     def voter(self) -> str:
@@ -94,7 +94,7 @@
 
     def upstreams(self, service: str) -> tuple[Upstream, ...]:
         """List the upstreams of a watched service."""
-        return held.list_upstreams(self.holdings, service)
+        return watch_cache.list_upstreams(self.cache, service)
 
 
 def create_node_view(
@@ -108,8 +108,8 @@
     """Create the view of a node that has just started and knows nothing."""
     order = order_voters(instance.name, instance.name, instance.data_centre, voters)
     attachment = Attachment(order, moved_at=now)
-    attachment.next_beat = now + 0.1 * times.heartbeat * rng.random()
-    watched = held.Holdings(watched=dict.fromkeys(services))
+    attachment.next_heartbeat_at = now + 0.1 * times.heartbeat * rng.random()
+    watched = watch_cache.WatchCache(watched=dict.fromkeys(services))
     pending = set(services)
     return NodeView(
         instance, times, attachment, watched, watch_sequence=1, pending=pending, seeds=voters
--- a/packages/bendwind-core/src/bendwind_core/membership/holdings.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/watch_cache.py
@@ -17,7 +17,7 @@
 UpstreamKey = tuple[str, str]
 
 
-class Holdings(msgspec.Struct):
+class WatchCache(msgspec.Struct):
     """Hold services, claim groups and upstreams of watched services, and their digest.
 
     `upstreams` is keyed by service, then by (owner, upstream); `digest` covers upstreams and
@@ -46,57 +46,57 @@
     return upstream.owner.incarnation, upstream.sequence
 
 
-def put_services(holdings: Holdings, message: ConfigurationChanged) -> None:
+def put_services(cache: WatchCache, message: ConfigurationChanged) -> None:
     """Take over the services, routes and evacuations of a message that may be applied."""
     if message.routing is not None:
-        holdings.routing = apply_routing_change(holdings.routing, message.routing)
-    holdings.evacuated = frozenset(message.evacuated)
+        cache.routing = apply_routing_change(cache.routing, message.routing)
+    cache.evacuated = frozenset(message.evacuated)
     if message.base == 0:
-        holdings.services.clear()
+        cache.services.clear()
         listed = {group.service for group in message.claim_groups}
-        _drop_claim_groups(holdings, set(holdings.claim_groups) - listed)
+        _drop_claim_groups(cache, set(cache.claim_groups) - listed)
     for name in message.removed:
-        holdings.services.pop(name, None)
+        cache.services.pop(name, None)
     for service in message.services:
-        if service.name in holdings.watched:
-            holdings.services[service.name] = service
+        if service.name in cache.watched:
+            cache.services[service.name] = service
 
 
-def put_customers(holdings: Holdings, change: CustomersChange) -> frozenset[str] | None:
+def put_customers(cache: WatchCache, change: CustomersChange) -> frozenset[str] | None:
     """Take over customers and return the names of those that differ.
 
     None, with nothing changed, if the change was not made for the customers held.
     """
     is_whole = change.base == 0
-    if not is_whole and _digest_changed(holdings, change) != change.digest:
+    if not is_whole and _compute_changed_digest(cache, change) != change.digest:
         return None
-    differing = _find_differing(holdings, change)
+    differing = _find_differing(cache, change)
     if not change.is_key_needed:
-        holdings.customers = None
+        cache.customers = None
     elif is_whole:
-        holdings.customers = create_customer_table(change.put)
+        cache.customers = create_customer_table(change.put)
     else:
-        change_customers(holdings.customers, change.put, change.removed)
-    holdings.customers_digest = change.digest
+        change_customers(cache.customers, change.put, change.removed)
+    cache.customers_digest = change.digest
     return differing
 
 
-def _find_differing(holdings: Holdings, change: CustomersChange) -> frozenset[str]:
-    held = holdings.customers.by_name if holdings.customers else {}
+def _find_differing(cache: WatchCache, change: CustomersChange) -> frozenset[str]:
+    held = cache.customers.by_name if cache.customers else {}
     put = {customer.name for customer in change.put if held.get(customer.name) != customer}
     if change.base:
         return frozenset(put | (held.keys() & set(change.removed)))
     return frozenset(put | (held.keys() - {customer.name for customer in change.put}))
 
 
-def _digest_changed(holdings: Holdings, change: CustomersChange) -> int | None:
+def _compute_changed_digest(cache: WatchCache, change: CustomersChange) -> int | None:
     """Return the digest of the customers held as they would be after a change, if it fits."""
-    if change.is_key_needed is not (holdings.customers is not None):
+    if change.is_key_needed is not (cache.customers is not None):
         return None
-    if holdings.customers is None:
+    if cache.customers is None:
         return 0
-    held = holdings.customers.by_name
-    digest = holdings.customers_digest
+    held = cache.customers.by_name
+    digest = cache.customers_digest
     for name in {*change.removed, *(customer.name for customer in change.put)}:
         if name in held:
             digest ^= digest_record(held[name])
@@ -105,67 +105,65 @@
     return digest
 
 
-def _drop_claim_groups(holdings: Holdings, services: set[str]) -> None:
+def _drop_claim_groups(cache: WatchCache, services: set[str]) -> None:
     for service in services:
-        holdings.digest ^= digest_record(holdings.claim_groups.pop(service))
+        cache.digest ^= digest_record(cache.claim_groups.pop(service))
 
 
-def put_claim_groups(holdings: Holdings, groups: tuple[ClaimGroup, ...]) -> bool:
+def put_claim_groups(cache: WatchCache, groups: tuple[ClaimGroup, ...]) -> bool:
     """Take over claim groups whose epoch is not older than the one held; tell if any changed."""
     is_changed = False
     for group in groups:
-        held = holdings.claim_groups.get(group.service)
-        if group.service not in holdings.watched or (held and group.epoch < held.epoch):
+        held = cache.claim_groups.get(group.service)
+        if group.service not in cache.watched or (held and group.epoch < held.epoch):
             continue
         if held:
-            holdings.digest ^= digest_record(held)
-        holdings.claim_groups[group.service] = group
-        holdings.digest ^= digest_record(group)
+            cache.digest ^= digest_record(held)
+        cache.claim_groups[group.service] = group
+        cache.digest ^= digest_record(group)
         is_changed = is_changed or group != held
     return is_changed
 
 
-def put_upstreams(holdings: Holdings, update: WatchUpdate) -> bool:
+def put_upstreams(cache: WatchCache, update: WatchUpdate) -> bool:
     """Take over an update and tell whether the set changed."""
-    if update.service not in holdings.watched:
+    if update.service not in cache.watched:
         return False
-    held = holdings.upstreams.setdefault(update.service, {})
+    held = cache.upstreams.setdefault(update.service, {})
     pushed = {upstream_key(upstream) for upstream in update.upstreams}
     dropped = [key for key in held if key not in pushed] if update.is_full else []
     for key in dropped:
-        holdings.digest ^= digest_record(held.pop(key))
-    changed = [_put_upstream(holdings, held, upstream) for upstream in update.upstreams]
+        cache.digest ^= digest_record(held.pop(key))
+    changed = [_put_upstream(cache, held, upstream) for upstream in update.upstreams]
     return bool(dropped) or any(changed)
 
 
-def _put_upstream(
-    holdings: Holdings, held: dict[UpstreamKey, Upstream], upstream: Upstream
-) -> bool:
+def _put_upstream(cache: WatchCache, held: dict[UpstreamKey, Upstream], upstream: Upstream) -> bool:
     key = upstream_key(upstream)
     old = held.get(key)
     if old == upstream or (old and upstream_order(upstream) < upstream_order(old)):
         return False
     if old:
-        holdings.digest ^= digest_record(held.pop(key))
+        cache.digest ^= digest_record(held.pop(key))
     if upstream.state is not UpstreamState.GONE:
         held[key] = upstream
-        holdings.digest ^= digest_record(upstream)
+        cache.digest ^= digest_record(upstream)
     return old is not None or key in held
 
 
-def drop_watched(holdings: Holdings, service: str) -> None:
+def remove_watched(cache: WatchCache, service: str) -> None:
     """Forget a service that is no longer watched."""
-    holdings.watched.pop(service, None)
-    holdings.services.pop(service, None)
-    _drop_claim_groups(holdings, {service} & holdings.claim_groups.keys())
-    for upstream in holdings.upstreams.pop(service, {}).values():
-        holdings.digest ^= digest_record(upstream)
+    cache.watched.pop(service, None)
+    cache.services.pop(service, None)
+    _drop_claim_groups(cache, {service} & cache.claim_groups.keys())
+    for upstream in cache.upstreams.pop(service, {}).values():
+        cache.digest ^= digest_record(upstream)
 
 
-def list_upstreams(holdings: Holdings, service: str) -> tuple[Upstream, ...]:
+def list_upstreams(cache: WatchCache, service: str) -> tuple[Upstream, ...]:
     """List the upstreams of a service, one a name: that of the newest owner."""
     newest: dict[str, Upstream] = {}
-    for upstream in holdings.upstreams.get(service, {}).values():
+    for upstream in cache.upstreams.get(service, {}).values():
         other = newest.get(upstream.name)
         if other is None or upstream_order(upstream) > upstream_order(other):
             newest[upstream.name] = upstream
--- a/packages/bendwind-core/src/bendwind_core/messages/codec.py
+++ b/packages/bendwind-core/src/bendwind_core/messages/codec.py
@@ -30,8 +30,8 @@
     MemberPull,
     StatusReply,
     StatusRequest,
-    SuspectsTold,
-    VotersKnown,
+    SuspectReports,
+    VoterList,
     Watch,
     WatchUpdate,
 )
@@ -61,13 +61,13 @@
     | Watch
     | WatchUpdate
     | ConfigurationChanged
-    | VotersKnown
+    | VoterList
     | MemberGossip
     | MemberDigest
     | MemberPull
     | StatusRequest
     | StatusReply
-    | SuspectsTold
+    | SuspectReports
     | QuotaAsk
     | QuotaReply
     | QuotaBack
--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -270,7 +270,7 @@
         service = membership.services.get(name)
         if service is not None:
             return service
-        if len(membership.view.holdings.watched) >= MAX_WATCHED:
+        if len(membership.view.cache.watched) >= MAX_WATCHED:
             return None
         membership.watch(name)
         with trio.move_on_after(SERVICE_WAIT):
--- a/packages/bendwind-node/src/bendwind_node/calls/suspect_teller.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/suspect_teller.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from bendwind_core.core import Seconds
-from bendwind_core.membership.suspicions import REPEAT_EVERY
+from bendwind_core.membership.suspicions import REPEAT_INTERVAL
 from bendwind_core.suspicion import (
     SuspectReport,
     SuspectTable,
@@ -35,7 +35,7 @@
 
         The voter may have missed it, or be another one.
         """
-        if now - self.repeated_at < REPEAT_EVERY:
+        if now - self.repeated_at < REPEAT_INTERVAL:
             return
         self.repeated_at = now
         remove_expired(self.table, now)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
@@ -26,8 +26,8 @@
 
 
 def make_view():
-    holdings = types.SimpleNamespace(watched={})
-    return types.SimpleNamespace(version=1, confirmed_at=0.0, pending=set(), holdings=holdings)
+    cache = types.SimpleNamespace(watched={})
+    return types.SimpleNamespace(version=1, confirmed_at=0.0, pending=set(), cache=cache)
 
 
 @dataclass
@@ -50,7 +50,7 @@
     routing: object = EMPTY_ROUTING
 
     def watch(self, service):
-        self.view.holdings.watched[service] = None
+        self.view.cache.watched[service] = None
 
     def upstreams(self, service):
         return tuple(self.known.get(service, {}).values())
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_scene.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_scene.py
@@ -142,7 +142,7 @@
             case Held.READING:
                 return bench.intake.budget.used == 2
             case Held.CONFIGURING:
-                return "svc" in bench.membership.view.holdings.watched
+                return "svc" in bench.membership.view.cache.watched
             case Held.TOKEN:
                 return self.quota.is_asked
             case Held.CLAIMING:
--- a/packages/bendwind-node/src/bendwind_node/control/service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/service.py
@@ -224,7 +224,7 @@
         """
         registry = self.registry.registry
         lease = registry.times.lease
-        confirmed = registry.confirmed_from
+        confirmed = registry.confirmed_round_started_at
         if confirmed is None or now - confirmed > lease or self.settled_at is None:
             self.settled_at = now + SETTLING_LEASES * lease
             self.heard.clear()
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -17,13 +17,13 @@
 from bendwind_core.membership import (
     ClaimGroupsChanged,
     ConfigurationApplied,
-    InstancesLearned,
+    InstancesReceived,
     LeaseTimes,
-    SuspectsLearned,
+    SuspectsReceived,
     UpstreamsChanged,
     ViewEffect,
     VoterPlace,
-    VotersLearned,
+    VotersReceived,
 )
 from bendwind_core.messages import Hello
 from bendwind_core.quotas import QuotaBounds
@@ -194,7 +194,7 @@
         assemblies,
         budget,
         extension.dialect,
-        membership.tell_suspects,
+        membership.send_suspects,
     )
     dispatcher.quotas = create_node_quota_task(
         _find_quota_bounds(settings),
@@ -320,7 +320,7 @@
 
 def _hear_membership(dispatcher: Dispatcher, effect: ViewEffect) -> None:
     match effect:
-        case InstancesLearned(instances=instances):
+        case InstancesReceived(instances=instances):
             for instance in instances:
                 _learn_instance(dispatcher.hub, instance)
         case UpstreamsChanged(service=service):
@@ -328,9 +328,9 @@
                 _learn_instance(dispatcher.hub, upstream.owner)
                 dispatcher.owner.register.hear_pushed(upstream)
             dispatcher.entry.refresh_upstreams(service)
-        case SuspectsLearned(suspects=suspects):
+        case SuspectsReceived(suspects=suspects):
             dispatcher.entry.hear_suspects(suspects)
-        case VotersLearned(voters=voters):
+        case VotersReceived(voters=voters):
             learn_places(dispatcher.hub, voters)
         case ConfigurationApplied():
             dispatcher.owner.register.hear_configuration(dispatcher.membership.evacuated)
--- a/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
@@ -39,10 +39,10 @@
     member.HeartbeatReply,
     member.ConfigurationChanged,
     member.WatchUpdate,
-    member.VotersKnown,
+    member.VoterList,
 )
 # These travel from nodes to voters, between voters, and from voters to nodes.
-_TO_NODE_AND_REGISTRY = (member.SuspectsTold,)
+_TO_NODE_AND_REGISTRY = (member.SuspectReports,)
 _TO_REGISTRY = (
     member.Heartbeat,
     member.Announce,
@@ -85,7 +85,9 @@
 
     def link_opened(self, link: Link, hello: Hello) -> None:
         """Tell the owner node of entry nodes, and membership of a peer's version."""
-        self.membership.note_peer(hello.sender.name, hello.version, hello.confirmed_age_ms)
+        self.membership.handle_peer_version(
+            hello.sender.name, hello.version, hello.confirmed_age_ms
+        )
         if not link.is_dialed:
             self.owner.link_opened(link)
 
@@ -96,12 +98,12 @@
         else:
             self.owner.link_closed(link)
         if self.hub.find_link(link.peer.name) is None:
-            self.membership.note_link_lost(link.peer.name)
+            self.membership.handle_link_lost(link.peer.name)
 
     def dial_failed(self, peer: str, unsent: tuple[PeerMessage, ...]) -> None:
         """Tell the entry node which of its messages never left."""
         self.entry.dial_failed(unsent)
-        self.membership.note_link_lost(peer)
+        self.membership.handle_link_lost(peer)
 
     def receive(self, link: Link, message: PeerMessage) -> None:
         """Hand a message to its task; one that this process has no task for is dropped."""
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -107,7 +107,7 @@
     while True:
         confirmed_at = membership.view.groups_confirmed_at
         if confirmed_at is not None:
-            until = confirmed_at + membership.view.times.provable
+            until = confirmed_at + membership.view.times.provable_lease
             await dispatcher.claims.inbox.send(LeaseProven(until))
         await trio.sleep(LEASE_POLL)
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
@@ -13,7 +13,7 @@
     member.HeartbeatReply,
     member.ConfigurationChanged,
     member.WatchUpdate,
-    member.VotersKnown,
+    member.VoterList,
 )
 
 
--- a/packages/bendwind-node/src/bendwind_node/membership/task.py
+++ b/packages/bendwind-node/src/bendwind_node/membership/task.py
@@ -17,10 +17,10 @@
     LinkLost,
     MessageReceived,
     NodeView,
-    PeerSeen,
+    PeerVersionReceived,
     SendTo,
     ServiceWatched,
-    SuspectsTold,
+    SuspectReports,
     Tick,
     UpstreamAnnounced,
     ViewEffect,
@@ -41,7 +41,7 @@
 _TICK_SHARE = 0.25
 # Until a voter has answered, the view beats faster than that.
 _FIRST_TICK: Seconds = 0.02
-_INBOX = 256
+_INBOX_CAPACITY = 256
 # An event's text stays a line, however many customers change at once.
 _NAMES_SHOWN = 8
 
@@ -49,7 +49,7 @@
 class MembershipTask:
     """Own a node's view; `inbox` takes (sender, message) of the peer links."""
 
-    __slots__ = ("_outbox", "_rng", "inbox", "listeners", "recorder", "send", "view")
+    __slots__ = ("_receive_channel", "_rng", "inbox", "listeners", "recorder", "send", "view")
 
     def __init__(self, view: NodeView, send: Send, recorder: Recorder, rng: random.Random):
         self.view = view
@@ -57,31 +57,33 @@
         self.recorder = recorder
         self.listeners: list[Listener] = []
         self._rng = rng
-        self.inbox, self._outbox = trio.open_memory_channel[tuple[str, Record]](_INBOX)
+        self.inbox, self._receive_channel = trio.open_memory_channel[tuple[str, Record]](
+            _INBOX_CAPACITY
+        )
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Renew, receive and push on until cancelled."""
         task_status.started()
-        wake_at = trio.current_time() + self._find_tick()
+        wake_at = trio.current_time() + self._find_tick_interval()
         while True:
             with trio.move_on_at(wake_at):
-                sender, message = await self._outbox.receive()
+                sender, message = await self._receive_channel.receive()
                 self.step(MessageReceived(sender, message))
             # Looked at after messages too: a steady stream of them must not hold up heartbeats.
             if trio.current_time() >= wake_at:
                 self.step(Tick())
-                wake_at = trio.current_time() + self._find_tick()
+                wake_at = trio.current_time() + self._find_tick_interval()
 
-    def _find_tick(self) -> Seconds:
+    def _find_tick_interval(self) -> Seconds:
         tick = self.view.times.heartbeat * _TICK_SHARE
-        return tick if self.view.attachment.has_heard else min(tick, _FIRST_TICK)
+        return tick if self.view.attachment.has_received_reply else min(tick, _FIRST_TICK)
 
     def step(self, event: ViewEvent) -> None:
         """Apply an event at once and carry out its effects."""
         for effect in step_view(self.view, event, trio.current_time(), self._rng):
-            self._carry_out(effect)
+            self._apply_effect(effect)
 
-    def _carry_out(self, effect: ViewEffect) -> None:
+    def _apply_effect(self, effect: ViewEffect) -> None:
         match effect:
             case SendTo(to=to, message=message):
                 self.send(to, message)
@@ -161,17 +163,19 @@
         self.recorder.record(EventKind.UPSTREAM_ANNOUNCED, upstream=upstream.name, detail=detail)
         self.step(UpstreamAnnounced(upstream))
 
-    def tell_suspects(self, suspects: tuple[SuspectReport, ...]) -> bool:
+    def send_suspects(self, suspects: tuple[SuspectReport, ...]) -> bool:
         """Tell the voter what is known against requests; False if there is no way to it now."""
-        return self.send(self.view.voter, SuspectsTold(suspects))
+        return self.send(self.view.voter, SuspectReports(suspects))
 
-    def note_link_lost(self, peer: str) -> None:
+    def handle_link_lost(self, peer: str) -> None:
         """Take notice that the link to a peer broke."""
         self.step(LinkLost(peer))
 
-    def note_peer(self, peer: str, version: int, confirmed_age_ms: Milliseconds | None) -> None:
+    def handle_peer_version(
+        self, peer: str, version: int, confirmed_age_ms: Milliseconds | None
+    ) -> None:
         """Take notice of what another process stated in its Hello."""
-        self.step(PeerSeen(peer, version, confirmed_age_ms))
+        self.step(PeerVersionReceived(peer, version, confirmed_age_ms))
 
 
 def _describe_customers(changed: CustomersChanged) -> str:
