--- a/packages/bendwind-core/src/bendwind_core/membership/attachment.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/attachment.py
@@ -112,7 +112,9 @@
     return None
 
 
-def move(attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random) -> None:
+def select_next_voter(
+    attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
+) -> None:
     """Turn to the next voter; wait longer at each while none gives a good reply."""
     attachment.index = (attachment.index + 1) % len(attachment.order)
     attachment.moved_at = now
--- a/packages/bendwind-core/src/bendwind_core/membership/customer_history.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/customer_history.py
@@ -33,7 +33,7 @@
 ) -> bool:
     """Take over the customers of a newer version and tell whether any differ."""
     if (customers is None) is not (history.customers is None):
-        _start_again(history, customers, version)
+        _replace_all(history, customers, version)
         return True
     if customers is None:
         return False
@@ -51,7 +51,7 @@
     return bool(changed or removed)
 
 
-def _start_again(
+def _replace_all(
     history: CustomerHistory, customers: tuple[Customer, ...] | None, version: int
 ) -> None:
     """Begin with customers, or end with them: every node is to hear of all."""
--- a/packages/bendwind-core/src/bendwind_core/membership/gossip.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/gossip.py
@@ -13,7 +13,7 @@
     RegistryEffect,
     SendTo,
 )
-from bendwind_core.membership.member import Member, find_bucket, merge, put_state
+from bendwind_core.membership.member import Member, find_bucket, merge_states, put_state
 from bendwind_core.membership.messages import (
     MemberDigest,
     MemberGossip,
@@ -43,7 +43,7 @@
 ) -> bool:
     name = state.node.name
     member = registry.members.get(name)
-    merged = merge(member.state, state) if member else state
+    merged = merge_states(member.state, state) if member else state
     if member and merged == member.state:
         return False
     if member is None:
--- a/packages/bendwind-core/src/bendwind_core/membership/member.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/member.py
@@ -36,7 +36,7 @@
     return state.node.incarnation, state.announced
 
 
-def merge(ours: MemberState, theirs: MemberState) -> MemberState:
+def merge_states(ours: MemberState, theirs: MemberState) -> MemberState:
     """Return the newest of both in liveness and in content; neither order nor repeats matter.
 
     >>> from bendwind_core.world import Instance
--- a/packages/bendwind-core/src/bendwind_core/membership/pushes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/pushes.py
@@ -23,7 +23,7 @@
     Client,
     ServiceRow,
     VoterRegistry,
-    find_row,
+    find_or_create_row,
     put_claim_group,
 )
 from bendwind_core.membership.watch_cache import UpstreamKey, upstream_key
@@ -49,7 +49,7 @@
         _update_services(registry, configuration)
     groups = {group.service: group for group in claim_groups}
     for name in groups:
-        find_row(registry, name)
+        find_or_create_row(registry, name)
     for name, row in registry.services.items():
         if row.claim_group != groups.get(name):
             put_claim_group(row, groups.get(name))
@@ -76,7 +76,7 @@
 def _update_services(registry: VoterRegistry, configuration: Configuration) -> None:
     services = {service.name: service for service in configuration.services}
     for name in services:
-        find_row(registry, name)
+        find_or_create_row(registry, name)
     for name, row in registry.services.items():
         if row.service != services.get(name):
             row.service = services.get(name)
@@ -104,7 +104,7 @@
     registry: VoterRegistry, beat: Heartbeat, client: Client, effects: list[RegistryEffect]
 ) -> bool:
     """Tell whether a node misses no configuration, and push what it misses."""
-    rows = [find_row(registry, name) for name in client.services]
+    rows = [find_or_create_row(registry, name) for name in client.services]
     is_current = _is_current(registry, beat.version, beat.customers, rows)
     is_ahead = beat.version > registry.configuration.version
     if not is_current and not is_ahead and not _is_push_in_flight(registry, client):
@@ -151,7 +151,7 @@
 ) -> None:
     """Push a node what it lacks of all that it asks for."""
     # A node that comes from another voter mostly has all of it: 3,000 may come at once.
-    rows = [find_row(registry, name) for name in watch.services]
+    rows = [find_or_create_row(registry, name) for name in watch.services]
     is_ahead = watch.version > registry.configuration.version
     client.version = watch.version
     client.customers = watch.customers
@@ -165,7 +165,7 @@
     registry: VoterRegistry, beat: Heartbeat, client: Client, effects: list[RegistryEffect]
 ) -> bool:
     """Tell whether a node holds all that the voter knows; push all upstreams after a loss."""
-    rows = [find_row(registry, name) for name in client.services]
+    rows = [find_or_create_row(registry, name) for name in client.services]
     is_same = beat.digest == _sum_digests(rows)
     # One difference may be a push that crossed the heartbeat; two in a row are a loss.
     if not is_same and client.has_digest_mismatch:
@@ -194,7 +194,7 @@
     registry: VoterRegistry, node: str, client: Client, effects: list[RegistryEffect]
 ) -> None:
     base = _find_base(registry, client)
-    rows = [(name, find_row(registry, name)) for name in client.services]
+    rows = [(name, find_or_create_row(registry, name)) for name in client.services]
     changed = [(name, row) for name, row in rows if base == 0 or row.changed_at > base]
     groups = tuple(row.claim_group for _, row in rows if row.claim_group)
     message = ConfigurationChanged(
@@ -232,7 +232,7 @@
     if client.version <= registry.configuration.version:
         _push_configuration(registry, node, client, effects)
     for name in client.services:
-        upstreams = tuple(find_row(registry, name).upstreams.values())
+        upstreams = tuple(find_or_create_row(registry, name).upstreams.values())
         effects.append(SendTo(node, WatchUpdate(name, upstreams)))
 
 
@@ -243,7 +243,7 @@
     client.pushed_version = -1
     client.services = watch.services
     for name in watch.services:
-        find_row(registry, name).watchers[node] = None
+        find_or_create_row(registry, name).watchers[node] = None
 
 
 def remove_client(registry: VoterRegistry, node: str) -> None:
@@ -275,7 +275,7 @@
     """Note that the upstreams of a node may differ from what was pushed."""
     queue = registry.urgent_services if is_urgent else registry.dirty_services
     for upstream in upstreams:
-        find_row(registry, upstream.service).dirty_owners.add(owner)
+        find_or_create_row(registry, upstream.service).dirty_owners.add(owner)
         queue[upstream.service] = None
 
 
@@ -304,7 +304,7 @@
 
 
 def _flush_service(registry: VoterRegistry, service: str, effects: list[RegistryEffect]) -> None:
-    row = find_row(registry, service)
+    row = find_or_create_row(registry, service)
     changes = [
         change
         for owner in row.dirty_owners
--- a/packages/bendwind-core/src/bendwind_core/membership/registry.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/registry.py
@@ -63,7 +63,7 @@
         case Tick():
             _handle_tick(registry, effects, now, rng)
         case MessageReceived(sender=sender, message=message):
-            _receive(registry, sender, message, effects, now)
+            _handle_message(registry, sender, message, effects, now)
         case ConfigurationAccepted(configuration=configuration, claim_groups=claim_groups):
             pushes.accept_configuration(registry, configuration, claim_groups)
         case DrainMarksAccepted(instances=instances, upstreams=upstreams):
@@ -113,7 +113,7 @@
             gossip.register(registry, dead, effects, now)
 
 
-def _receive(
+def _handle_message(
     registry: VoterRegistry, sender: str, message, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     match message:
--- a/packages/bendwind-core/src/bendwind_core/membership/renewal.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/renewal.py
@@ -13,13 +13,13 @@
     discard_other_heartbeats,
     find_reason_to_move,
     is_reply_expected,
-    move,
     order_voters,
     return_to_preferred_voter,
     return_to_voter,
     schedule_early_heartbeat,
     schedule_heartbeat,
     schedule_spread_heartbeat,
+    select_next_voter,
     set_voter_order,
 )
 from bendwind_core.membership.events import (
@@ -76,7 +76,7 @@
             _renew(view, effects, now, rng)
         case MessageReceived(sender=sender, message=message):
             if is_reply_expected(view.attachment, sender):
-                _receive(view, sender, message, effects, now, rng)
+                _handle_message(view, sender, message, effects, now, rng)
         case LinkLost(peer=peer):
             discard_heartbeats(view.attachment, peer)
             if peer == view.voter:
@@ -141,12 +141,12 @@
     # which this node has to dial over the same slow link.
     if reason != NO_REPLY:
         discard_heartbeats(view.attachment, view.voter)
-    move(view.attachment, view.times, now, rng)
+    select_next_voter(view.attachment, view.times, now, rng)
     view.pending_confirmation = None
     effects.append(AttachmentChanged(view.voter, reason))
 
 
-def _receive(
+def _handle_message(
     view: NodeView,
     sender: str,
     message,
@@ -233,12 +233,12 @@
 ) -> bool:
     """Tell whether the node is attached to the sender of a reply, or turns back to it."""
     attachment = view.attachment
-    is_good = _is_recently_confirmed(view, reply)
-    if sender != view.voter and is_good:
+    is_recent = _is_recently_confirmed(view, reply)
+    if sender != view.voter and is_recent:
         return_to_voter(attachment, sender, now)
         if sender == view.voter:
             effects.append(AttachmentChanged(sender, "answered late"))
-    if sender == view.voter and is_good:
+    if sender == view.voter and is_recent:
         discard_other_heartbeats(attachment)
     return sender == view.voter
 
@@ -295,7 +295,7 @@
         view.groups_confirmed_at = max(confirmed_at, view.groups_confirmed_at or confirmed_at)
     _compare_versions(view, reply.version, now)
     if view.is_complete and view.version >= reply.version:
-        _confirm(view, confirmed_at)
+        _advance_confirmed_at(view, confirmed_at)
     else:
         view.pending_confirmation = PendingConfirmation(reply.version, confirmed_at)
 
@@ -308,7 +308,7 @@
         attachment.behind_since = now
 
 
-def _confirm(view: NodeView, confirmed_at: Seconds) -> None:
+def _advance_confirmed_at(view: NodeView, confirmed_at: Seconds) -> None:
     if view.confirmed_at is None or confirmed_at > view.confirmed_at:
         view.confirmed_at = confirmed_at
 
@@ -339,7 +339,7 @@
     _apply_version(view, message.version, effects)
     proof = view.pending_confirmation
     if proof and proof.version <= view.version:
-        _confirm(view, proof.confirmed_at)
+        _advance_confirmed_at(view, proof.confirmed_at)
         view.pending_confirmation = None
 
 
--- a/packages/bendwind-core/src/bendwind_core/membership/state.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/state.py
@@ -99,7 +99,7 @@
     next_suspects_repeat_at: Seconds = 0.0
 
 
-def find_row(registry: VoterRegistry, service: str) -> ServiceRow:
+def find_or_create_row(registry: VoterRegistry, service: str) -> ServiceRow:
     """Return the row of a service, made if there is none."""
     row = registry.services.get(service)
     if row is None:
--- a/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
@@ -38,9 +38,9 @@
     if registry.suspects.suspects and now >= registry.next_suspects_repeat_at:
         registry.next_suspects_repeat_at = now + REPEAT_INTERVAL
         remove_expired(registry.suspects, now)
-        serious = list_restricted(registry.suspects, now)
+        restricted = list_restricted(registry.suspects, now)
         for voter in registry.peers:
-            _send(voter, serious, effects)
+            _send(voter, restricted, effects)
 
 
 def _push_to_watchers(
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/fakes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/fakes.py
@@ -37,7 +37,7 @@
 
 TICK = 0.05
 BARRIER = 0.25
-BARRIER_TAKES = 0.1
+BARRIER_DURATION = 0.1
 TIMES = LeaseTimes()
 VOTERS = ("v0", "v1", "v2")
 SERVICES = ("catastro", "emisor")
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Dead:
+class NodeDeath:
     name: str
     incarnation: int
     at: float
@@ -82,7 +82,7 @@
         self.rng = random.Random(seed)
         self.now = 100.0
         self.order = itertools.count()
-        self.under_way: list[tuple] = []
+        self.in_flight: list[tuple] = []
         self.cut: set[frozenset[str]] = set()
         self.loss = 0.0
         self.repeat = 0.0
@@ -90,7 +90,7 @@
         self.accepted = [(0.0, Configuration(0))]
         self.incarnation = 0
         self.truth: dict[str, dict[str, Upstream]] = {}
-        self.deaths: list[Dead] = []
+        self.deaths: list[NodeDeath] = []
         self.voters = {name: self.start_voter(name) for name in VOTERS}
         self.nodes: dict[str, Node] = {}
 
@@ -117,7 +117,7 @@
         node = self.nodes.pop(name, None)
         if node:
             self.truth.pop(name)
-            self.deaths.append(Dead(name, node.view.instance.incarnation, self.now))
+            self.deaths.append(NodeDeath(name, node.view.instance.incarnation, self.now))
 
     def announce(self, name: str, service: str, state: UpstreamState) -> None:
         instance = self.nodes[name].view.instance
@@ -164,8 +164,8 @@
     def lose_link(self, one: str, other: str) -> None:
         """Break a link so that both ends notice, and drop what was under way."""
         pair = {one, other}
-        self.under_way = [entry for entry in self.under_way if set(entry[2:4]) != pair]
-        heapq.heapify(self.under_way)
+        self.in_flight = [entry for entry in self.in_flight if set(entry[2:4]) != pair]
+        heapq.heapify(self.in_flight)
         for name, peer in ((one, other), (other, one)):
             if name in self.nodes:
                 self.step(name, LinkLost(peer))
@@ -189,7 +189,7 @@
             if self.rng.random() >= self.loss:
                 due = self.now + self.rng.uniform(0.0005, self.longest_delay)
                 entry = (due, next(self.order), name, effect.to, effect.message)
-                heapq.heappush(self.under_way, entry)
+                heapq.heappush(self.in_flight, entry)
 
     def advance(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK)):
@@ -203,8 +203,8 @@
             self._deliver()
 
     def _deliver(self) -> None:
-        while self.under_way and self.under_way[0][0] <= self.now:
-            _, _, sender, to, message = heapq.heappop(self.under_way)
+        while self.in_flight and self.in_flight[0][0] <= self.now:
+            _, _, sender, to, message = heapq.heappop(self.in_flight)
             if not self.is_cut(sender, to):
                 self.step(to, MessageReceived(sender, message))
 
@@ -217,12 +217,12 @@
             voter.barrier = (self.now, len(self.accepted) - 1)
             return
         started, position = voter.barrier
-        if self.now - started >= BARRIER_TAKES:
+        if self.now - started >= BARRIER_DURATION:
             self.apply(name, position)
             self.step(name, QuorumConfirmed(voter.clock.read(started)))
             voter.barrier = None
 
-    def meet(self, one: str, other: str) -> None:
+    def exchange_hello(self, one: str, other: str) -> None:
         """Let two nodes greet each other, as they do when a call opens a link."""
         view = self.nodes[other].view
         age = view.confirmed_age_ms(self.nodes[other].clock.read(self.now))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_customer_pushes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_customer_pushes.py
@@ -52,7 +52,7 @@
     )
 
 
-class LedgerTest(unittest.TestCase):
+class CustomerHistoryTest(unittest.TestCase):
     def test_one_changed_key_sends_one_customer(self):
         history = CustomerHistory()
         update_customers(history, make_customers(100), 10)
@@ -62,7 +62,7 @@
         self.assertEqual(change.put, make_customers(0, c7="new"))
         self.assertEqual(make_customers_change(history, 11).put, ())
 
-    def test_removed_customers_are_named_to_those_that_may_hold_them(self):
+    def test_removed_customers_are_listed_for_nodes_that_may_hold_them(self):
         history = CustomerHistory()
         update_customers(history, make_customers(3), 10)
         update_customers(history, make_customers(3, c1=""), 12)
@@ -73,7 +73,7 @@
         self.assertEqual(make_customers_change(history, 14).removed, ("c1",))
         self.assertEqual(make_customers_change(history, 16).removed, ())
 
-    def test_nodes_that_miss_a_forgotten_removal_are_sent_all(self):
+    def test_nodes_missing_an_evicted_removal_receive_all_customers(self):
         history = CustomerHistory()
         with unittest.mock.patch.object(customer_history, "MAX_REMEMBERED_REMOVALS", 2):
             update_customers(history, make_customers(5), 10)
@@ -85,7 +85,7 @@
         self.assertEqual((whole.base, len(whole.put)), (0, 2))
         self.assertEqual(set(make_customers_change(history, 11).removed), {"c1", "c2"})
 
-    def test_first_customers_and_their_end_are_told_to_all(self):
+    def test_introducing_and_ending_customers_sends_all_to_every_node(self):
         history = CustomerHistory()
         self.assertFalse(update_customers(history, None, 5))
         self.assertTrue(update_customers(history, (), 7))
@@ -93,7 +93,7 @@
         self.assertTrue(update_customers(history, None, 9))
         self.assertEqual(make_customers_change(history, 7), CustomersChange())
 
-    def test_digest_is_that_of_the_same_customers_sent_whole(self):
+    def test_incremental_digest_equals_digest_of_full_set(self):
         history, other = CustomerHistory(), CustomerHistory()
         update_customers(history, make_customers(4, c9="x"), 3)
         update_customers(history, make_customers(4, c1="new", c2=""), 4)
@@ -132,14 +132,14 @@
         (reply,) = (message for message in sent if isinstance(message, HeartbeatReply))
         return (pushes[0].customers if pushes else None), reply
 
-    def test_node_that_states_an_older_version_is_sent_the_difference(self):
+    def test_node_with_older_version_receives_the_difference(self):
         self.accept(10, make_customers(50))
         self.accept(12, make_customers(50, c3="new"))
         change, reply = self.beat(10, 10)
         self.assertEqual((change.base, change.put), (10, make_customers(0, c3="new")))
         self.assertFalse(reply.is_current)
 
-    def test_changed_key_sends_no_routes_again_and_changed_routes_are_sent(self):
+    def test_key_change_sends_only_changed_routes(self):
         route = Route("r", "h", "/", (SplitPart(SERVICES[0]),), Rule("*"))
         sent = []
         self.accept(10, make_customers(5), Routing(1, (route,)))
@@ -157,7 +157,7 @@
         self.assertEqual(changed, RoutingChange(3, limits, (), ended, is_whole=False))
         self.assertEqual([len(message.customers.put) for message in sent], [1, 1])
 
-    def test_node_stays_sent_until_it_states_the_version(self):
+    def test_change_is_resent_until_node_reports_the_version(self):
         self.accept(10, make_customers(5))
         self.accept(12, make_customers(5, c3="new"))
         for _ in range(3):
@@ -167,12 +167,12 @@
         self.assertIsNone(change)
         self.assertTrue(reply.is_current)
 
-    def test_node_that_watches_another_service_is_not_sent_the_customers_again(self):
+    def test_node_with_new_watch_is_not_resent_customers(self):
         self.accept(10, make_customers(50))
         change, _ = self.beat(-1, 10)
         self.assertEqual((change.base, change.put), (10, ()))
 
-    def test_restarted_voter_sends_all_to_nodes_at_versions_that_it_never_held(self):
+    def test_restarted_voter_sends_all_for_versions_it_never_held(self):
         self.accept(10, make_customers(5))
         self.accept(12, make_customers(5, c1=""))
         self.start_voter()
@@ -181,26 +181,26 @@
         self.assertEqual((change.base, change.put), (0, make_customers(5, c1="")))
         self.assertFalse(reply.is_current)
 
-    def test_voter_that_skipped_a_change_taken_back_sends_all_to_nodes_that_hold_it(self):
+    def test_voter_that_skipped_a_reverted_change_sends_all_to_nodes_holding_it(self):
         self.accept(10, make_customers(5))
         self.accept(17, make_customers(5))
         change, reply = self.beat(15, 15)
         self.assertEqual(change.base, 0)
         self.assertFalse(reply.is_current)
 
-    def test_node_in_doubt_is_sent_all_although_its_version_is_the_newest(self):
+    def test_node_with_uncertain_customers_receives_all_at_newest_version(self):
         self.accept(10, make_customers(5))
         change, reply = self.beat(10, -1)
         self.assertEqual((change.base, len(change.put)), (0, 5))
         self.assertFalse(reply.is_current)
 
-    def test_nodes_without_customers_are_current_where_there_never_were_any(self):
+    def test_node_without_customers_is_current_if_none_ever_existed(self):
         self.accept(10, None)
         change, reply = self.beat(10, 0)
         self.assertIsNone(change)
         self.assertTrue(reply.is_current)
 
-    def test_voter_that_never_saw_customers_ends_those_that_a_node_holds(self):
+    def test_voter_without_customers_removes_those_held_by_node(self):
         self.accept(20, None)
         change, reply = self.beat(15, 15)
         self.assertEqual(change, CustomersChange())
@@ -233,17 +233,17 @@
     def receive(self, message):
         self.world.step("n0", MessageReceived(self.view.voter, message))
 
-    def test_changes_reach_a_node_within_a_push(self):
+    def test_change_reaches_node_within_one_push(self):
         self.assertEqual(self.find(b"k3"), "c3")
         self.put(make_customers(5, c3="new", c4=""))
         self.assertEqual([self.find(key) for key in (b"k3", b"new", b"k4")], [None, "c3", None])
 
-    def test_each_change_is_told_once_by_names_and_counts(self):
-        told = []
+    def test_each_change_is_reported_once_with_names_and_counts(self):
+        reported = []
 
         def step(event):
             effects = step_view(self.view, event, 0.0, self.world.rng)
-            told.extend(effect for effect in effects if isinstance(effect, CustomersChanged))
+            reported.extend(effect for effect in effects if isinstance(effect, CustomersChanged))
 
         version = self.view.version
         history = CustomerHistory()
@@ -257,18 +257,18 @@
             version + 2, SERVED, watch=1, customers=make_customers_change(history, 0)
         )
         step(MessageReceived(self.view.voter, whole))
-        self.assertEqual(told, [CustomersChanged(("c3", "c4"), 4, 4)])
+        self.assertEqual(reported, [CustomersChanged(("c3", "c4"), 4, 4)])
         none = ConfigurationChanged(version + 3, SERVED, watch=1)
         step(MessageReceived(self.view.voter, none))
-        self.assertEqual(told[1:], [CustomersChanged(("c0", "c1", "c2", "c3"), None, None)])
+        self.assertEqual(reported[1:], [CustomersChanged(("c0", "c1", "c2", "c3"), None, None)])
 
-    def test_end_of_all_customers_asks_for_no_key_and_an_empty_list_refuses_all(self):
+    def test_no_customers_need_no_key_and_empty_list_accepts_no_key(self):
         self.put(())
         self.assertEqual(self.view.customers.by_name, {})
         self.put(None)
         self.assertIsNone(self.view.customers)
 
-    def test_lost_push_is_made_good_by_the_next_heartbeat(self):
+    def test_lost_push_is_repeated_after_next_heartbeat(self):
         self.world.loss = 1.0
         self.put(make_customers(5, c3="new"))
         self.assertEqual(self.find(b"k3"), "c3")
@@ -276,7 +276,7 @@
         self.world.advance(2 * TIMES.heartbeat)
         self.assert_holds(make_customers(5, c3="new"))
 
-    def test_node_that_moves_to_a_restarted_voter_loses_none(self):
+    def test_node_moving_to_restarted_voter_misses_no_change(self):
         self.world.cut.add(frozenset(("n0", self.view.voter)))
         self.put(make_customers(5, c1="", c2="new"))
         for voter in self.world.voters:
@@ -284,7 +284,7 @@
         self.world.advance(10)
         self.assert_holds(make_customers(5, c1="", c2="new"))
 
-    def test_change_made_for_other_customers_is_not_applied_and_all_are_asked_for(self):
+    def test_change_for_other_customers_is_rejected_and_all_are_requested(self):
         view = self.view
         held = dict(view.customers.by_name)
         wrong = CustomersChange(view.version, make_customers(0, c2="new"), ("c7",), True, 123)
@@ -299,7 +299,7 @@
         self.assertFalse(view.has_uncertain_customers)
         self.assert_holds(make_customers(5))
 
-    def test_difference_from_a_version_that_a_new_run_never_had_is_not_applied(self):
+    def test_difference_for_version_of_earlier_run_is_not_applied(self):
         version = self.view.version
         message = ConfigurationChanged(
             version + 1, (), watch=1, customers=CustomersChange(version, (), (), True, 1)
@@ -309,7 +309,7 @@
         self.receive(message)
         self.assertEqual((self.view.version, self.view.customers), (0, None))
 
-    def test_reply_to_an_older_state_puts_no_later_version_in_force(self):
+    def test_reply_to_outdated_heartbeat_does_not_apply_later_version(self):
         view = self.view
         version = view.version
         for stated, expected in ((version - 1, version), (version, version + 5)):
@@ -317,7 +317,7 @@
             self.receive(HeartbeatReply(99, version + 5, 0.0, is_current=True))
             self.assertEqual(view.version, expected)
 
-    def test_new_watch_brings_no_customers_again(self):
+    def test_new_watch_receives_no_customers_again(self):
         sent = []
         send = self.world.send
         self.world.send = lambda name, effect: (sent.append(effect.message), send(name, effect))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_customers.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_customers.py
@@ -54,7 +54,7 @@
         self.accept({key: other for key, other in (self.held or {}).items() if other != name})
 
     @rule()
-    def take_back(self):
+    def restore_previous(self):
         """Return to the customers before, which a voter that skips a version cannot see."""
         self.accept(self.before)
 
@@ -95,7 +95,7 @@
         for voter in VOTERS:
             self.world.voters[voter] = self.world.start_voter(voter)
             self.world.apply(voter, known)
-        self.take_back()
+        self.restore_previous()
         self.pass_time(2.0)
 
     @precondition(lambda self: hasattr(self, "world"))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
@@ -53,8 +53,8 @@
         self.pass_time(6.0)
 
     @rule(one=NODE, other=NODE)
-    def greet(self, one, other):
-        self.world.meet(one, other)
+    def exchange_hello(self, one, other):
+        self.world.exchange_hello(one, other)
 
     @precondition(lambda self: hasattr(self, "world"))
     @invariant()
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_membership.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_membership.py
@@ -123,12 +123,12 @@
 
     @precondition(lambda self: hasattr(self, "world") and self.is_quiet())
     @invariant()
-    def the_dead_are_gone_within_a_lease(self):
+    def check_dead_nodes_removed_within_lease(self):
         world = self.world
         limit = TIMES.lease + PUSH
         for dead in world.deaths:
             if world.now - max(dead.at, self.disturbed_at) > limit:
-                for name, upstream in self.seen():
+                for name, upstream in self.list_seen_upstreams():
                     owner = upstream.owner
                     is_dead = (owner.name, owner.incarnation) == (dead.name, dead.incarnation)
                     assert not is_dead, f"{name} still sees {upstream.name} of {dead}"
@@ -136,7 +136,7 @@
     def is_quiet(self):
         return not self.world.cut and not self.world.loss and self.world.longest_delay < 0.1
 
-    def seen(self):
+    def list_seen_upstreams(self):
         for name, node in self.world.nodes.items():
             if self.world.is_fresh(name):
                 for service in node.view.cache.watched:
@@ -174,7 +174,7 @@
             for upstream in upstreams.values()
             if upstream.service == service
         }
-        assert seen == truth, f"{name} sees {seen ^ truth} of {service} otherwise"
+        assert seen == truth, f"{name} and the truth differ in {seen ^ truth} of {service}"
 
     def teardown(self):
         if hasattr(self, "world"):
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_moves.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_moves.py
@@ -67,7 +67,7 @@
     # A node that came from another voter while one route of 1,400 changed was sent all of them,
     # 178 KB. On a link of 2.45 Mbit/s they held up the replies to its heartbeats for 0.6 s, so that
     # it turned to the next voter, which sent them again.
-    def test_node_that_comes_a_change_behind_is_sent_the_change(self):
+    def test_node_one_change_behind_receives_only_the_change(self):
         self.accept_change()
         pushes, updates = self.find_pushes(self.attach(7))
         self.check_difference(*pushes)
@@ -75,7 +75,7 @@
 
     # It was sent all routes as well when it lacked a single upstream, which a voter that has heard
     # less or more of the others than the last one did says of every node.
-    def test_node_that_comes_with_other_upstreams_is_sent_these_and_no_routes(self):
+    def test_node_with_different_upstreams_receives_upstreams_but_no_routes(self):
         pushes, updates = self.find_pushes(self.attach(7, OTHER_DIGEST))
         self.assertEqual([push.routing for push in pushes], [None] * len(pushes))
         self.assertEqual([(one.service, one.is_full) for one in updates], [(SERVICE, True)])
@@ -84,7 +84,7 @@
         pushes, _ = self.find_pushes(self.receive(beat))
         self.check_difference(*pushes)
 
-    def test_node_whose_upstreams_were_lost_on_the_way_is_sent_these_and_no_routes(self):
+    def test_node_with_lost_upstream_pushes_receives_upstreams_but_no_routes(self):
         self.attach(7)
         beats = [
             Heartbeat(self.node, number, 7, watch=1, digest=OTHER_DIGEST, customers=7)
@@ -94,7 +94,7 @@
         self.assertEqual([push.routing for push in pushes], [None] * len(pushes))
         self.assertEqual([(one.service, one.is_full) for one in updates], [(SERVICE, True)])
 
-    def test_node_that_lacks_anything_of_what_it_watches_is_sent_everything(self):
+    def test_node_with_incomplete_or_unknown_version_receives_everything(self):
         for version in (-1, 0, 8):
             with self.subTest(version):
                 self.setUp()
@@ -106,7 +106,7 @@
 
     # A voter that lagged sent a node that was ahead of it all routes of a version that the node
     # does not go back to.
-    def test_node_that_is_ahead_is_sent_no_older_version(self):
+    def test_node_ahead_of_voter_receives_no_older_version(self):
         pushes, _ = self.find_pushes(self.attach(9))
         self.assertEqual(pushes, [])
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_registry.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_registry.py
@@ -27,7 +27,7 @@
 
 
 class VoterLossTest(unittest.TestCase):
-    def test_loss_of_a_voter_takes_no_live_upstream_away(self):
+    def test_voter_loss_removes_no_live_upstream(self):
         world = World(seed=1)
         announce_everywhere(world, 30)
         del world.voters["v0"]
@@ -38,7 +38,7 @@
             for voter in world.voters.values():
                 self.assertEqual(len(list_alive(voter.registry)), 30)
 
-    def test_stopped_voter_that_goes_on_expires_no_node_at_once(self):
+    def test_resumed_voter_does_not_expire_nodes_immediately(self):
         world = World(seed=2)
         announce_everywhere(world, 6)
         voter = world.voters["v0"]
@@ -48,7 +48,7 @@
 
 
 class DrainTest(unittest.TestCase):
-    def test_drain_reaches_every_node_at_once_also_in_a_storm(self):
+    def test_drain_is_pushed_immediately_during_mass_failure(self):
         world = World(seed=5)
         announce_everywhere(world, 30)
         for name in list(world.nodes)[15:]:
@@ -62,8 +62,8 @@
             self.assertIs(states["n0-catastro"], UpstreamState.DRAINING)
 
 
-class StormTest(unittest.TestCase):
-    def test_renewals_of_nodes_that_lose_their_voter_at_once_are_spread(self):
+class MassReconnectTest(unittest.TestCase):
+    def test_heartbeats_are_spread_after_simultaneous_voter_loss(self):
         world = World(seed=3)
         count = 600
         for index in range(count):
@@ -72,13 +72,13 @@
         beats: dict[int, int] = {}
         send = world.send
 
-        def count_beat(name, effect):
+        def count_heartbeat(name, effect):
             if isinstance(effect.message, Heartbeat):
                 interval = int(world.now * 10)
                 beats[interval] = beats.get(interval, 0) + 1
             send(name, effect)
 
-        world.send = count_beat
+        world.send = count_heartbeat
         del world.voters["v0"]
         for name in world.nodes:
             world.lose_link(name, "v0")
@@ -88,7 +88,7 @@
 
 
 class LearnerTest(unittest.TestCase):
-    def test_learner_sends_no_gossip_since_no_voter_heeds_it(self):
+    def test_learner_sends_no_gossip(self):
         rng = random.Random(7)
         registry = create_voter_registry("learner", PLACES, TIMES, 0.0)
         effects = []
@@ -98,7 +98,7 @@
 
 
 class UnseenVersionTest(unittest.TestCase):
-    def state_version(self, held: tuple[Configuration, ...], version: int, service: str):
+    def report_version(self, held: tuple[Configuration, ...], version: int, service: str):
         """Let a node that watches a service state a version, and return what it is sent."""
         rng = random.Random(4)
         registry = create_voter_registry("v0", PLACES, TIMES, 0.0)
@@ -114,21 +114,21 @@
             effects = step_registry(registry, MessageReceived("n0", message), 0.0, rng)
         return [effect.message for effect in effects]
 
-    def test_node_that_may_hold_an_ended_service_gets_everything(self):
+    def test_full_configuration_is_pushed_if_node_may_hold_removed_service(self):
         """A restarted voter does not know which services ended before it started."""
         held = (Configuration(20, (Service("emisor", ("*",)),)),)
-        push, reply = self.state_version(held, 15, "ended")
+        push, reply = self.report_version(held, 15, "ended")
         self.assertEqual((push.version, push.base, push.services), (20, 0, ()))
         self.assertFalse(reply.is_current)
 
-    def test_node_that_may_hold_a_change_since_taken_back_gets_everything(self):
+    def test_full_configuration_is_pushed_if_node_may_hold_reverted_change(self):
         """A voter that jumps from 10 to 17 does not see what 15 changed and 17 took back."""
         services = (Service("emisor", ("*",)),)
         held = (Configuration(10, services), Configuration(17, services))
-        push, reply = self.state_version(held, 15, "emisor")
+        push, reply = self.report_version(held, 15, "emisor")
         self.assertEqual((push.version, push.base, push.services), (17, 0, services))
         self.assertFalse(reply.is_current)
-        (reply,) = self.state_version(held, 10, "emisor")
+        (reply,) = self.report_version(held, 10, "emisor")
         self.assertTrue(reply.is_current)
 
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_renewal.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_renewal.py
@@ -9,7 +9,7 @@
 
 
 class WatchTest(unittest.TestCase):
-    def test_names_of_no_service_do_not_push_out_services_nor_grow(self):
+    def test_unknown_service_names_evict_no_service_and_are_bounded(self):
         world = World(seed=7)
         world.accept((Service(SERVICES[0], ("*",)),))
         world.start_node("n0", "dc0")
@@ -27,7 +27,7 @@
 class FirstContactTest(unittest.TestCase):
     """Lose the link to each voter in turn, as where all processes have just restarted."""
 
-    def longest_wait(self, has_received_reply):
+    def find_longest_wait(self, has_received_reply):
         longest = 0.0
         for seed in range(20):
             rng = random.Random(seed)
@@ -38,16 +38,16 @@
             longest = max(longest, view.attachment.next_heartbeat_at - 1.0)
         return longest
 
-    def test_node_that_no_voter_has_answered_tries_the_next_one_soon(self):
+    def test_node_without_any_reply_retries_soon(self):
         # Half of the nodes found a voter half a second after it listened.
-        self.assertLess(self.longest_wait(has_received_reply=False), 0.15)
+        self.assertLess(self.find_longest_wait(has_received_reply=False), 0.15)
 
-    def test_node_that_loses_its_voter_spreads_over_a_heartbeat(self):
-        self.assertGreater(self.longest_wait(has_received_reply=True), 0.5 * TIMES.heartbeat)
+    def test_heartbeats_spread_over_one_interval_after_link_loss(self):
+        self.assertGreater(self.find_longest_wait(has_received_reply=True), 0.5 * TIMES.heartbeat)
 
 
 class OrderTest(unittest.TestCase):
-    def test_own_data_centre_comes_first_and_the_rest_spreads(self):
+    def test_own_data_centre_is_preferred_and_other_nodes_are_spread(self):
         self.assertEqual(order_voters("n0", "n0", "dc1", PLACES)[0], "v1")
         self.assertEqual(order_voters("v2", "v2", "dc1", PLACES)[0], "v2")
         firsts = [order_voters(f"n{n}", f"n{n}", "elsewhere", PLACES)[0] for n in range(300)]
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_slow_node.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_slow_node.py
@@ -66,7 +66,7 @@
     # turns to the next. That one had to be dialed over the same link, which took longer than an
     # answer, so that the node went from voter to voter, paid no heed to what the ones left behind
     # sent it, and had a version 3.4 s after its acceptance.
-    def test_node_turns_back_to_a_voter_that_answers_late(self):
+    def test_node_returns_to_voter_that_replies_late(self):
         beat = self.attach()
         home = self.view.voter
         self.advance(TIMES.reply_timeout - 0.3)
@@ -76,21 +76,21 @@
         self.assertEqual(self.moves[-1], AttachmentChanged(home, "answered late"))
         self.assertTrue(self.view.is_fresh(self.now))
 
-    def test_configuration_of_a_voter_that_may_still_answer_is_put_in_force(self):
+    def test_configuration_from_voter_with_pending_reply_is_applied(self):
         self.attach()
         home = self.view.voter
         self.advance(TIMES.reply_timeout - 0.3)
         self.assertNotEqual(self.view.voter, home)
         self.assertIn(ConfigurationApplied(5), self.push(5, home))
 
-    def test_voter_that_answers_with_an_old_confirmation_is_not_turned_back_to(self):
+    def test_node_does_not_return_for_late_reply_with_old_confirmation(self):
         beat = self.attach()
         self.advance(TIMES.reply_timeout - 0.3)
         voter = self.view.voter
         self.answer(beat, age_ms=1000 * TIMES.confirmation_limit)
         self.assertEqual(self.view.voter, voter)
 
-    def test_first_good_answer_settles_which_voter_is_used(self):
+    def test_first_good_reply_decides_which_voter_is_used(self):
         late = self.attach()
         self.advance(TIMES.reply_timeout - 0.3)
         self.advance(TIMES.heartbeat * 0.6)
@@ -100,7 +100,7 @@
         self.answer(late)
         self.assertEqual(self.view.voter, voter)
 
-    def test_voter_whose_link_was_lost_is_not_turned_back_to(self):
+    def test_node_does_not_return_to_voter_with_lost_link(self):
         beat = self.attach()
         home = self.view.voter
         self.step(LinkLost(home))
@@ -109,7 +109,7 @@
 
     # The age of a confirmation that the node had reckoned from its own sending grew by what its
     # link took, and it left voters for it that had just confirmed.
-    def test_voter_that_has_just_confirmed_is_kept_however_late_the_answer_is(self):
+    def test_voter_with_recent_confirmation_is_kept_despite_slow_replies(self):
         self.push(0, self.view.voter)
         home = self.view.voter
         due = {}
@@ -120,7 +120,7 @@
                     self.answer(beat, age_ms=480.0)
         self.assertEqual((self.view.voter, self.moves), (home, []))
 
-    def test_slow_voter_is_left_for_one_that_answers_at_once(self):
+    def test_node_leaves_slow_voter_for_fast_one(self):
         self.push(0, self.view.voter)
         slow = self.view.voter
         due = {}
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
@@ -33,7 +33,7 @@
 TICK = 0.05
 POISON = b"poison"
 # Nodes that reach their voters have to know within this time.
-CONTACT = 3.0
+PROPAGATION_LIMIT = 3.0
 
 
 class World:
@@ -73,23 +73,23 @@
         effects = step_registry(self.registries[voter], event, self.now, self.rng)
         for effect in effects:
             if isinstance(effect, SendTo):
-                self.carry(voter, effect.to, effect.message)
+                self.deliver(voter, effect.to, effect.message)
 
-    def carry(self, sender, to, message):
+    def deliver(self, sender, to, message):
         self.sent += isinstance(message, SuspectReports)
         if to in self.registries:
             if not {sender, to} & self.cut:
                 self.to_voter(to, sender, message)
         elif isinstance(message, SuspectReports):
-            for told in message.suspects:
-                merge_report(self.nodes[to], told, self.now)
+            for report in message.suspects:
+                merge_report(self.nodes[to], report, self.now)
 
-    def end(self, node, number):
+    def record_end_at(self, node, number):
         table = self.nodes[node]
         record_end(table, POISON, "s", UpstreamEndId(node, 1, f"u-{node}", number), self.now)
-        self.tell(node, pop_unreported(table, self.now))
+        self.send_reports(node, pop_unreported(table, self.now))
 
-    def tell(self, node, suspects):
+    def send_reports(self, node, suspects):
         if suspects:
             self.to_voter(self.homes[node], node, SuspectReports(suspects))
 
@@ -113,35 +113,35 @@
     def list_refusing(self):
         return [name for name in self.world.nodes if self.world.refuses(name)]
 
-    def end_three(self):
+    def record_ends_at_three_nodes(self):
         for node in ("n0", "n1", "n2"):
-            self.world.end(node, 1)
+            self.world.record_end_at(node, 1)
 
-    def test_nodes_at_any_voter_know_soon_what_three_of_them_saw(self):
-        self.end_three()
+    def test_reports_of_three_nodes_reach_nodes_of_all_voters(self):
+        self.record_ends_at_three_nodes()
         self.world.pass_time(0.3)
         self.assertEqual(self.list_refusing(), list(self.world.nodes))
 
-    def test_nodes_that_watch_other_services_are_told_nothing(self):
+    def test_nodes_watching_other_services_receive_no_reports(self):
         self.world.watched["n5"] = ("other",)
         self.world.attach("n5", 2)
-        self.end_three()
-        self.world.pass_time(CONTACT)
+        self.record_ends_at_three_nodes()
+        self.world.pass_time(PROPAGATION_LIMIT)
         self.assertEqual(self.list_refusing(), list(self.world.nodes)[:-1])
 
-    def test_what_the_sides_of_a_cut_saw_is_put_together_once_it_heals(self):
+    def test_reports_from_both_sides_of_partition_are_merged_after_it_heals(self):
         self.world.cut = {"v1"}
-        self.world.end("n0", 1)
-        self.world.end("n1", 1)
-        self.world.end("n1", 2)
+        self.world.record_end_at("n0", 1)
+        self.world.record_end_at("n1", 1)
+        self.world.record_end_at("n1", 2)
         self.world.pass_time(10.0)
         self.assertEqual(self.list_refusing(), [])
         self.world.cut = set()
-        self.world.pass_time(CONTACT)
+        self.world.pass_time(PROPAGATION_LIMIT)
         self.assertEqual(self.list_refusing(), list(self.world.nodes))
 
-    def test_node_that_starts_later_is_told_with_its_first_watch(self):
-        self.end_three()
+    def test_new_node_receives_reports_with_its_first_watch(self):
+        self.record_ends_at_three_nodes()
         self.world.pass_time(1.0)
         self.world.nodes["n9"] = SuspectTable("n9")
         self.world.homes["n9"] = "v2"
@@ -149,8 +149,8 @@
         self.world.attach("n9")
         self.assertTrue(self.world.refuses("n9"))
 
-    def test_voters_that_forgot_all_are_told_again_by_the_owners(self):
-        self.end_three()
+    def test_owners_restore_reports_at_restarted_voters(self):
+        self.record_ends_at_three_nodes()
         self.world.pass_time(1.0)
         for name in VOTERS:
             self.world.registries[name] = create_voter_registry(
@@ -160,23 +160,23 @@
         for name in self.world.nodes:
             self.world.attach(name, 2)
         self.assertFalse(self.world.refuses("n4"))
-        self.world.tell("n0", list_restricted(self.world.nodes["n0"], self.world.now))
-        self.world.pass_time(CONTACT)
+        self.world.send_reports("n0", list_restricted(self.world.nodes["n0"], self.world.now))
+        self.world.pass_time(PROPAGATION_LIMIT)
         self.assertTrue(self.world.refuses("n4"))
 
-    def test_answer_at_one_node_clears_it_at_all(self):
-        self.end_three()
+    def test_answer_at_one_node_clears_suspect_at_all_nodes(self):
+        self.record_ends_at_three_nodes()
         self.world.pass_time(1.0)
         table = self.world.nodes["n4"]
         clear_suspect(table, POISON, self.world.now)
-        self.world.tell("n4", pop_unreported(table, self.world.now))
+        self.world.send_reports("n4", pop_unreported(table, self.world.now))
         self.world.pass_time(1.0)
         self.assertEqual(self.list_refusing(), [])
 
-    def test_nothing_is_sent_in_calm_times_and_little_afterwards(self):
+    def test_no_reports_are_sent_without_suspects_and_few_afterwards(self):
         self.world.pass_time(60.0)
         self.assertEqual(self.world.sent, 0)
-        self.end_three()
+        self.record_ends_at_three_nodes()
         self.world.pass_time(1.0)
         self.world.sent = 0
         self.world.pass_time(10 * REPEAT_INTERVAL)
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_voter_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_voter_changes.py
@@ -25,7 +25,7 @@
 
 
 class RoutingTest(unittest.TestCase):
-    def test_routes_reach_every_node_also_one_that_watches_nothing_they_lead_to(self):
+    def test_routes_reach_nodes_that_watch_none_of_their_services(self):
         world = World(seed=1)
         world.start_node("n0", "dc0")
         world.advance(2)
@@ -38,7 +38,7 @@
         world.advance(2)
         self.assertEqual((view.version, view.routing.routes), (9, ()))
 
-    def test_change_of_services_alone_sends_no_routes_again(self):
+    def test_service_change_does_not_resend_routes(self):
         world = World(seed=1)
         world.start_node("n0", "dc0")
         world.advance(2)
@@ -49,7 +49,7 @@
             world.step("v0", step)
         self.assertEqual(registry.routing.newest, 7)
 
-    def test_change_of_one_route_of_many_sends_that_route_alone(self):
+    def test_change_of_one_route_sends_only_that_route(self):
         # Each change of one route sent all 1,400, and a node behind a link of 2.45 Mbit/s heard
         # nothing else for 0.6 s: heartbeats went unanswered and nodes moved from voter to voter.
         world = World(seed=1)
@@ -80,7 +80,7 @@
 
 
 class VoterChangesTest(unittest.TestCase):
-    def test_attached_nodes_hear_of_changed_voters_and_leave_one_that_is_none(self):
+    def test_nodes_receive_changed_voters_and_leave_removed_voter(self):
         world = World(seed=2)
         for index in range(3):
             world.start_node(f"n{index}", f"dc{index}")
@@ -93,14 +93,14 @@
         self.assertNotEqual(view.voter, "v2")
         self.assertEqual(set(view.attachment.order), {"v0", "v1", "v9", "v2"})
 
-    def test_learner_sends_nodes_on_to_the_voters(self):
+    def test_learner_redirects_nodes_to_voters(self):
         registry = create_voter_registry("x", PLACES, TIMES, 0.0)
         beat = Heartbeat(Instance("n", "dc0", "h", 1, 1), 1, 0)
         effects = step_registry(registry, MessageReceived("n", beat), 0.0, None)
         self.assertEqual(effects, [SendTo("n", VoterList(PLACES))])
         self.assertEqual(registry.clients, {})
 
-    def test_node_finds_the_one_voter_with_a_quorum_however_often_it_has_moved(self):
+    def test_node_finds_voter_with_quorum_after_many_moves(self):
         # A node waited ever longer at each voter, and stood at one of a minority for four seconds.
         world = World(seed=4)
         for index in range(9):
@@ -113,7 +113,7 @@
             world.advance(2.5 * TIMES.confirmation_limit)
             self.assertEqual([name for name in world.nodes if not world.is_fresh(name)], [])
 
-    def test_seeds_are_asked_after_all_voters_known(self):
+    def test_seeds_are_tried_after_all_known_voters(self):
         world = World(seed=3)
         world.start_node("n0", "dc0")
         world.advance(1)
--- a/packages/bendwind-node/src/bendwind_node/membership/tests/test_task.py
+++ b/packages/bendwind-node/src/bendwind_node/membership/tests/test_task.py
@@ -121,7 +121,7 @@
 
         run(test)
 
-    def test_without_a_quorum_nodes_turn_stale_and_say_so(self):
+    def test_nodes_become_stale_without_quorum_and_report_it(self):
         async def test(deployment):
             deployment.control.has_quorum = False
             await trio.sleep(LeaseTimes().lease + 1)
@@ -132,7 +132,7 @@
 
         run(test)
 
-    def test_stream_of_messages_does_not_hold_up_heartbeats(self):
+    def test_steady_messages_do_not_delay_heartbeats(self):
         async def test(deployment):
             deployment.sent.clear()
             node = deployment.nodes["near-v0"]
@@ -148,7 +148,7 @@
 
         run(test)
 
-    def test_status_lists_nodes_of_all_voters_and_waits_for_none(self):
+    def test_status_lists_nodes_of_reachable_voters_without_blocking(self):
         async def test(deployment):
             registry = deployment.registries["v0"]
             rows = await registry.status()
@@ -161,7 +161,7 @@
 
         run(test)
 
-    def test_learner_confirms_nothing_until_it_has_a_vote(self):
+    def test_learner_starts_confirming_once_it_is_a_voter(self):
         async def test(deployment):
             async with run_learner(deployment) as control:
                 await trio.sleep(10)
@@ -172,7 +172,7 @@
 
         run(test)
 
-    def test_learner_that_saw_others_join_before_confirms_once_it_has_a_vote(self):
+    def test_learner_confirms_after_other_voters_joined_first(self):
         async def test(deployment):
             async with run_learner(deployment) as control:
                 await trio.sleep(10)
