--- a/packages/bendwind-core/src/bendwind_core/membership/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Offer how upstreams announce themselves and how nodes learn of them."""
+"""Provide the registration of nodes and upstreams with voters, and the pushes to nodes."""
 
 from bendwind_core.membership.events import (
     AttachmentChanged,
--- a/packages/bendwind-core/src/bendwind_core/membership/attachment.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/attachment.py
@@ -1,4 +1,4 @@
-"""Choose the voter that a node is attached to, and judge when to leave it."""
+"""Choose the voter that a node is attached to, and decide when to leave it."""
 
 import random
 
@@ -9,18 +9,20 @@
 from bendwind_core.membership.messages import VoterPlace
 from bendwind_core.membership.settings import LeaseTimes
 
-# Longer waits would keep a node at a voter of a minority for seconds after the others have a leader
-# again; a move costs one heartbeat, since a node that has everything is sent nothing.
+# Limit of `stay_beats`, the minimum time that a node waits for a good reply before it moves. Longer
+# waits would keep a node at a voter of a minority for seconds after the other voters have a leader
+# again. A move costs only one heartbeat, since a node that is up to date is sent nothing.
 _MAX_STAY_BEATS = 2
 _JITTER = 0.1
-# A node that no voter has answered since its start tries them this fast: it refuses all calls
-# until then, and where all restart at once the voters listen a moment later than the nodes.
+# A node that has received no reply since its start tries the voters at this interval. It refuses
+# all calls until a voter replies, and if all processes restart at once, the voters start to listen
+# slightly later than the nodes.
 FIRST_RETRY_INTERVAL: Seconds = 0.08
 NO_REPLY = "no reply"
 
 
 class SentHeartbeat(msgspec.Struct, frozen=True):
-    """Hold when and to whom a heartbeat was sent, and which Watch and customers it stated."""
+    """Hold the time and recipient of a heartbeat, and the Watch and customers version in it."""
 
     sent_at: Seconds
     watch: int
@@ -29,12 +31,16 @@
 
 
 class Attachment(msgspec.Struct):
-    """Hold the voter in use, when to leave it, and the heartbeats not answered.
+    """Hold the voter in use, the state that decides when to leave it, and unanswered heartbeats.
 
-    `sent` has heartbeats to other voters too, left because they had not answered yet.
+    `order` lists the voters in the order of preference; `index` is the position of the one in use.
+    `unanswered` also holds heartbeats to voters that were left because they had not replied yet.
+    `last_good_reply_at` is the time of the last reply with a recent confirmation, `behind_since`
+    that since which the voter lags behind its peers. `stay_beats` is the minimum time at a voter.
+    `has_received_reply` is true if any voter has replied since the node's start.
 
-    Units: `next_beat`, `heard_at`, `good_at`, `behind_since` in seconds of the node's clock;
-    `patience` in heartbeats. `has_heard` says that a voter has answered since the node's start.
+    Units: `next_heartbeat_at`, `moved_at`, `last_reply_at`, `last_good_reply_at`, `behind_since` in
+    seconds of the node's clock; `stay_beats` in heartbeats.
     """
 
     order: tuple[str, ...]
@@ -58,7 +64,7 @@
 def order_voters(
     node: str, name: str, data_centre: str, voters: tuple[VoterPlace, ...]
 ) -> tuple[str, ...]:
-    """List the voters in the order of preference: itself, own data centre, then by hash.
+    """List the voters in the order of preference: the node itself, its data centre, then by hash.
 
     Source: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous", 1996.
     """
@@ -71,7 +77,7 @@
 
 
 def set_voter_order(attachment: Attachment, order: tuple[str, ...]) -> bool:
-    """Take over a new order of preference; tell whether the voter in use is none of it."""
+    """Replace the order of preference; return whether the voter in use is no longer listed."""
     voter = attachment.voter
     attachment.order = order
     attachment.index = order.index(voter) if voter in order else 0
@@ -81,25 +87,25 @@
 def schedule_heartbeat(
     attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
 ) -> None:
-    """Set the time of the next heartbeat, jittered so that nodes do not beat in step."""
+    """Set the time of the next heartbeat, with jitter so that nodes do not send in step."""
     attachment.next_heartbeat_at = now + times.heartbeat * rng.uniform(1 - _JITTER, 1 + _JITTER)
 
 
 def schedule_spread_heartbeat(
     attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
 ) -> None:
-    """Set the next heartbeat anywhere in one interval, so that nodes losing a voter spread."""
+    """Set the next heartbeat at random in one interval to spread the nodes that lost a voter."""
     attachment.next_heartbeat_at = now + times.heartbeat * rng.random()
 
 
 def schedule_early_heartbeat(attachment: Attachment, now: Seconds, rng: random.Random) -> None:
-    """Have the next heartbeat follow soon, for a node that serves nothing without a reply."""
+    """Schedule the next heartbeat early, for a node that serves no calls until a voter replies."""
     soon = now + FIRST_RETRY_INTERVAL * rng.uniform(0.5, 1.5)
     attachment.next_heartbeat_at = min(attachment.next_heartbeat_at, soon)
 
 
 def find_reason_to_move(attachment: Attachment, times: LeaseTimes, now: Seconds) -> str | None:
-    """Say why the voter should be left, or None."""
+    """Return the reason why the node should leave its voter, or None."""
     stay = attachment.stay_beats * times.heartbeat
     if now - max(attachment.last_reply_at, attachment.moved_at) > max(times.reply_timeout, stay):
         return NO_REPLY
@@ -115,7 +121,7 @@
 def select_next_voter(
     attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
 ) -> None:
-    """Turn to the next voter; wait longer at each while none gives a good reply."""
+    """Select the next voter; stay longer at each one while none sends a good reply."""
     attachment.index = (attachment.index + 1) % len(attachment.order)
     attachment.moved_at = now
     attachment.behind_since = None
@@ -124,28 +130,28 @@
 
 
 def is_reply_expected(attachment: Attachment, peer: str) -> bool:
-    """Tell whether a peer is the voter in use, or one left whose answer may still come."""
+    """Return whether a peer is the voter in use, or one left whose reply may still arrive."""
     return peer == attachment.voter or any(
         beat.voter == peer for beat in attachment.unanswered.values()
     )
 
 
 def discard_heartbeats(attachment: Attachment, voter: str) -> None:
-    """Await no answer of a voter any more."""
+    """Discard the unanswered heartbeats to a voter, so that its replies are ignored."""
     attachment.unanswered = {
         n: beat for n, beat in attachment.unanswered.items() if beat.voter != voter
     }
 
 
 def discard_other_heartbeats(attachment: Attachment) -> None:
-    """Await no answer of any voter but the one in use."""
+    """Discard the unanswered heartbeats to all voters except the one in use."""
     attachment.unanswered = {
         n: beat for n, beat in attachment.unanswered.items() if beat.voter == attachment.voter
     }
 
 
 def return_to_voter(attachment: Attachment, voter: str, now: Seconds) -> None:
-    """Turn back to a voter that answered late, if it still is one."""
+    """Return to a voter that replied late, if it is still a voter."""
     if voter in attachment.order:
         attachment.index = attachment.order.index(voter)
         attachment.moved_at = now
@@ -155,7 +161,7 @@
 def return_to_preferred_voter(
     attachment: Attachment, times: LeaseTimes, now: Seconds, rng: random.Random
 ) -> None:
-    """Turn back to the voter that is preferred."""
+    """Return to the preferred voter."""
     attachment.index = 0
     attachment.unanswered.clear()
     attachment.moved_at = now
--- a/packages/bendwind-core/src/bendwind_core/membership/customer_history.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/customer_history.py
@@ -1,4 +1,4 @@
-"""Hold for a voter when each customer changed, so that nodes are sent only what they lack."""
+"""Record at which version each customer changed, so that nodes are sent only what they lack."""
 
 from collections.abc import Iterator
 
@@ -8,16 +8,16 @@
 from bendwind_core.membership.digest import digest_record
 from bendwind_core.world import Customer
 
-# Names of removed customers that are remembered: a node that has not heard of one forgotten since
-# is sent all customers. A day of changes removes far fewer.
+# Maximum number of removed customers whose names are kept. A node that missed the removal of a
+# customer no longer kept is sent all customers. A day of changes removes far fewer.
 MAX_REMEMBERED_REMOVALS = 4_096
 
 
 class CustomerHistory(msgspec.Struct):
-    """Hold the customers in force, None if no key is needed, and the version of each one's change.
+    """Hold the applied customers, None if no key is needed, and the version of each one's change.
 
-    `changed_at` and `removed_at` are in the order of the versions. What changed since a version
-    before `oldest_base` is not known any more. `digest` sums up all customers.
+    `changed_at` and `removed_at` are ordered by version. The changes since a version before
+    `oldest_base` are no longer known. `digest` covers all customers.
     """
 
     customers: dict[str, Customer] | None = None
@@ -31,7 +31,7 @@
 def update_customers(
     history: CustomerHistory, customers: tuple[Customer, ...] | None, version: int
 ) -> bool:
-    """Take over the customers of a newer version and tell whether any differ."""
+    """Replace the customers by those of a newer version and return whether any differ."""
     if (customers is None) is not (history.customers is None):
         _replace_all(history, customers, version)
         return True
@@ -54,7 +54,7 @@
 def _replace_all(
     history: CustomerHistory, customers: tuple[Customer, ...] | None, version: int
 ) -> None:
-    """Begin with customers, or end with them: every node is to hear of all."""
+    """Start or stop requiring keys, after which every node has to be sent all customers."""
     history.customers = None if customers is None else {}
     history.changed_at.clear()
     history.removed_at.clear()
@@ -70,7 +70,7 @@
         history.digest ^= digest_record(held)
     history.customers[customer.name] = customer
     history.digest ^= digest_record(customer)
-    # Removed first, so that the newest change stands at the end of the dict.
+    # Removed first, so that the newest change is at the end of the dict.
     history.changed_at.pop(customer.name, None)
     history.changed_at[customer.name] = version
     history.removed_at.pop(customer.name, None)
@@ -86,7 +86,7 @@
 
 
 def make_customers_change(history: CustomerHistory, base: int) -> CustomersChange:
-    """Return what changed since a version that this voter held; base 0 asks for all customers."""
+    """Return the changes since a version that this voter held; base 0 means all customers."""
     is_needed = history.customers is not None
     if base == 0 or base < history.oldest_base:
         put = tuple((history.customers or {}).values())
--- a/packages/bendwind-core/src/bendwind_core/membership/digest.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/digest.py
@@ -1,4 +1,4 @@
-"""Sum up sets of records in numbers that two processes can compare."""
+"""Compute digests of sets of records that two processes can compare."""
 
 import hashlib
 
@@ -11,9 +11,9 @@
 
 
 def digest_record(record: Record) -> int:
-    """Return a number that is equal for equal records in every process.
+    """Return the digest of a record, which is equal for equal records in every process.
 
-    The digest of a set is the exclusive or of its records' digests.
+    The digest of a set is the XOR of its records' digests.
 
     >>> from bendwind_core.world import DataCentre
     >>> digest_record(DataCentre("a")) == digest_record(DataCentre("a"))
@@ -24,5 +24,5 @@
 
 
 def digest_text(text: str) -> int:
-    """Return a number for a text that is the same in every process."""
+    """Return the digest of a text, which is the same in every process."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest())
--- a/packages/bendwind-core/src/bendwind_core/membership/events.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/events.py
@@ -1,4 +1,4 @@
-"""Define what happens to a NodeView or a VoterRegistry, and what these want done."""
+"""Define the events that a NodeView or a VoterRegistry handles, and the resulting effects."""
 
 import msgspec
 
@@ -10,36 +10,36 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Let time pass."""
+    """Check all timeouts and intervals against the current time."""
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """Deliver a message of a peer."""
+    """Deliver a message from a peer."""
 
     sender: str
     message: Record
 
 
 class LinkLost(msgspec.Struct, frozen=True):
-    """Tell that the link to a peer broke."""
+    """Report that the link to a peer broke."""
 
     peer: str
 
 
 class ServiceWatched(msgspec.Struct, frozen=True):
-    """Ask a node to watch a service from now on."""
+    """Request that a node watches a service from now on."""
 
     service: str
 
 
 class UpstreamAnnounced(msgspec.Struct, frozen=True):
-    """Register an upstream beside the node, or its new state; GONE takes it back."""
+    """Register an upstream on the node's instance, or its new state; GONE unregisters it."""
 
     upstream: Upstream
 
 
 class PeerVersionReceived(msgspec.Struct, frozen=True):
-    """Report the version and the age of confirmation that another process stated.
+    """Report the version, and the age of its confirmation, that another process stated.
 
     Units: `confirmed_age_ms` in milliseconds, None without a confirmation.
     """
@@ -50,51 +50,51 @@
 
 
 class ConfigurationAccepted(msgspec.Struct, frozen=True):
-    """Give a voter's registry the state that its control log has reached."""
+    """Report the state that a voter's control log has reached to its registry."""
 
     configuration: Configuration
     claim_groups: tuple[ClaimGroup, ...] = ()
 
 
 class DrainMarksAccepted(msgspec.Struct, frozen=True):
-    """Give a voter's registry the drain marks that its control log holds."""
+    """Report the drain marks in a voter's control log to its registry."""
 
     instances: frozenset[str]
     upstreams: frozenset[str]
 
 
 class QuorumConfirmed(msgspec.Struct, frozen=True):
-    """Tell that a barrier round which started at `started` has ended.
+    """Report that a barrier round which started at `started` has completed.
 
-    Everything accepted before `started` was given by ConfigurationAccepted before this event.
+    Everything accepted before `started` was reported by ConfigurationAccepted before this event.
     """
 
     started: Seconds
 
 
 class VotersChanged(msgspec.Struct, frozen=True):
-    """Tell a registry which voters there are now."""
+    """Report the current voters to a registry."""
 
     voters: tuple[VoterPlace, ...]
 
 
 class SendTo(msgspec.Struct, frozen=True):
-    """Send a message to a peer; it may be lost."""
+    """Send a message to a peer; the message may be lost."""
 
     to: str
     message: Record
 
 
 class ConfigurationApplied(msgspec.Struct, frozen=True):
-    """Tell that a node has put a version in force for all it watches."""
+    """Report that a node has applied a version for all services that it watches."""
 
     version: int
 
 
 class CustomersChanged(msgspec.Struct, frozen=True):
-    """Tell that a node has put other customers in force; `names` are those that differ.
+    """Report that a node has applied changed customers; `names` lists those that differ.
 
-    Customers and keys in force are counted, None where requests need no key.
+    `customers` and `keys` count the applied ones; they are None if requests need no key.
     """
 
     names: tuple[str, ...]
@@ -103,54 +103,54 @@
 
 
 class UpstreamsChanged(msgspec.Struct, frozen=True):
-    """Tell that a node's set of upstreams of a service changed."""
+    """Report that a node's set of upstreams of a service changed."""
 
     service: str
 
 
 class SuspectsReceived(msgspec.Struct, frozen=True):
-    """Tell what a voter knows against requests of the services that a node watches."""
+    """Pass on a voter's reports on suspect requests of the services that a node watches."""
 
     suspects: tuple[SuspectReport, ...]
 
 
 class ClaimGroupsChanged(msgspec.Struct, frozen=True):
-    """Tell that a claim group of a service which a node watches changed."""
+    """Report that the claim group of a service which a node watches changed."""
 
 
 class InstancesReceived(msgspec.Struct, frozen=True):
-    """Tell a node where other instances are reached."""
+    """Pass on the addresses of other instances to a node."""
 
     instances: tuple[Instance, ...]
 
 
 class VotersReceived(msgspec.Struct, frozen=True):
-    """Tell a node which voters there are."""
+    """Pass on the current voters to a node."""
 
     voters: tuple[VoterPlace, ...]
 
 
 class AttachmentChanged(msgspec.Struct, frozen=True):
-    """Tell that a node moved to another voter, and why."""
+    """Report that a node moved to another voter, with the reason."""
 
     voter: str
     reason: str
 
 
 class FreshnessChanged(msgspec.Struct, frozen=True):
-    """Tell that a node's proof of freshness began or ended."""
+    """Report that a node gained or lost its proof of freshness."""
 
     is_fresh: bool
 
 
 class MemberAppeared(msgspec.Struct, frozen=True):
-    """Tell that a voter counts a node as alive."""
+    """Report that a voter now considers a node alive."""
 
     node: Instance
 
 
 class MemberLost(msgspec.Struct, frozen=True):
-    """Tell that a voter no longer counts a node as alive."""
+    """Report that a voter no longer considers a node alive."""
 
     node: Instance
 
--- a/packages/bendwind-core/src/bendwind_core/membership/gossip.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Keep the registries of all voters alike by gossip and by digests of what they hold."""
+"""Synchronise the registries of all voters by gossip and by digests of their contents."""
 
 import random
 from collections.abc import Iterable
@@ -33,7 +33,7 @@
 def register(
     registry: VoterRegistry, state: MemberState, effects: list[RegistryEffect], now: Seconds
 ) -> None:
-    """Merge what this voter saw itself and tell the others of it."""
+    """Merge a state that this voter observed itself and queue it for the other voters."""
     if _merge_state(registry, state, effects, now):
         registry.changed_members[state.node.name] = None
 
@@ -83,7 +83,7 @@
 def handle_gossip(
     registry: VoterRegistry, message: MemberGossip, effects: list[RegistryEffect], now: Seconds
 ) -> None:
-    """Merge what another voter tells, and contradict it where this voter knows better."""
+    """Merge states from another voter, and correct those that are older than this voter's own."""
     if message.voter not in registry.peers:
         return
     registry.peers[message.voter] = now
@@ -99,7 +99,7 @@
 ) -> None:
     name = state.node.name
     if name not in registry.members and not state.is_alive:
-        # Taken over, a forgotten death would go round between the voters for ever.
+        # If a removed death were merged again, it would circulate between the voters for ever.
         return
     if not _merge_state(registry, state, effects, now):
         return
@@ -108,7 +108,7 @@
     is_adopted = merged.home == registry.name and merged.is_alive
     if client is None:
         if is_adopted:
-            # An earlier run of this voter registered it: it has one lease to be heard of.
+            # An earlier run of this voter registered the node, which has one lease to renew.
             registry.clients[name] = Client(merged.node.incarnation, merged.beat, now)
     elif client.incarnation < merged.node.incarnation:
         pushes.remove_client(registry, name)
@@ -124,7 +124,7 @@
 def handle_digest(
     registry: VoterRegistry, message: MemberDigest, effects: list[RegistryEffect]
 ) -> None:
-    """Send and ask for the members of buckets that differ."""
+    """Send and request the members of the buckets that differ."""
     pairs = enumerate(zip(registry.buckets, message.buckets, strict=False))
     differing = tuple(index for index, (ours, theirs) in pairs if ours != theirs)
     if not differing:
@@ -136,7 +136,7 @@
 def handle_pull(
     registry: VoterRegistry, message: MemberPull, effects: list[RegistryEffect]
 ) -> None:
-    """Answer a voter that asked for buckets."""
+    """Send the members of the requested buckets to a voter."""
     _send_buckets(registry, message.voter, message.buckets, effects)
 
 
@@ -165,7 +165,7 @@
 def send_due_gossip(
     registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds, rng: random.Random
 ) -> None:
-    """Send news, a sign of life and a digest when each is due."""
+    """Send changed members, a keepalive and a digest when each is due."""
     since = now - registry.gossip_sent_at
     if since >= _KEEPALIVE_INTERVAL or (registry.changed_members and since >= _CHANGES_INTERVAL):
         registry.gossip_sent_at = now
@@ -190,9 +190,9 @@
 def hide_members_of_lost_voters(
     registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds
 ) -> None:
-    """Count no node as alive whose home voter was not heard for a lease.
+    """Stop considering nodes alive whose home voter has sent no gossip for a lease.
 
-    A voter without a confirmation within the lease may itself be the one cut off: it hides none.
+    A voter without a confirmation within the lease may itself be partitioned, so it hides none.
     """
     confirmed = registry.confirmed_round_started_at
     lease = registry.times.lease
@@ -220,7 +220,7 @@
     effects: list[RegistryEffect],
     now: Seconds,
 ) -> None:
-    """Take over a changed set of voters and have the attached nodes told."""
+    """Replace the set of voters and queue it for the attached nodes."""
     registry.voters = voters
     registry.clients_awaiting_voters.update(dict.fromkeys(registry.clients))
     peers = [voter.name for voter in voters if voter.name != registry.name]
@@ -232,7 +232,7 @@
 
 
 def remove_dead_members(registry: VoterRegistry, before: Seconds) -> None:
-    """Drop members that have been dead or hidden since `before`."""
+    """Remove members that have been dead or hidden since before the time `before`."""
     names = [
         name
         for name, member in registry.members.items()
--- a/packages/bendwind-core/src/bendwind_core/membership/member.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/member.py
@@ -1,4 +1,4 @@
-"""Merge what voters register of the nodes."""
+"""Merge the states that voters register for nodes."""
 
 import msgspec
 
@@ -10,8 +10,9 @@
 
 
 class Member(msgspec.Struct):
-    """Hold a node's merged state, whether this voter counts it as alive, and its digest.
+    """Hold the merged state of a node, its digest, and whether this voter considers it alive.
 
+    `is_visible` is true while this voter considers the node alive.
     Units: `changed_at` in seconds of the voter's clock.
     """
 
@@ -22,22 +23,24 @@
 
 
 def find_bucket(name: str) -> int:
-    """Return the bucket that holds a node of this name."""
+    """Return the index of the bucket that holds the node of a name."""
     return digest_text(name) % BUCKET_COUNT
 
 
 def liveness_order(state: MemberState) -> tuple[int, int, bool]:
-    """Return what orders two reports on whether a node is alive."""
+    """Return the sort key of a report on whether a node is alive; the highest is the newest."""
     return state.node.incarnation, state.beat, not state.is_alive
 
 
 def content_order(state: MemberState) -> tuple[int, int]:
-    """Return what orders two reports on a node's upstreams."""
+    """Return the sort key of a report on a node's upstreams; the highest is the newest."""
     return state.node.incarnation, state.announced
 
 
 def merge_states(ours: MemberState, theirs: MemberState) -> MemberState:
-    """Return the newest of both in liveness and in content; neither order nor repeats matter.
+    """Return the newest liveness and the newest content of two states.
+
+    The result does not depend on the order in which states are merged or on repeated merges.
 
     >>> from bendwind_core.world import Instance
     >>> node = Instance("n", "a", "", 0, 1)
@@ -47,7 +50,7 @@
     """
     if ours.node.incarnation != theirs.node.incarnation:
         return max(ours, theirs, key=liveness_order)
-    # The home breaks the tie of two voters that registered one heartbeat.
+    # The home voter breaks the tie if two voters registered the same heartbeat.
     alive = max(ours, theirs, key=lambda state: (*liveness_order(state), state.home))
     content = max(ours, theirs, key=content_order)
     return MemberState(
@@ -56,7 +59,7 @@
 
 
 def put_state(member: Member, state: MemberState, now: Seconds) -> int:
-    """Replace a member's state and return the change of its bucket's digest."""
+    """Replace the state of a member and return the value to XOR into its bucket's digest."""
     change = member.digest
     member.state = state
     member.changed_at = now
--- a/packages/bendwind-core/src/bendwind_core/membership/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/messages.py
@@ -12,10 +12,13 @@
     """Renew the lease of a node and of the upstreams it announced.
 
     `sequence` numbers the heartbeats of one incarnation; the reply repeats it.
-    `version` is the configuration the node has in force for all it watches, -1 if it lacks any.
-    `watch` and `announced` number the newest Watch and Announce the node sent; `digest` sums up
-    the upstreams and claim groups it holds, so that the voter sees what was lost on the way.
-    `customers` is the version as of which it holds all customers, -1 if it is in doubt of them.
+    `version` is the configuration version that the node applies for all services it watches, -1 if
+    it lacks the configuration of any of them.
+    `watch` and `announced` are the numbers of the newest Watch and Announce that the node sent.
+    `digest` covers the upstreams and claim groups that the node holds, so that the voter detects
+    lost pushes.
+    `customers` is the version for which the node holds all customers, -1 if it is not certain that
+    it does.
     """
 
     node: Instance
@@ -28,11 +31,12 @@
 
 
 class HeartbeatReply(Record, frozen=True, array_like=True, tag="beat-reply"):
-    """Confirm a heartbeat and say how fresh the voter's configuration is.
+    """Confirm a heartbeat and report how fresh the voter's configuration is.
 
-    `is_current` says that nothing the node watches changed between the version it stated and
-    `version`. `resync` asks for Watch and Announce again. `is_same` says that the node's digest was
-    the voter's, so that it holds every upstream and claim group that the voter knew of.
+    `is_current` is true if nothing that the node watches changed between the version in its
+    heartbeat and `version`. `resync` requests Watch and Announce again. `is_same` is true if the
+    node's digest equals the voter's, so that the node holds every upstream and claim group that the
+    voter had registered.
     Units: `confirmed_age_ms` is the time since the start of the last quorum round that confirmed
     `version` as the newest, in milliseconds on the voter's clock; None if there was none.
     """
@@ -55,9 +59,9 @@
 
 
 class Watch(Record, frozen=True, array_like=True, tag="watch"):
-    """Name every service whose configuration and upstreams the node wants pushed.
+    """List every service whose configuration and upstreams the voter should push to the node.
 
-    `version`, `digest` and `customers` say what the node already has, as in its heartbeats.
+    `version`, `digest` and `customers` state what the node already holds, as in its heartbeats.
     """
 
     node: str
@@ -70,9 +74,9 @@
 
 
 class WatchUpdate(Record, frozen=True, array_like=True, tag="watch-update"):
-    """Push the upstreams of a watched service: all of them, or those that changed.
+    """Push the upstreams of a watched service: all of them, or only those that changed.
 
-    In an update that is not full, an upstream in state GONE leaves the set.
+    In an update that is not full, an upstream in state GONE is removed from the set.
     """
 
     service: str
@@ -81,13 +85,17 @@
 
 
 class ConfigurationChanged(Record, frozen=True, array_like=True, tag="configuration"):
-    """Push the services a node watches as of a version; `removed` names those that ended.
-
-    `base` is the lowest version it may be applied to; 0 means that it is complete, so that a
-    watched service it does not list does not exist. `watch` numbers the Watch it answers.
-    `holders` says where the members of the claim groups are reached. `routing` is None if it has
-    not changed since `base`; `evacuated` names all data centres whose upstreams get nothing new.
-    `customers` has a base of its own, since they are the same for every node, whatever it watches.
+    """Push the services that a node watches, as of a version.
+
+    `removed` lists the watched services that no longer exist.
+    `base` is the lowest version to which the message may be applied; 0 means that the message is
+    complete, so that a watched service that it does not list does not exist.
+    `watch` is the number of the Watch that the message answers.
+    `holders` lists the instances, with their addresses, that the claim groups' members run on.
+    `routing` is None if the routes have not changed since `base`.
+    `evacuated` lists all data centres whose upstreams receive no new attempts.
+    `customers` has its own base, since customers are the same for every node, regardless of the
+    services that it watches.
     """
 
     version: int
@@ -103,7 +111,7 @@
 
 
 class VoterPlace(Record, frozen=True, array_like=True):
-    """Name a control voter, the data centre it runs in and where its peers reach it."""
+    """Hold the name of a control voter, its data centre and the address for its peers."""
 
     name: str
     data_centre: str = ""
@@ -112,16 +120,17 @@
 
 
 class VoterList(Record, frozen=True, array_like=True, tag="voters"):
-    """Tell a node which voters there are, so that it need not rely on its settings."""
+    """Send a node the current voters, so that it does not depend on those in its settings."""
 
     voters: tuple[VoterPlace, ...]
 
 
 class MemberState(Record, frozen=True, array_like=True):
-    """Describe a node as its home voter, the one it is attached to, last registered it.
+    """Describe a node as last registered by its home voter, the voter that it is attached to.
 
+    `beat` is the sequence number of the heartbeat, `announced` that of the Announce.
     Liveness is ordered by (incarnation, `beat`, not `is_alive`), content by (incarnation,
-    `announced`): the highest wins on every voter, whatever the order of arrival.
+    `announced`). The highest wins on every voter, in whatever order states arrive.
     """
 
     node: Instance
@@ -133,28 +142,28 @@
 
 
 class MemberGossip(Record, frozen=True, array_like=True, tag="gossip"):
-    """Carry changed members from one voter to another; empty, it says that the voter lives."""
+    """Send changed members from one voter to another; without members it is a keepalive."""
 
     voter: str
     members: tuple[MemberState, ...] = ()
 
 
 class MemberDigest(Record, frozen=True, array_like=True, tag="gossip-digest"):
-    """Offer one digest for each bucket of members, so that the receiver sees what differs."""
+    """Send one digest for each bucket of members, so that the receiver finds those that differ."""
 
     voter: str
     buckets: tuple[int, ...]
 
 
 class MemberPull(Record, frozen=True, array_like=True, tag="gossip-pull"):
-    """Ask a voter for all members in some buckets."""
+    """Request all members of some buckets from a voter."""
 
     voter: str
     buckets: tuple[int, ...]
 
 
 class NodeStatus(Record, frozen=True, array_like=True):
-    """Report one node as the voter it is attached to last heard of it.
+    """Report the status of a node as of its last heartbeat to the voter that it is attached to.
 
     Units: `heartbeat_age_ms` in milliseconds on the voter's clock.
     """
@@ -169,20 +178,20 @@
 
 
 class SuspectReports(Record, frozen=True, array_like=True, tag="suspects"):
-    """Tell what is known against requests, from node to voter, between voters and to nodes."""
+    """Send reports on suspect requests from node to voter, between voters and to nodes."""
 
     suspects: tuple[SuspectReport, ...]
 
 
 class StatusRequest(Record, frozen=True, array_like=True, tag="status-request"):
-    """Ask a voter for the status of the nodes attached to it."""
+    """Request the status of the nodes attached to a voter."""
 
     voter: str
     number: int
 
 
 class StatusReply(Record, frozen=True, array_like=True, tag="status-reply"):
-    """Carry a part of the status; `more` says that another part follows."""
+    """Send a part of the requested status; `more` is true if another part follows."""
 
     voter: str
     number: int
--- a/packages/bendwind-core/src/bendwind_core/membership/pushes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/pushes.py
@@ -29,22 +29,22 @@
 from bendwind_core.membership.watch_cache import UpstreamKey, upstream_key
 from bendwind_core.world import Configuration, Instance, Upstream, UpstreamState
 
-# What one flush sends at most, so that a data centre's loss does not hold up heartbeats.
+# Maximum number of pushes per flush, so that the loss of a data centre does not delay heartbeats.
 _PUSHES_PER_FLUSH = 1000
 _HELD_VERSIONS = 256
-# A push of many routes or customers takes most of this on a slow link, and would hold up itself if
-# it were sent again for each heartbeat that comes meanwhile. One that is lost is sent again after
-# this.
+# A large push is not repeated before this delay. On a slow link, a push of many routes or customers
+# takes most of this time, and repeating it for each heartbeat in between would delay it further. A
+# lost push is sent again after the delay.
 PUSH_REPEAT_DELAY: Seconds = 1.0
-# A push of more services, routes and customers than this is not repeated within `PUSH_TAKES`; of
-# fewer, it has arrived before the next heartbeat.
+# A push with more services, routes and customers than this is large: it is not repeated within
+# `PUSH_REPEAT_DELAY`. A smaller one arrives before the next heartbeat.
 LARGE_PUSH_ITEMS = 128
 
 
 def accept_configuration(
     registry: VoterRegistry, configuration: Configuration, claim_groups: tuple[ClaimGroup, ...]
 ) -> None:
-    """Take over a newer configuration and mark who must hear of it."""
+    """Store a newer configuration and the claim groups, and mark the clients to push them to."""
     if configuration.version > registry.configuration.version:
         _update_services(registry, configuration)
     groups = {group.service: group for group in claim_groups}
@@ -59,7 +59,7 @@
 def accept_drain_marks(
     registry: VoterRegistry, instances: frozenset[str], upstreams: frozenset[str]
 ) -> None:
-    """Take over the drain marks and note whose upstreams they concern."""
+    """Replace the drain marks and mark the owners of the affected upstreams as dirty."""
     changed_instances = registry.draining_instances ^ instances
     changed_upstreams = registry.draining_upstreams ^ upstreams
     registry.draining_instances = instances
@@ -103,7 +103,7 @@
 def push_missing_configuration(
     registry: VoterRegistry, beat: Heartbeat, client: Client, effects: list[RegistryEffect]
 ) -> bool:
-    """Tell whether a node misses no configuration, and push what it misses."""
+    """Return whether a node's configuration is current; if it is not, push what it lacks."""
     rows = [find_or_create_row(registry, name) for name in client.services]
     is_current = _is_current(registry, beat.version, beat.customers, rows)
     is_ahead = beat.version > registry.configuration.version
@@ -113,7 +113,7 @@
 
 
 def _is_push_in_flight(registry: VoterRegistry, client: Client) -> bool:
-    """Tell whether the newest version was sent so lately that it may not have arrived yet."""
+    """Return whether a large push of the newest version may still be on its way to the node."""
     is_newest = client.pushed_version == registry.configuration.version
     is_same = client.pushed_base == _find_base(
         registry, client
@@ -130,8 +130,8 @@
 def _is_current(
     registry: VoterRegistry, version: int, customers: int, rows: list[ServiceRow]
 ) -> bool:
-    # Between two versions that this voter held, a service may have changed and changed back: of
-    # a version that it did not hold itself it cannot tell what the node has.
+    # Between two versions that this voter held, a service may have changed and changed back.
+    # Therefore the voter cannot determine the node's state from a version it never held itself.
     newest_for_all = max(registry.routing.newest, registry.evacuated_changed_at)
     if version not in registry.held_versions or newest_for_all > version:
         return False
@@ -149,8 +149,9 @@
 def answer_watch(
     registry: VoterRegistry, watch: Watch, client: Client, effects: list[RegistryEffect]
 ) -> None:
-    """Push a node what it lacks of all that it asks for."""
-    # A node that comes from another voter mostly has all of it: 3,000 may come at once.
+    """Push to a node what it lacks of the services in its Watch."""
+    # 3,000 nodes may move here from another voter at once. Most of them already hold all of it and
+    # are sent nothing.
     rows = [find_or_create_row(registry, name) for name in watch.services]
     is_ahead = watch.version > registry.configuration.version
     client.version = watch.version
@@ -164,10 +165,10 @@
 def compare_digest(
     registry: VoterRegistry, beat: Heartbeat, client: Client, effects: list[RegistryEffect]
 ) -> bool:
-    """Tell whether a node holds all that the voter knows; push all upstreams after a loss."""
+    """Return whether a node holds all that the voter does; push all upstreams after a loss."""
     rows = [find_or_create_row(registry, name) for name in client.services]
     is_same = beat.digest == _sum_digests(rows)
-    # One difference may be a push that crossed the heartbeat; two in a row are a loss.
+    # One mismatch may come from a push that crossed the heartbeat; two in a row mean a lost push.
     if not is_same and client.has_digest_mismatch:
         _push_watched(registry, beat.node.name, client, effects)
     client.has_digest_mismatch = not is_same and not client.has_digest_mismatch
@@ -181,12 +182,12 @@
 
 
 def _find_base(registry: VoterRegistry, client: Client) -> int:
-    """Return the version that a node holds, 0 if what changed since is not known."""
+    """Return the version that a node holds, 0 if the changes since then are not known."""
     return client.version if client.version in registry.held_versions else 0
 
 
 def _find_customers_base(registry: VoterRegistry, client: Client) -> int:
-    """Return the version as of which a node holds all customers, 0 as in `_find_base`."""
+    """Return the version for which a node holds all customers, 0 as in `_find_base`."""
     return client.customers if client.customers in registry.held_versions else 0
 
 
@@ -228,7 +229,7 @@
 def _push_watched(
     registry: VoterRegistry, node: str, client: Client, effects: list[RegistryEffect]
 ) -> None:
-    # The claim groups, which the digest covers too, go with a configuration.
+    # The digest also covers the claim groups, which are sent with a configuration.
     if client.version <= registry.configuration.version:
         _push_configuration(registry, node, client, effects)
     for name in client.services:
@@ -237,7 +238,7 @@
 
 
 def set_watch(registry: VoterRegistry, node: str, client: Client, watch: Watch) -> None:
-    """Replace what a node watches."""
+    """Replace the services that a node watches."""
     _stop_watching(registry, node, client)
     client.watch = watch.sequence
     client.pushed_version = -1
@@ -247,7 +248,7 @@
 
 
 def remove_client(registry: VoterRegistry, node: str) -> None:
-    """Forget a node that is no longer attached here."""
+    """Remove a node that is no longer attached to this voter."""
     client = registry.clients.pop(node, None)
     if client:
         _stop_watching(registry, node, client)
@@ -272,7 +273,7 @@
 def mark_dirty(
     registry: VoterRegistry, owner: str, upstreams: tuple[Upstream, ...], *, is_urgent: bool
 ) -> None:
-    """Note that the upstreams of a node may differ from what was pushed."""
+    """Record that the upstreams of a node may differ from what was pushed."""
     queue = registry.urgent_services if is_urgent else registry.dirty_services
     for upstream in upstreams:
         find_or_create_row(registry, upstream.service).dirty_owners.add(owner)
@@ -280,7 +281,7 @@
 
 
 def flush(registry: VoterRegistry, effects: list[RegistryEffect]) -> None:
-    """Push what changed since the last flush, as far as the limit allows; leaving goes first."""
+    """Push changes since the last flush; voter lists and drains go first and ignore the limit."""
     limit = len(effects) + _PUSHES_PER_FLUSH
     while registry.clients_awaiting_voters:
         effects.append(
--- a/packages/bendwind-core/src/bendwind_core/membership/registry.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/registry.py
@@ -1,4 +1,4 @@
-"""Decide for a voter: which nodes are alive, what they registered and who is told."""
+"""Apply events to a voter's registry: live nodes, their registrations, replies and pushes."""
 
 import random
 
@@ -40,16 +40,17 @@
 )
 from bendwind_core.world import Instance
 
-# Longer than a voter stays cut off, so that it cannot bring a forgotten node back.
+# Dead nodes are removed after this time, in seconds. It is longer than any partition of a voter, so
+# that a voter that returns cannot reintroduce a removed node.
 _EVICTION_DELAY = 3600.0
-# Ticks further apart than this share of the lease mean that the voter itself was stopped.
+# If the time between two ticks exceeds this share of the lease, the voter itself was stopped.
 _PAUSE_SHARE = 0.5
 
 
 def create_voter_registry(
     name: str, voters: tuple[VoterPlace, ...], times: LeaseTimes, now: Seconds
 ) -> VoterRegistry:
-    """Create the registry of a voter that has just started and knows no node."""
+    """Create the registry of a voter that has just started, without any nodes."""
     peers = {voter.name: now for voter in voters if voter.name != name}
     return VoterRegistry(name, times, peers, ticked_at=now, no_expiry_until=now, voters=voters)
 
@@ -57,7 +58,7 @@
 def step_registry(
     registry: VoterRegistry, event: RegistryEvent, now: Seconds, rng: random.Random
 ) -> list[RegistryEffect]:
-    """Apply an event and return what is to be done."""
+    """Apply an event to a voter's registry and return the effects to carry out."""
     effects: list[RegistryEffect] = []
     match event:
         case Tick():
@@ -83,8 +84,8 @@
         _expire_clients(registry, effects, now)
         gossip.hide_members_of_lost_voters(registry, effects, now)
     if is_voter(registry):
-        # Voters heed gossip of voters alone: ten learners sent five voters 100 messages a second
-        # in vain (counted over 10 s of a calm day).
+        # Learners send no gossip, since voters accept it from voters only: ten learners would send
+        # five voters 100 useless messages per second while nothing changes.
         gossip.send_due_gossip(registry, effects, now, rng)
         flush_suspects(registry, effects, now)
     pushes.flush(registry, effects)
@@ -100,7 +101,7 @@
 
 
 def _expire_clients(registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds) -> None:
-    # Each renewal moves its client to the end, so the oldest come first.
+    # Each renewal moves its client to the end, so the oldest clients come first.
     limit = now - registry.times.lease
     while registry.clients:
         name, client = next(iter(registry.clients.items()))
@@ -151,7 +152,7 @@
     if _is_outdated(registry, beat):
         return
     if not is_voter(registry):
-        # A learner tells no other voter of a node, so the node has to find a voter.
+        # A learner reports no node to the voters, so the node has to attach to a voter instead.
         effects.append(SendTo(node.name, VoterList(registry.voters)))
         return
     client = registry.clients.get(node.name)
@@ -170,7 +171,7 @@
 
 
 def is_voter(registry: VoterRegistry) -> bool:
-    """Tell whether the process of this registry is one of the voters."""
+    """Return whether the process of this registry is one of the voters."""
     return any(voter.name == registry.name for voter in registry.voters)
 
 
@@ -213,7 +214,7 @@
 
 
 def confirmed_age_ms(registry: VoterRegistry, now: Seconds) -> Milliseconds | None:
-    """Return the time since the start of the last confirmed round, None without one."""
+    """Return the time since the start of the last confirmed quorum round, None without one."""
     if registry.confirmed_round_started_at is None:
         return None
     return (now - registry.confirmed_round_started_at) * MILLISECONDS_PER_SECOND
@@ -244,12 +245,12 @@
 
 
 def list_alive(registry: VoterRegistry) -> tuple[Instance, ...]:
-    """List the nodes that this voter counts as alive."""
+    """List the nodes that this voter considers alive."""
     return tuple(member.state.node for member in registry.members.values() if member.is_visible)
 
 
 def list_status(registry: VoterRegistry, now: Seconds) -> tuple[NodeStatus, ...]:
-    """List the nodes attached to this voter."""
+    """List the status of the nodes attached to this voter."""
     return tuple(
         _make_status(registry, name, client, now) for name, client in registry.clients.items()
     )
--- a/packages/bendwind-core/src/bendwind_core/membership/renewal.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/renewal.py
@@ -1,4 +1,4 @@
-"""Decide for a node: which voter it renews with, what is in force and whether that is fresh."""
+"""Apply events to a node's view: its voter, the applied configuration and its freshness."""
 
 import random
 
@@ -57,19 +57,22 @@
 from bendwind_core.world import Upstream, UpstreamState
 
 _MAX_UNANSWERED = 8
-# Callers may name services that do not exist: the watch on those makes room for others.
+# Limits the watched services, since callers may name services that do not exist. At the limit, a
+# new service replaces a watched one that does not exist.
 MAX_WATCHED = 512
-# Stated in heartbeats by a node that lacks the configuration of a service it watches, or that is in
-# doubt whether the customers it holds are those of its version: it is sent all of them.
+# Version in the heartbeats of a node that lacks the configuration of a service it watches, or that
+# is not certain that it holds the customers of its version. The voter then sends the complete
+# configuration, or all customers.
 INCOMPLETE = -1
-# A node away from its preferred voter tries it again at about one good reply in this many.
+# A node that uses another voter than the preferred one returns to that at about one in this many
+# replies while its view is fresh.
 _REPLIES_PER_RETURN = 120
 
 
 def step_view(
     view: NodeView, event: ViewEvent, now: Seconds, rng: random.Random
 ) -> list[ViewEffect]:
-    """Apply an event and return what is to be done."""
+    """Apply an event to a node's view and return the effects to carry out."""
     effects: list[ViewEffect] = []
     match event:
         case Tick():
@@ -137,8 +140,8 @@
 def _move_to_next_voter(
     view: NodeView, reason: str, effects: list[ViewEffect], now: Seconds, rng: random.Random
 ) -> None:
-    # After a timeout the old voter's answer may still come, and sooner than one of the next voter,
-    # which this node has to dial over the same slow link.
+    # After a timeout the reply of the old voter may still arrive, and earlier than one of the next
+    # voter, which this node first has to dial over the same slow link.
     if reason != NO_REPLY:
         discard_heartbeats(view.attachment, view.voter)
     select_next_voter(view.attachment, view.times, now, rng)
@@ -192,12 +195,12 @@
 
 
 def _append_seeds(order: tuple[str, ...], seeds: tuple[VoterPlace, ...]) -> tuple[str, ...]:
-    # Seeds that are no voters come last: they are asked when all the voters known are gone.
+    # Seeds that are not voters come last: they are tried when no known voter can be reached.
     return (*order, *(seed.name for seed in seeds if seed.name not in order))
 
 
 def set_seeds(view: NodeView, seeds: tuple[VoterPlace, ...]) -> None:
-    """Take over the voters that changed settings name."""
+    """Replace the seeds by the voters listed in changed settings."""
     view.seeds = seeds
     set_voter_order(view.attachment, _append_seeds(view.attachment.order, seeds))
 
@@ -216,8 +219,8 @@
     view.attachment.last_reply_at = now
     view.attachment.has_received_reply = True
     if reply.resync:
-        _send_everything(view, effects)
-    # What was current at the heartbeat says nothing of what has been put in force since.
+        _resend_registration(view, effects)
+    # `is_current` refers to the state at the heartbeat, not to configuration applied since.
     is_as_sent = sent.watch == view.watch_sequence and sent.customers == _customers_version(view)
     if reply.is_current and view.is_complete and is_as_sent:
         _apply_version(view, reply.version, effects)
@@ -231,7 +234,7 @@
 def _resolve_attachment(
     view: NodeView, sender: str, reply: HeartbeatReply, effects: list[ViewEffect], now: Seconds
 ) -> bool:
-    """Tell whether the node is attached to the sender of a reply, or turns back to it."""
+    """Return whether the node is attached to the sender of a reply, possibly by returning to it."""
     attachment = view.attachment
     is_recent = _is_recently_confirmed(view, reply)
     if sender != view.voter and is_recent:
@@ -244,13 +247,14 @@
 
 
 def _is_recently_confirmed(view: NodeView, reply: HeartbeatReply) -> bool:
-    # Not by this node's clock, which counts the delay of its own link as well.
+    # The age is the one the voter reports. By this node's clock it would include the delay of the
+    # node's own link.
     age_ms = reply.confirmed_age_ms
     limit = view.times.confirmation_limit
     return age_ms is not None and age_ms < limit * MILLISECONDS_PER_SECOND
 
 
-def _send_everything(view: NodeView, effects: list[ViewEffect]) -> None:
+def _resend_registration(view: NodeView, effects: list[ViewEffect]) -> None:
     effects.append(SendTo(view.voter, _make_announce(view)))
     effects.append(SendTo(view.voter, _make_watch(view)))
 
@@ -283,12 +287,12 @@
 
 
 def _handle_confirmation(
-    view: NodeView, reply: HeartbeatReply, sent: Seconds, now: Seconds
+    view: NodeView, reply: HeartbeatReply, sent_at: Seconds, now: Seconds
 ) -> None:
-    # The voter's round began at least this long before it answered, and it answered after the
-    # heartbeat was sent, so the round began no earlier than this on the node's own clock.
-    confirmed_at = sent - reply.confirmed_age_ms / MILLISECONDS_PER_SECOND
-    if _is_recently_confirmed(view, reply) and now - sent < view.times.confirmation_limit:
+    # The voter's round began this long before its reply, and it replied after the heartbeat was
+    # sent. On the node's own clock the round therefore began no earlier than `confirmed_at`.
+    confirmed_at = sent_at - reply.confirmed_age_ms / MILLISECONDS_PER_SECOND
+    if _is_recently_confirmed(view, reply) and now - sent_at < view.times.confirmation_limit:
         view.attachment.last_good_reply_at = now
         view.attachment.stay_beats = 1.0
     if reply.is_same:
@@ -337,9 +341,9 @@
     view.is_complete = True
     view.pending.clear()
     _apply_version(view, message.version, effects)
-    proof = view.pending_confirmation
-    if proof and proof.version <= view.version:
-        _advance_confirmed_at(view, proof.confirmed_at)
+    confirmation = view.pending_confirmation
+    if confirmation and confirmation.version <= view.version:
+        _advance_confirmed_at(view, confirmation.confirmed_at)
         view.pending_confirmation = None
 
 
@@ -354,11 +358,11 @@
     if len(watched) < MAX_WATCHED:
         return True
     unknown = (name for name in watched if name not in view.services)
-    dropped = next(unknown, None)
-    if dropped is not None:
-        view.pending.discard(dropped)
-        watch_cache.remove_watched(view.cache, dropped)
-    return dropped is not None
+    evicted = next(unknown, None)
+    if evicted is not None:
+        view.pending.discard(evicted)
+        watch_cache.remove_watched(view.cache, evicted)
+    return evicted is not None
 
 
 def _watch(view: NodeView, service: str, effects: list[ViewEffect]) -> None:
--- a/packages/bendwind-core/src/bendwind_core/membership/routing_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/routing_changes.py
@@ -1,4 +1,4 @@
-"""Tell nodes which routes changed since the version that they hold, instead of all routes."""
+"""Compute which routes changed since the version that a node holds, to send only those."""
 
 import msgspec
 
@@ -9,9 +9,9 @@
 
 
 class RoutingChange(Record, frozen=True, array_like=True):
-    """Carry the routes that changed and the places, host and path prefix, of those that ended.
+    """Hold the routes that changed and the keys, host and path prefix, of those removed.
 
-    One that `is_whole` carries all routes.
+    A change with `is_whole` holds all routes.
     """
 
     revision: int
@@ -22,7 +22,7 @@
 
 
 class RoutingHistory(msgspec.Struct):
-    """Hold at which version each route last changed, and the places of ended ones with theirs."""
+    """Hold the version of each route's last change, and the version that removed each old route."""
 
     changed_at: dict[RouteKey, int] = msgspec.field(default_factory=dict)
     removed_at: dict[RouteKey, int] = msgspec.field(default_factory=dict)
@@ -30,14 +30,17 @@
 
 
 def find_route_key(route: Route) -> RouteKey:
-    """Return what no two routes share."""
+    """Return the key of a route, its host and path prefix, which is unique."""
     return route.host, route.path_prefix
 
 
 def record_routing_change(
     history: RoutingHistory, before: Routing, after: Routing, version: int, oldest: int
 ) -> None:
-    """Note what a version changed; nobody is told of changes since versions before `oldest`."""
+    """Record what a version changed.
+
+    No node is sent the changes since versions before `oldest`, so removals up to it are dropped.
+    """
     known = {find_route_key(route): route for route in before.routes}
     for route in after.routes:
         place = find_route_key(route)
@@ -55,8 +58,8 @@
 def make_routing_change(
     history: RoutingHistory, routing: Routing, base: int
 ) -> RoutingChange | None:
-    """Return what changed since a version, all routes where it is 0, None if nothing did."""
-    # All routes sent for a change of one would hold up a slow link, and the heartbeats on it.
+    """Return the changes since a version, all routes for version 0, None if nothing changed."""
+    # Sending all routes for a change of one would block a slow link and delay the heartbeats on it.
     if base == 0:
         return RoutingChange(routing.revision, routing.limits, routing.routes)
     if history.newest <= base:
@@ -69,7 +72,7 @@
 
 
 def apply_routing_change(routing: Routing, change: RoutingChange) -> Routing:
-    """Return the routes after a change that follows on those held."""
+    """Return the routes that result from applying a change to the held routes."""
     if change.is_whole:
         return Routing(change.revision, change.routes, change.limits)
     routes = {find_route_key(route): route for route in routing.routes}
--- a/packages/bendwind-core/src/bendwind_core/membership/settings.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/settings.py
@@ -1,15 +1,15 @@
-"""Hold the durations that membership is tuned by."""
+"""Define the heartbeat, lease and timeout durations of membership."""
 
 import msgspec
 
 from bendwind_core.core import Seconds
 
-# Two clocks that measure the same duration may differ by this share of it (1,000 ppm).
+# Maximum relative difference between two clocks that measure the same duration (1,000 ppm).
 CLOCK_RATE_BOUND = 0.001
 
 
 class LeaseTimes(msgspec.Struct, frozen=True):
-    """Hold how often nodes renew and for how long a renewal counts.
+    """Hold the heartbeat interval of nodes and the duration of the lease that one renews.
 
     Units: seconds.
     """
@@ -24,10 +24,10 @@
 
     @property
     def confirmation_limit(self) -> Seconds:
-        """Return the age of a voter's confirmation beyond which a node moves on."""
+        """Return the age of a voter's confirmation at which a node moves to another voter."""
         return 0.5 * self.lease
 
     @property
     def provable_lease(self) -> Seconds:
-        """Return the lease less what the clocks of node and voter may be wrong by."""
+        """Return the lease minus the possible clock rate difference between node and voter."""
         return self.lease * (1 - CLOCK_RATE_BOUND)
--- a/packages/bendwind-core/src/bendwind_core/membership/state.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/state.py
@@ -1,4 +1,4 @@
-"""Hold what a voter registers of nodes, their upstreams and what they watch."""
+"""Define a voter's registry of nodes, their upstreams and their watched services."""
 
 import msgspec
 
@@ -16,12 +16,14 @@
 
 
 class Client(msgspec.Struct):
-    """Hold a node attached to this voter: its last heartbeat and what it watches.
-
-    `is_suspect` says that the last heartbeat's digest differed from what was pushed, `pushed` which
-    version it was sent last, -1 for none since its watch changed, with `pushed_items` that changed
-    since the two bases. `customers` is the version as of which it holds all customers, by its
-    own word.
+    """Hold a node attached to this voter: its last heartbeat and its watched services.
+
+    `has_digest_mismatch` is true if the digest of the last heartbeat differed from that of the
+    pushed upstreams and claim groups.
+    `pushed_version` is the version sent last, -1 if none was sent since the node's watch changed.
+    `pushed_items` counts the items of that push which had changed since its two bases,
+    `pushed_base` and `pushed_customers_base`.
+    `customers` is the version for which the node, by its own report, holds all customers.
     Units: `renewed_at` and `pushed_at` in seconds of the voter's clock.
     """
 
@@ -41,10 +43,10 @@
 
 
 class ServiceRow(msgspec.Struct):
-    """Hold what the watchers of a service were pushed, and who they are.
+    """Hold the watchers of a service and the state that was pushed to them.
 
-    `digest` covers `upstreams` and `claim_group`; `dirty` names owners whose upstreams of the
-    service may differ from what was pushed.
+    `digest` covers `upstreams` and `claim_group`. `dirty_owners` lists the owners whose upstreams
+    of the service may differ from those pushed.
     """
 
     service: Service | None = None
@@ -57,14 +59,19 @@
 
 
 class VoterRegistry(msgspec.Struct):
-    """Hold a voter's soft state: all of it is rebuilt from nodes and other voters.
-
-    `clients` is ordered by renewal. `held` lists the newest versions that this run held, so
-    that it knows what changed since each; `routing` knows it of routes. `news` names members to
-    tell the other voters of; `dirty` and `urgent` name services and `outdated` clients to push to.
-    `voters` are all voters, this one included if it is one; `uninformed` names clients that have
-    not been told of them.
-    `suspects` are the requests that may end the upstreams which run them.
+    """Hold a voter's soft state, all of which can be rebuilt from nodes and other voters.
+
+    `clients` is ordered by the time of renewal, the oldest first.
+    `held_versions` lists the newest versions that this run held, for each of which it can determine
+    what changed since; `routing` does so for routes.
+    `changed_members` lists the members to send to the other voters.
+    `dirty_services` and `urgent_services` list services, and `outdated_clients` lists clients, for
+    which pushes are due.
+    `voters` are all voters, including this process if it is one. `clients_awaiting_voters` lists
+    the clients to which they have not been sent.
+    `confirmed_round_started_at` is the start of the last quorum round that confirmed the version.
+    `no_expiry_until` is the time until which no client or voter expires.
+    `suspects` are the requests that may crash the upstreams which run them.
     Units: times in seconds of the voter's clock.
     """
 
@@ -100,7 +107,7 @@
 
 
 def find_or_create_row(registry: VoterRegistry, service: str) -> ServiceRow:
-    """Return the row of a service, made if there is none."""
+    """Return the row of a service, creating it if there is none."""
     row = registry.services.get(service)
     if row is None:
         row = registry.services[service] = ServiceRow()
@@ -108,7 +115,7 @@
 
 
 def put_claim_group(row: ServiceRow, group: ClaimGroup | None) -> None:
-    """Replace the claim group of a row and keep its digest right."""
+    """Replace the claim group of a row and update the row's digest."""
     if row.claim_group:
         row.digest ^= digest_record(row.claim_group)
     row.claim_group = group
--- a/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
@@ -1,4 +1,4 @@
-"""Spread what is known against requests: from owner nodes to voters, and on to all that send."""
+"""Distribute reports on suspect requests from owner nodes to voters and on to entry nodes."""
 
 from collections.abc import Iterable
 
@@ -15,21 +15,22 @@
     remove_expired,
 )
 
-# What has a consequence is told again this often. By then a voter that was cut off, or that missed
-# a message, knows as much as the others; nodes have three times as long.
+# Interval at which reports that restrict a request are repeated to the other voters. Within it, a
+# voter that was partitioned or missed a message catches up with the others; nodes may take three
+# times as long.
 REPEAT_INTERVAL: Seconds = 1.0
-# A suspect with three ends takes some 200 bytes.
+# Limits the size of a message: the report on a suspect with three ends takes some 200 bytes.
 _REPORTS_PER_MESSAGE = 50
 
 
 def merge_suspects(registry: VoterRegistry, message: SuspectReports, now: Seconds) -> None:
-    """Take over what a node or another voter tells; what is new is passed on at the next flush."""
+    """Merge reports of a node or another voter; new ones are forwarded at the next flush."""
     for report in message.suspects:
         merge_and_queue_report(registry.suspects, report, now)
 
 
 def flush_suspects(registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds) -> None:
-    """Tell the other voters and the nodes that watch the service what is new against requests."""
+    """Send new reports on suspects to the other voters and to the nodes that watch the service."""
     if registry.suspects.unreported:
         reports = pop_unreported(registry.suspects, now)
         for voter in registry.peers:
@@ -58,7 +59,7 @@
 def send_known_suspects(
     registry: VoterRegistry, watch: Watch, effects: list[RegistryEffect], now: Seconds
 ) -> None:
-    """Tell a node what is known against requests of the services that it watches."""
+    """Send a node the reports on suspect requests of the services that it watches."""
     services = frozenset(watch.services)
     known = registry.suspects.suspects.values()
     _send(
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/fakes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Run registries and views against a faulty network and clocks that disagree."""
+"""Simulate registries and views with a faulty network and clocks that differ."""
 
 import dataclasses
 import heapq
@@ -76,7 +76,7 @@
 
 
 class World:
-    """Hold the true time, every process, the messages under way and what truly happened."""
+    """Hold the true time, all processes, the messages in flight and the true history."""
 
     def __init__(self, seed: int):
         self.rng = random.Random(seed)
@@ -162,7 +162,7 @@
         return 2 * reached > len(VOTERS)
 
     def lose_link(self, one: str, other: str) -> None:
-        """Break a link so that both ends notice, and drop what was under way."""
+        """Break a link so that both ends detect it, and drop its messages in flight."""
         pair = {one, other}
         self.in_flight = [entry for entry in self.in_flight if set(entry[2:4]) != pair]
         heapq.heapify(self.in_flight)
@@ -223,7 +223,7 @@
             voter.barrier = None
 
     def exchange_hello(self, one: str, other: str) -> None:
-        """Let two nodes greet each other, as they do when a call opens a link."""
+        """Deliver the Hello of one node to another, as sent when a call opens a link."""
         view = self.nodes[other].view
         age = view.confirmed_age_ms(self.nodes[other].clock.read(self.now))
         self.step(one, PeerVersionReceived(other, view.version, age))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/faulty_world.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/faulty_world.py
@@ -1,4 +1,4 @@
-"""Let a network and the processes on it fail in every way that voters and nodes have to bear."""
+"""Inject every network and process fault that voters and nodes have to tolerate."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
@@ -12,7 +12,7 @@
 
 
 class FaultyWorldMachine(RuleBasedStateMachine):
-    """Hold voters and nodes; what has to hold for them all the while is what `check` states."""
+    """Run voters and nodes under faults; `check` asserts what must hold at any time."""
 
     def start_world(self, seed):
         self.world = World(seed)
@@ -45,7 +45,7 @@
 
     @rule(voter=VOTER, share=st.floats(0, 1))
     def restart_voter(self, voter, share):
-        # It has a part of the log on disk and hears the rest with its first round.
+        # It has a part of the log on disk and receives the rest with its first round.
         known = self.world.voters[voter].applied
         self.world.voters[voter] = self.world.start_voter(voter)
         self.world.apply(voter, round(share * known))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_customer_pushes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_customer_pushes.py
@@ -40,12 +40,13 @@
 )
 
 SERVED = (Service(SERVICES[0], ("*",)),)
-# A voter hears of a version with its next round; a push is collected and crosses one link.
+# Time limit for a push: a voter receives a version with its next round, and a push is collected and
+# crosses one link.
 PUSH = 0.6
 
 
 def make_customers(count, **changed):
-    """Make customers c0, c1... whose keys are k0, k1..., but for those that are named."""
+    """Return customers c0, c1... with the keys k0, k1..., unless `changed` names another key."""
     keys = {f"c{index}": f"k{index}" for index in range(count)} | changed
     return tuple(
         Customer(name, (digest_key(key.encode()),)) for name, key in sorted(keys.items()) if key
@@ -102,7 +103,7 @@
 
 
 class PushTest(unittest.TestCase):
-    """One voter, told of versions, and one node that states what it holds."""
+    """Test one voter that accepts versions with one node that reports what it holds."""
 
     def setUp(self):
         self.rng = random.Random(4)
@@ -118,7 +119,7 @@
         step_registry(self.registry, ConfigurationAccepted(configuration), 0.0, self.rng)
 
     def beat(self, version, customers):
-        """Let a node state what it holds; return the push and the reply that it gets."""
+        """Report what a node holds; return the customers pushed to it and the reply."""
         self.sequence += 1
         beat = Heartbeat(self.node, self.sequence, version, 1, customers=customers)
         if self.sequence == 1:
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_customers.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_customers.py
@@ -1,4 +1,4 @@
-"""Check that nodes hold just the customers of their version, whatever becomes of messages."""
+"""Check that nodes hold exactly the customers of their version under message faults."""
 
 import unittest
 
@@ -15,13 +15,13 @@
 NAMES = ("c0", "c1", "c2", "c3", "c4")
 KEYS = ("k0", "k1", "k2", "k3", "k4", "k5", "k6")
 SERVED = (Service(SERVICES[0], ("*",)),)
-# Once nothing is lost any more, a node that moved on finds a voter, states what it holds, and is
-# sent what it lacks: that takes up to eight heartbeats.
+# Once no message is lost any more, a node that left its voter attaches to one, reports what it
+# holds and is sent what it lacks. This takes up to eight heartbeats.
 SETTLE_BEATS = 8
 
 
 def make_customers(held):
-    """Return the customers of a map from keys to names; a name without a key may be in it too."""
+    """Return the customers of a map from keys to customer names; an empty name is ignored."""
     names = sorted({name for name in held.values() if name})
     keys = {name: [key for key in sorted(held) if held[key] == name] for name in names}
     return tuple(
@@ -44,7 +44,7 @@
 
     @rule(key=st.sampled_from(KEYS), name=st.sampled_from((*NAMES, "")))
     def give_key(self, key, name):
-        """Give a key to a customer, take it from another, or withdraw it."""
+        """Assign a key to a customer, move it from another customer, or withdraw it."""
         held = dict(self.held or {})
         held.pop(key, None)
         self.accept(held | {key: name} if name else held)
@@ -55,7 +55,7 @@
 
     @rule()
     def restore_previous(self):
-        """Return to the customers before, which a voter that skips a version cannot see."""
+        """Revert to the previous customers, which a voter that skips a version cannot detect."""
         self.accept(self.before)
 
     @rule(held=st.sampled_from((None, {})))
@@ -64,7 +64,7 @@
 
     @rule(changes=st.lists(st.tuples(st.sampled_from(KEYS), st.sampled_from(NAMES)), max_size=6))
     def change_quickly(self, changes):
-        """Accept versions faster than voters hear of each, so that they skip some."""
+        """Accept versions faster than voters receive each, so that voters skip some."""
         for key, name in changes:
             self.accept((self.held or {}) | {key: name})
             self.world.advance(0.05)
@@ -72,7 +72,7 @@
 
     @rule(node=NODE, service=st.sampled_from(SERVICES), delay=st.sampled_from((0.5, 1.2)))
     def restart_node_that_watches(self, node, service, delay):
-        """Let what an older run of a node was sent reach a newer one."""
+        """Deliver messages sent to an older run of a node to a newer run."""
         self.world.heal()
         self.world.longest_delay = delay
         for _ in range(2):
@@ -84,7 +84,7 @@
 
     @rule(key=st.sampled_from(KEYS), name=st.sampled_from(NAMES), wait=st.sampled_from((0.2, 0.5)))
     def restart_voters_between(self, key, name, wait):
-        """Let heartbeats meet voters that do not know of a version in between."""
+        """Deliver heartbeats to restarted voters that never held a version in between."""
         self.world.heal()
         self.pass_time(2.0)
         self.world.longest_delay = 1.2
@@ -104,15 +104,15 @@
         truths = {config.version: config.customers for _, config in self.world.accepted}
         for name, node in self.world.nodes.items():
             view = node.view
-            assert view.version >= node.highest, f"{name} went from {node.highest} back"
+            assert view.version >= node.highest, f"{name} went back from {node.highest}"
             node.highest = view.version
             self.check_table(view.customers, truths[view.version], f"{name} at {view.version}")
 
     def check_table(self, table, truth, place):
         if truth is None:
-            assert table is None, f"{place} asks for keys"
+            assert table is None, f"{place} requires keys"
             return
-        assert table is not None, f"{place} asks for no key"
+        assert table is not None, f"{place} requires no key"
         held = tuple(table.by_name[name] for name in sorted(table.by_name))
         assert held == truth, f"{place} holds {held}, not {truth}"
         owners = {key: customer.name for customer in truth for key in customer.keys}
@@ -130,7 +130,7 @@
         for name, node in self.world.nodes.items():
             assert self.world.is_fresh(name), f"{name} stays stale"
             assert node.view.version == newest, f"{name} stays at {node.view.version}"
-            assert not node.view.has_uncertain_customers, f"{name} stays in doubt"
+            assert not node.view.has_uncertain_customers, f"{name} stays uncertain of its customers"
 
     def teardown(self):
         if hasattr(self, "world"):
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
@@ -62,7 +62,7 @@
         world = self.world
         for name, node in world.nodes.items():
             view = node.view
-            assert view.version >= node.highest, f"{name} went from {node.highest} back"
+            assert view.version >= node.highest, f"{name} went back from {node.highest}"
             node.highest = view.version
             if world.is_fresh(name):
                 oldest = world.newest_before(world.now - TIMES.lease)
@@ -89,7 +89,7 @@
         for name, node in self.world.nodes.items():
             assert self.world.is_fresh(name), f"{name} stays stale"
             assert node.view.version == newest, f"{name} stays at {node.view.version}"
-            assert not node.view.pending, f"{name} never heard of {node.view.pending}"
+            assert not node.view.pending, f"{name} never received {node.view.pending}"
             self.check_content(node.view)
 
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_membership.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_membership.py
@@ -17,7 +17,8 @@
 NODES = ("n0", "n1", "n2", "n3", "n4")
 VOTER = st.sampled_from(VOTERS)
 NODE = st.sampled_from(NODES)
-# News and pushes are collected for a moment on each of two voters and cross two links.
+# Time limit for a change to reach nodes: changed members and pushes are collected for a moment on
+# each of two voters and cross two links.
 PUSH = 0.6
 SETTLE = 30.0
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_moves.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_moves.py
@@ -26,7 +26,7 @@
 
 
 class MoveTest(unittest.TestCase):
-    """Nodes that hold version 7 meet a voter that holds 9, in which one route differs."""
+    """Attach nodes that hold version 7 to a voter that holds 9, in which one route differs."""
 
     def setUp(self):
         self.rng = random.Random(4)
@@ -43,7 +43,7 @@
         self.accept(Configuration(9, (), Routing(4, (*ROUTES[:5], self.changed, *ROUTES[6:]))))
 
     def receive(self, *messages):
-        """Return what the voter sends for messages of the node."""
+        """Return what the voter sends in reply to messages of the node."""
         effects = []
         for message in messages:
             event = MessageReceived("n0", message)
@@ -64,17 +64,17 @@
         self.assertEqual((push.version, push.base), (9, 7))
         self.assertEqual((push.routing.is_whole, push.routing.routes), (False, (self.changed,)))
 
-    # A node that came from another voter while one route of 1,400 changed was sent all of them,
-    # 178 KB. On a link of 2.45 Mbit/s they held up the replies to its heartbeats for 0.6 s, so that
-    # it turned to the next voter, which sent them again.
+    # Failure: a node that moved to another voter while one route of 1,400 changed was sent all of
+    # them, 178 KB. On a link of 2.45 Mbit/s this delayed the replies to its heartbeats by 0.6 s, so
+    # that it moved to the next voter, which sent them again.
     def test_node_one_change_behind_receives_only_the_change(self):
         self.accept_change()
         pushes, updates = self.find_pushes(self.attach(7))
         self.check_difference(*pushes)
         self.assertEqual(updates, [])
 
-    # It was sent all routes as well when it lacked a single upstream, which a voter that has heard
-    # less or more of the others than the last one did says of every node.
+    # Failure: a node that lacked a single upstream was sent all routes as well. That applies to
+    # every node that moves between voters which have received different gossip.
     def test_node_with_different_upstreams_receives_upstreams_but_no_routes(self):
         pushes, updates = self.find_pushes(self.attach(7, OTHER_DIGEST))
         self.assertEqual([push.routing for push in pushes], [None] * len(pushes))
@@ -104,8 +104,8 @@
                 self.assertTrue(all(push.routing.is_whole for push in pushes))
                 self.assertEqual([one.service for one in updates], [SERVICE])
 
-    # A voter that lagged sent a node that was ahead of it all routes of a version that the node
-    # does not go back to.
+    # Failure: a lagging voter sent a node that was ahead of it all routes of an older version,
+    # which the node does not apply.
     def test_node_ahead_of_voter_receives_no_older_version(self):
         pushes, _ = self.find_pushes(self.attach(9))
         self.assertEqual(pushes, [])
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_registry.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_registry.py
@@ -99,7 +99,7 @@
 
 class UnseenVersionTest(unittest.TestCase):
     def report_version(self, held: tuple[Configuration, ...], version: int, service: str):
-        """Let a node that watches a service state a version, and return what it is sent."""
+        """Report a version from a node that watches a service, and return what the node is sent."""
         rng = random.Random(4)
         registry = create_voter_registry("v0", PLACES, TIMES, 0.0)
         for configuration in held:
@@ -115,14 +115,14 @@
         return [effect.message for effect in effects]
 
     def test_full_configuration_is_pushed_if_node_may_hold_removed_service(self):
-        """A restarted voter does not know which services ended before it started."""
+        """A restarted voter does not know which services were removed before its start."""
         held = (Configuration(20, (Service("emisor", ("*",)),)),)
         push, reply = self.report_version(held, 15, "ended")
         self.assertEqual((push.version, push.base, push.services), (20, 0, ()))
         self.assertFalse(reply.is_current)
 
     def test_full_configuration_is_pushed_if_node_may_hold_reverted_change(self):
-        """A voter that jumps from 10 to 17 does not see what 15 changed and 17 took back."""
+        """A voter that skips from 10 to 17 misses what 15 changed and 17 reverted."""
         services = (Service("emisor", ("*",)),)
         held = (Configuration(10, services), Configuration(17, services))
         push, reply = self.report_version(held, 15, "emisor")
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_renewal.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_renewal.py
@@ -25,7 +25,7 @@
 
 
 class FirstContactTest(unittest.TestCase):
-    """Lose the link to each voter in turn, as where all processes have just restarted."""
+    """Lose the link to the voter, as happens with each in turn after all processes restarted."""
 
     def find_longest_wait(self, has_received_reply):
         longest = 0.0
@@ -39,7 +39,7 @@
         return longest
 
     def test_node_without_any_reply_retries_soon(self):
-        # Half of the nodes found a voter half a second after it listened.
+        # Failure: half of the nodes attached to a voter only half a second after it listened.
         self.assertLess(self.find_longest_wait(has_received_reply=False), 0.15)
 
     def test_heartbeats_spread_over_one_interval_after_link_loss(self):
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_slow_node.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_slow_node.py
@@ -24,7 +24,10 @@
 
 
 class SlowNodeTest(unittest.TestCase):
-    """A node behind a slow link hears each voter late; times are seconds of its clock."""
+    """Test a node behind a slow link, which receives the replies of each voter late.
+
+    Units: times in seconds of the node's clock.
+    """
 
     def setUp(self):
         self.rng = random.Random(1)
@@ -51,7 +54,7 @@
         return self.step(MessageReceived(beat.to, reply))
 
     def attach(self):
-        """Let the preferred voter answer at once, and the next heartbeat stay unanswered."""
+        """Let the preferred voter answer the first heartbeat at once, and not the next one."""
         self.push(0, self.view.voter)
         self.advance(0.1)
         self.answer(self.beats[-1])
@@ -62,10 +65,10 @@
         message = ConfigurationChanged(version, (), watch=1)
         return self.step(MessageReceived(sender, message))
 
-    # A node whose link was taken up by uploads heard no voter within the 0.75 s after which it
-    # turns to the next. That one had to be dialed over the same link, which took longer than an
-    # answer, so that the node went from voter to voter, paid no heed to what the ones left behind
-    # sent it, and had a version 3.4 s after its acceptance.
+    # Failure: uploads filled a node's link, so that it received no reply within the 0.75 s after
+    # which it moves to the next voter. Dialing that one over the same link took longer than a
+    # reply. The node moved from voter to voter, ignored what the voters it had left sent it, and
+    # applied a version only 3.4 s after its acceptance.
     def test_node_returns_to_voter_that_replies_late(self):
         beat = self.attach()
         home = self.view.voter
@@ -107,8 +110,8 @@
         self.answer(beat)
         self.assertNotEqual(self.view.voter, home)
 
-    # The age of a confirmation that the node had reckoned from its own sending grew by what its
-    # link took, and it left voters for it that had just confirmed.
+    # Failure: the node computed the age of a confirmation from the time it sent its heartbeat, so
+    # that the age included the delay of its link, and it left voters that had just confirmed.
     def test_voter_with_recent_confirmation_is_kept_despite_slow_replies(self):
         self.push(0, self.view.voter)
         home = self.view.voter
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_suspicions.py
@@ -32,12 +32,12 @@
 PLACES = tuple(VoterPlace(name) for name in VOTERS)
 TICK = 0.05
 POISON = b"poison"
-# Nodes that reach their voters have to know within this time.
+# Nodes that reach their voters must receive the reports within this time.
 PROPAGATION_LIMIT = 3.0
 
 
 class World:
-    """Carry what nodes and voters tell; `cut` names voters that no other voter reaches."""
+    """Deliver messages of nodes and voters; `cut` holds voters cut off from all other voters."""
 
     def __init__(self):
         self.now = 0.0
@@ -180,7 +180,7 @@
         self.world.pass_time(1.0)
         self.world.sent = 0
         self.world.pass_time(10 * REPEAT_INTERVAL)
-        # Each of three voters tells the two others once in a while.
+        # Each of the three voters repeats the reports to the two others once per interval.
         self.assertLessEqual(self.world.sent, 3 * 2 * 11)
 
 
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_voter_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_voter_changes.py
@@ -50,8 +50,9 @@
         self.assertEqual(registry.routing.newest, 7)
 
     def test_change_of_one_route_sends_only_that_route(self):
-        # Each change of one route sent all 1,400, and a node behind a link of 2.45 Mbit/s heard
-        # nothing else for 0.6 s: heartbeats went unanswered and nodes moved from voter to voter.
+        # Failure: each change of one route sent all 1,400. A node behind a link of 2.45 Mbit/s
+        # received nothing else for 0.6 s, heartbeats stayed unanswered and nodes moved from voter
+        # to voter.
         world = World(seed=1)
         world.start_node("n0", "dc0")
         world.advance(2)
@@ -101,7 +102,8 @@
         self.assertEqual(registry.clients, {})
 
     def test_node_finds_voter_with_quorum_after_many_moves(self):
-        # A node waited ever longer at each voter, and stood at one of a minority for four seconds.
+        # Failure: a node waited longer at each further voter, and stayed at one of a minority for
+        # four seconds.
         world = World(seed=4)
         for index in range(9):
             world.start_node(f"n{index}", f"dc{index % 3}")
--- a/packages/bendwind-core/src/bendwind_core/membership/view.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/view.py
@@ -1,4 +1,4 @@
-"""Hold what a node knows: its voter, what is in force and the proof that it is fresh."""
+"""Define a node's view: its voter, the applied configuration and the proof of freshness."""
 
 import random
 from collections.abc import Mapping
@@ -16,21 +16,22 @@
 
 
 class PendingConfirmation(msgspec.Struct):
-    """Hold a confirmation that waits for the configuration it confirmed."""
+    """Hold a confirmation of a version that the node has not applied yet."""
 
     version: int
     confirmed_at: Seconds
 
 
 class NodeView(msgspec.Struct):
-    """Hold what one run of a node knows of the configuration and of the upstreams.
+    """Hold the configuration and the upstreams that one run of a node has received.
 
-    `version` is in force; `is_complete` says that it covers everything now watched.
-    `pending` names watched services of which nothing is known yet.
+    `version` is the applied version; `is_complete` is true if it covers all services now watched.
+    `pending` lists watched services for which nothing has been received yet.
     `confirmed_at` is the time, on the node's own clock, up to which nothing newer than `version`
-    had been accepted; `groups_confirmed_at` says the same of the claim groups it holds.
-    `is_in_doubt` says that the customers held may not be those of `version`.
-    `seeds` are the voters that the settings name, to be asked when none of the known ones answers.
+    had been accepted; `groups_confirmed_at` is the same time for the claim groups it holds.
+    `newest_peer_version` is the highest version that another process has stated.
+    `has_uncertain_customers` is true if the customers held may not be those of `version`.
+    `seeds` are the voters listed in the settings, to be tried when no known voter replies.
     """
 
     instance: Instance
@@ -52,7 +53,7 @@
     seeds: tuple[VoterPlace, ...] = ()
 
     def is_fresh(self, now: Seconds) -> bool:
-        """Tell whether nothing newer can have been accepted more than a lease ago."""
+        """Return whether nothing newer can have been accepted more than a lease ago."""
         confirmed = self.confirmed_at
         return confirmed is not None and now - confirmed < self.times.provable_lease
 
@@ -64,22 +65,22 @@
 
     @property
     def services(self) -> Mapping[str, Service]:
-        """Return the services in force among those watched."""
+        """Return the applied configuration of the watched services that exist."""
         return self.cache.services
 
     @property
     def routing(self) -> Routing:
-        """Return the routes in force."""
+        """Return the applied routes."""
         return self.cache.routing
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Return the data centres whose upstreams get nothing new."""
+        """Return the data centres whose upstreams receive no new attempts."""
         return self.cache.evacuated
 
     @property
     def customers(self) -> CustomerTable | None:
-        """Return the customers in force, None if requests need no key."""
+        """Return the applied customers, None if requests need no key."""
         return self.cache.customers
 
     @property
@@ -89,7 +90,7 @@
 
     @property
     def voter(self) -> str:
-        """Return the name of the voter the node renews with."""
+        """Return the name of the voter that the node is attached to."""
         return self.attachment.voter
 
     def upstreams(self, service: str) -> tuple[Upstream, ...]:
@@ -105,7 +106,7 @@
     rng: random.Random,
     services: tuple[str, ...] = (),
 ) -> NodeView:
-    """Create the view of a node that has just started and knows nothing."""
+    """Create the view of a node that has just started and has received nothing."""
     order = order_voters(instance.name, instance.name, instance.data_centre, voters)
     attachment = Attachment(order, moved_at=now)
     attachment.next_heartbeat_at = now + 0.1 * times.heartbeat * rng.random()
--- a/packages/bendwind-core/src/bendwind_core/membership/watch_cache.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/watch_cache.py
@@ -1,4 +1,4 @@
-"""Hold what a node knows of the services it watches."""
+"""Cache the configuration, claim groups and upstreams of the services that a node watches."""
 
 import msgspec
 
@@ -18,11 +18,11 @@
 
 
 class WatchCache(msgspec.Struct):
-    """Hold services, claim groups and upstreams of watched services, and their digest.
+    """Hold the configuration, claim groups and upstreams of watched services, and their digest.
 
     `upstreams` is keyed by service, then by (owner, upstream); `digest` covers upstreams and
-    claim groups. `customers` are all there are, None if no key is needed; `customers_digest` covers
-    them.
+    claim groups. `customers` holds all customers, None if no key is needed; `customers_digest`
+    covers them.
     """
 
     watched: dict[str, None] = msgspec.field(default_factory=dict)
@@ -37,17 +37,17 @@
 
 
 def upstream_key(upstream: Upstream) -> UpstreamKey:
-    """Return what tells two registrations apart: the owner and the upstream's name."""
+    """Return the key of a registration: the names of the owner and of the upstream."""
     return upstream.owner.name, upstream.name
 
 
 def upstream_order(upstream: Upstream) -> tuple[int, int]:
-    """Return what orders the announcements of one upstream: the highest is the newest."""
+    """Return the sort key of an upstream's announcements; the highest is the newest."""
     return upstream.owner.incarnation, upstream.sequence
 
 
 def put_services(cache: WatchCache, message: ConfigurationChanged) -> None:
-    """Take over the services, routes and evacuations of a message that may be applied."""
+    """Apply the services, routes and evacuations of a message that may be applied."""
     if message.routing is not None:
         cache.routing = apply_routing_change(cache.routing, message.routing)
     cache.evacuated = frozenset(message.evacuated)
@@ -63,9 +63,9 @@
 
 
 def put_customers(cache: WatchCache, change: CustomersChange) -> frozenset[str] | None:
-    """Take over customers and return the names of those that differ.
+    """Apply a change of customers and return the names of those that differ.
 
-    None, with nothing changed, if the change was not made for the customers held.
+    Return None, and change nothing, if the change was not made for the customers held.
     """
     is_whole = change.base == 0
     if not is_whole and _compute_changed_digest(cache, change) != change.digest:
@@ -90,7 +90,7 @@
 
 
 def _compute_changed_digest(cache: WatchCache, change: CustomersChange) -> int | None:
-    """Return the digest of the customers held as they would be after a change, if it fits."""
+    """Return the digest of the held customers after a change, None if the change does not fit."""
     if change.is_key_needed is not (cache.customers is not None):
         return None
     if cache.customers is None:
@@ -111,7 +111,7 @@
 
 
 def put_claim_groups(cache: WatchCache, groups: tuple[ClaimGroup, ...]) -> bool:
-    """Take over claim groups whose epoch is not older than the one held; tell if any changed."""
+    """Store claim groups of the same or a newer epoch; return whether any changed."""
     is_changed = False
     for group in groups:
         held = cache.claim_groups.get(group.service)
@@ -126,7 +126,7 @@
 
 
 def put_upstreams(cache: WatchCache, update: WatchUpdate) -> bool:
-    """Take over an update and tell whether the set changed."""
+    """Apply an update of upstreams and return whether the set changed."""
     if update.service not in cache.watched:
         return False
     held = cache.upstreams.setdefault(update.service, {})
@@ -152,7 +152,7 @@
 
 
 def remove_watched(cache: WatchCache, service: str) -> None:
-    """Forget a service that is no longer watched."""
+    """Remove a service that is no longer watched."""
     cache.watched.pop(service, None)
     cache.services.pop(service, None)
     _drop_claim_groups(cache, {service} & cache.claim_groups.keys())
@@ -161,7 +161,7 @@
 
 
 def list_upstreams(cache: WatchCache, service: str) -> tuple[Upstream, ...]:
-    """List the upstreams of a service, one a name: that of the newest owner."""
+    """List the upstreams of a service; of equal names only that of the newest owner."""
     newest: dict[str, Upstream] = {}
     for upstream in cache.upstreams.get(service, {}).values():
         other = newest.get(upstream.name)
--- a/packages/bendwind-node/src/bendwind_node/membership/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the task that keeps a node attached to a control voter."""
+"""Provide the task that keeps a node attached to a control voter."""
 
 from bendwind_node.membership.task import MembershipTask, create_membership_task
 
--- a/packages/bendwind-node/src/bendwind_node/membership/task.py
+++ b/packages/bendwind-node/src/bendwind_node/membership/task.py
@@ -1,4 +1,4 @@
-"""Keep a node attached to a control voter and offer its view to the other tasks."""
+"""Keep a node attached to a control voter and provide its view to the other tasks."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -37,17 +37,19 @@
 Send = Callable[[str, Record], bool]
 Listener = Callable[[ViewEffect], None]
 
-# The view acts on heartbeats and timeouts only; this share of a heartbeat is fine enough.
+# Share of the heartbeat interval between ticks. The view only acts on heartbeats and timeouts, so
+# that a finer interval is not needed.
 _TICK_SHARE = 0.25
-# Until a voter has answered, the view beats faster than that.
+# Until a voter has replied, the view sends heartbeats faster and needs a shorter tick interval.
 _FIRST_TICK: Seconds = 0.02
 _INBOX_CAPACITY = 256
-# An event's text stays a line, however many customers change at once.
+# Maximum number of customer names in an event, so that its text remains one line however many
+# customers change at once.
 _NAMES_SHOWN = 8
 
 
 class MembershipTask:
-    """Own a node's view; `inbox` takes (sender, message) of the peer links."""
+    """Own a node's view; `inbox` receives (sender, message) from the peer links."""
 
     __slots__ = ("_receive_channel", "_rng", "inbox", "listeners", "recorder", "send", "view")
 
@@ -62,14 +64,14 @@
         )
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Renew, receive and push on until cancelled."""
+        """Send heartbeats, handle messages and notify listeners until cancelled."""
         task_status.started()
         wake_at = trio.current_time() + self._find_tick_interval()
         while True:
             with trio.move_on_at(wake_at):
                 sender, message = await self._receive_channel.receive()
                 self.step(MessageReceived(sender, message))
-            # Looked at after messages too: a steady stream of them must not hold up heartbeats.
+            # Checked after messages too, so that a steady stream of them does not delay heartbeats.
             if trio.current_time() >= wake_at:
                 self.step(Tick())
                 wake_at = trio.current_time() + self._find_tick_interval()
@@ -79,7 +81,7 @@
         return tick if self.view.attachment.has_received_reply else min(tick, _FIRST_TICK)
 
     def step(self, event: ViewEvent) -> None:
-        """Apply an event at once and carry out its effects."""
+        """Apply an event immediately and carry out its effects."""
         for effect in step_view(self.view, event, trio.current_time(), self._rng):
             self._apply_effect(effect)
 
@@ -102,11 +104,11 @@
             listener(effect)
 
     def set_seeds(self, seeds: tuple[VoterPlace, ...]) -> None:
-        """Take over the voters that changed settings name."""
+        """Replace the seeds by the voters listed in changed settings."""
         set_seeds(self.view, seeds)
 
     def is_fresh(self) -> bool:
-        """Tell whether calls may be served from the configuration in force."""
+        """Return whether calls may be served from the applied configuration."""
         return self.view.is_fresh(trio.current_time())
 
     def confirmed_age_ms(self) -> Milliseconds | None:
@@ -114,33 +116,33 @@
         return self.view.confirmed_age_ms(trio.current_time())
 
     def list_voters(self) -> tuple[str, ...]:
-        """List the voters, the one in use first, then in the order of preference."""
+        """List the voters in the order of preference, rotated to begin with the one in use."""
         attachment = self.view.attachment
         index = attachment.index
         return attachment.order[index:] + attachment.order[:index]
 
     @property
     def services(self) -> Mapping[str, Service]:
-        """Return the services in force among those watched."""
+        """Return the applied configuration of the watched services that exist."""
         return self.view.services
 
     @property
     def routing(self) -> Routing:
-        """Return the routes in force."""
+        """Return the applied routes."""
         return self.view.routing
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Return the data centres whose upstreams get nothing new."""
+        """Return the data centres whose upstreams receive no new attempts."""
         return self.view.evacuated
 
     @property
     def customers(self) -> CustomerTable | None:
-        """Return the customers in force, None if requests need no key."""
+        """Return the applied customers, None if requests need no key."""
         return self.view.customers
 
     def find_customer(self, name: str) -> Customer | None:
-        """Return the customer of a name, None for one that is not known."""
+        """Return the customer of a name, None if there is none."""
         table = self.view.customers
         return None if table is None else table.by_name.get(name)
 
@@ -154,27 +156,27 @@
         return self.view.upstreams(service)
 
     def watch(self, service: str) -> None:
-        """Watch a service from now on."""
+        """Start to watch a service."""
         self.step(ServiceWatched(service))
 
     def announce(self, upstream: Upstream) -> None:
-        """Register an upstream beside this node, or its new state; GONE takes it back."""
+        """Register an upstream on this node's instance, or its new state; GONE unregisters it."""
         detail = f"{upstream.service} {upstream.state}"
         self.recorder.record(EventKind.UPSTREAM_ANNOUNCED, upstream=upstream.name, detail=detail)
         self.step(UpstreamAnnounced(upstream))
 
     def send_suspects(self, suspects: tuple[SuspectReport, ...]) -> bool:
-        """Tell the voter what is known against requests; False if there is no way to it now."""
+        """Send suspect reports to the voter; return False if it cannot be reached now."""
         return self.send(self.view.voter, SuspectReports(suspects))
 
     def handle_link_lost(self, peer: str) -> None:
-        """Take notice that the link to a peer broke."""
+        """Handle the loss of the link to a peer."""
         self.step(LinkLost(peer))
 
     def handle_peer_version(
         self, peer: str, version: int, confirmed_age_ms: Milliseconds | None
     ) -> None:
-        """Take notice of what another process stated in its Hello."""
+        """Handle the version that another process stated in its Hello."""
         self.step(PeerVersionReceived(peer, version, confirmed_age_ms))
 
 
@@ -183,7 +185,7 @@
     more = len(changed.names) - len(names)
     listed = " ".join((*names, f"and {more} more") if more else names)
     if changed.customers is None:
-        return f"no key is needed any more; {len(changed.names)} ended: {listed}"
+        return f"keys are no longer required; {len(changed.names)} customers removed: {listed}"
     held = f"{changed.customers} customers with {changed.keys} keys"
     return f"{held}; {len(changed.names)} changed: {listed}"
 
--- a/packages/bendwind-node/src/bendwind_node/membership/tests/test_task.py
+++ b/packages/bendwind-node/src/bendwind_node/membership/tests/test_task.py
@@ -1,4 +1,4 @@
-"""Test nodes' membership and voters' registries together over a stand-in network."""
+"""Test nodes' membership tasks with voters' registry tasks over a simulated network."""
 
 import contextlib
 import random
@@ -24,7 +24,7 @@
 
 
 class Control:
-    """Stand in for a voter's log."""
+    """Replace a voter's log."""
 
     def __init__(self):
         self.confirmed = 0
@@ -42,7 +42,7 @@
 
 @contextlib.asynccontextmanager
 async def run_learner(deployment):
-    """Run the registry of a process without a vote, and yield its control."""
+    """Run the registry task of a learner and yield its control."""
     control = Control()
     parts = deployment.make_parts("learner")
     learner = create_registry_task(
@@ -176,7 +176,8 @@
         async def test(deployment):
             async with run_learner(deployment) as control:
                 await trio.sleep(10)
-                # Replacing what the task waited on lost the news of its own vote, for good.
+                # Guards against a lost wake-up: replacing the event that the task waited on meant
+                # that the task never noticed that it had become a voter.
                 for other in ("v2", "v3"):
                     control.voter_places = (*control.voter_places, VoterPlace(other, "dc"))
                     await trio.sleep(1)
