--- a/packages/bendwind-core/src/bendwind_core/membership/gossip.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/gossip.py
@@ -105,19 +105,19 @@
         return
     merged = registry.members[name].state
     client = registry.clients.get(name)
-    is_adopted = merged.home == registry.name and merged.is_alive
+    is_attached_here = merged.home == registry.name and merged.is_alive
     if client is None:
-        if is_adopted:
+        if is_attached_here:
             # An earlier run of this voter registered the node, which has one lease to renew.
             registry.clients[name] = Client(merged.node.incarnation, merged.beat, now)
     elif client.incarnation < merged.node.incarnation:
         pushes.remove_client(registry, name)
-    elif not is_adopted and client.sequence > merged.beat:
-        claim = msgspec.structs.replace(
+    elif not is_attached_here and client.sequence > merged.beat:
+        corrected = msgspec.structs.replace(
             merged, home=registry.name, beat=client.sequence, is_alive=True
         )
-        register(registry, claim, effects, now)
-    elif not is_adopted:
+        register(registry, corrected, effects, now)
+    elif not is_attached_here:
         pushes.remove_client(registry, name)
 
 
--- a/packages/bendwind-core/src/bendwind_core/membership/registry.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/registry.py
@@ -184,8 +184,8 @@
         is_same = state.node == beat.node
         if is_same and state.home == registry.name and state.is_alive:
             return
-    claim = MemberState(beat.node, registry.name, beat.sequence)
-    gossip.register(registry, claim, effects, now)
+    registered = MemberState(beat.node, registry.name, beat.sequence)
+    gossip.register(registry, registered, effects, now)
 
 
 def _reply(
--- a/packages/bendwind-core/src/bendwind_core/membership/watch_cache.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/watch_cache.py
@@ -54,7 +54,7 @@
     if message.base == 0:
         cache.services.clear()
         listed = {group.service for group in message.claim_groups}
-        _drop_claim_groups(cache, set(cache.claim_groups) - listed)
+        _remove_claim_groups(cache, set(cache.claim_groups) - listed)
     for name in message.removed:
         cache.services.pop(name, None)
     for service in message.services:
@@ -105,7 +105,7 @@
     return digest
 
 
-def _drop_claim_groups(cache: WatchCache, services: set[str]) -> None:
+def _remove_claim_groups(cache: WatchCache, services: set[str]) -> None:
     for service in services:
         cache.digest ^= digest_record(cache.claim_groups.pop(service))
 
@@ -155,7 +155,7 @@
     """Remove a service that is no longer watched."""
     cache.watched.pop(service, None)
     cache.services.pop(service, None)
-    _drop_claim_groups(cache, {service} & cache.claim_groups.keys())
+    _remove_claim_groups(cache, {service} & cache.claim_groups.keys())
     for upstream in cache.upstreams.pop(service, {}).values():
         cache.digest ^= digest_record(upstream)
 
