--- a/packages/bendwind-core/src/bendwind_core/membership/registry.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/registry.py
@@ -1,4 +1,4 @@
-"""Decide for a voter: which nodes are alive, what they registered and who is told."""
+"""Apply events to a voter's registry: live nodes, their registrations, replies and pushes."""
 
 import random
 
@@ -26,112 +26,113 @@
     MemberPull,
     MemberState,
     NodeStatus,
-    SuspectsTold,
+    SuspectReports,
+    VoterList,
     VoterPlace,
-    VotersKnown,
     Watch,
 )
 from bendwind_core.membership.settings import LeaseTimes
 from bendwind_core.membership.state import Client, VoterRegistry
 from bendwind_core.membership.suspicions import (
     flush_suspects,
+    merge_suspects,
     send_known_suspects,
-    take_suspects,
 )
 from bendwind_core.world import Instance
 
-# Longer than a voter stays cut off, so that it cannot bring a forgotten node back.
-_FORGET_AFTER = 3600.0
-# Ticks further apart than this share of the lease mean that the voter itself was stopped.
-_OWN_STOP = 0.5
+# Dead nodes are removed after this time, in seconds. It is longer than any partition of a voter, so
+# that a voter that returns cannot reintroduce a removed node.
+_EVICTION_DELAY = 3600.0
+# If the time between two ticks exceeds this share of the lease, the voter itself was stopped.
+_PAUSE_SHARE = 0.5
 
 
 def create_voter_registry(
     name: str, voters: tuple[VoterPlace, ...], times: LeaseTimes, now: Seconds
 ) -> VoterRegistry:
-    """Create the registry of a voter that has just started and knows no node."""
+    """Create the registry of a voter that has just started, without any nodes."""
     peers = {voter.name: now for voter in voters if voter.name != name}
-    return VoterRegistry(name, times, peers, ticked_at=now, lenient_until=now, voters=voters)
+    return VoterRegistry(name, times, peers, ticked_at=now, no_expiry_until=now, voters=voters)
 
 
 def step_registry(
     registry: VoterRegistry, event: RegistryEvent, now: Seconds, rng: random.Random
 ) -> list[RegistryEffect]:
-    """Apply an event and return what is to be done."""
+    """Apply an event to a voter's registry and return the effects to carry out."""
     effects: list[RegistryEffect] = []
     match event:
         case Tick():
-            _pass_time(registry, effects, now, rng)
+            _handle_tick(registry, effects, now, rng)
         case MessageReceived(sender=sender, message=message):
-            _receive(registry, sender, message, effects, now)
+            _handle_message(registry, sender, message, effects, now)
         case ConfigurationAccepted(configuration=configuration, claim_groups=claim_groups):
             pushes.accept_configuration(registry, configuration, claim_groups)
         case DrainMarksAccepted(instances=instances, upstreams=upstreams):
             pushes.accept_drain_marks(registry, instances, upstreams)
         case QuorumConfirmed(started=started):
-            registry.confirmed_from = started
+            registry.confirmed_round_started_at = started
         case VotersChanged(voters=voters):
             gossip.set_voters(registry, voters, effects, now)
     return effects
 
 
-def _pass_time(
+def _handle_tick(
     registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds, rng: random.Random
 ) -> None:
-    _excuse_own_stop(registry, now)
-    if now >= registry.lenient_until:
+    _suspend_expiry_after_pause(registry, now)
+    if now >= registry.no_expiry_until:
         _expire_clients(registry, effects, now)
         gossip.hide_members_of_lost_voters(registry, effects, now)
     if is_voter(registry):
-        # Voters heed gossip of voters alone: ten learners sent five voters 100 messages a second
-        # in vain (counted over 10 s of a calm day).
-        gossip.send_due(registry, effects, now, rng)
+        # Learners send no gossip, since voters accept it from voters only: ten learners would send
+        # five voters 100 useless messages per second while nothing changes.
+        gossip.send_due_gossip(registry, effects, now, rng)
         flush_suspects(registry, effects, now)
     pushes.flush(registry, effects)
-    if now >= registry.forget_at:
-        gossip.forget_dead(registry, now - _FORGET_AFTER)
-        registry.forget_at = now + registry.times.lease
+    if now >= registry.next_eviction_at:
+        gossip.remove_dead_members(registry, now - _EVICTION_DELAY)
+        registry.next_eviction_at = now + registry.times.lease
 
 
-def _excuse_own_stop(registry: VoterRegistry, now: Seconds) -> None:
-    if now - registry.ticked_at > _OWN_STOP * registry.times.lease:
-        registry.lenient_until = now + registry.times.lease
+def _suspend_expiry_after_pause(registry: VoterRegistry, now: Seconds) -> None:
+    if now - registry.ticked_at > _PAUSE_SHARE * registry.times.lease:
+        registry.no_expiry_until = now + registry.times.lease
     registry.ticked_at = now
 
 
 def _expire_clients(registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds) -> None:
-    # Each renewal moves its client to the end, so the oldest come first.
+    # Each renewal moves its client to the end, so the oldest clients come first.
     limit = now - registry.times.lease
     while registry.clients:
         name, client = next(iter(registry.clients.items()))
         if client.renewed_at >= limit:
             return
-        pushes.drop_client(registry, name)
+        pushes.remove_client(registry, name)
         state = registry.members[name].state
         if state.home == registry.name and state.is_alive:
             dead = msgspec.structs.replace(state, beat=client.sequence, is_alive=False)
             gossip.register(registry, dead, effects, now)
 
 
-def _receive(
+def _handle_message(
     registry: VoterRegistry, sender: str, message, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     match message:
         case Heartbeat():
-            _take_heartbeat(registry, message, effects, now)
+            _handle_heartbeat(registry, message, effects, now)
         case Announce():
-            _take_announce(registry, message, effects, now)
+            _handle_announce(registry, message, effects, now)
         case Watch():
-            _take_watch(registry, message, effects)
+            _handle_watch(registry, message, effects)
             send_known_suspects(registry, message, effects, now)
-        case SuspectsTold():
-            take_suspects(registry, message, now)
+        case SuspectReports():
+            merge_suspects(registry, message, now)
         case MemberGossip():
-            gossip.take_gossip(registry, message, effects, now)
+            gossip.handle_gossip(registry, message, effects, now)
         case MemberDigest():
-            gossip.take_digest(registry, message, effects)
+            gossip.handle_digest(registry, message, effects)
         case MemberPull():
-            gossip.take_pull(registry, message, effects)
+            gossip.handle_pull(registry, message, effects)
 
 
 def _is_outdated(registry: VoterRegistry, beat: Heartbeat) -> bool:
@@ -144,37 +145,37 @@
     return member is not None and order <= (member.state.node.incarnation, member.state.beat)
 
 
-def _take_heartbeat(
+def _handle_heartbeat(
     registry: VoterRegistry, beat: Heartbeat, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     node = beat.node
     if _is_outdated(registry, beat):
         return
     if not is_voter(registry):
-        # A learner tells no other voter of a node, so the node has to find a voter.
-        effects.append(SendTo(node.name, VotersKnown(registry.voters)))
+        # A learner reports no node to the voters, so the node has to attach to a voter instead.
+        effects.append(SendTo(node.name, VoterList(registry.voters)))
         return
     client = registry.clients.get(node.name)
     if client is None or client.incarnation != node.incarnation:
-        pushes.drop_client(registry, node.name)
+        pushes.remove_client(registry, node.name)
         client = Client(node.incarnation)
-        registry.uninformed[node.name] = None
+        registry.clients_awaiting_voters[node.name] = None
     registry.clients.pop(node.name, None)
     registry.clients[node.name] = client
     client.sequence = beat.sequence
     client.renewed_at = now
     client.version = beat.version
     client.customers = beat.customers
-    _claim_member(registry, beat, effects, now)
+    _register_member(registry, beat, effects, now)
     _reply(registry, client, beat, effects, now)
 
 
 def is_voter(registry: VoterRegistry) -> bool:
-    """Tell whether the process of this registry is one of the voters."""
+    """Return whether the process of this registry is one of the voters."""
     return any(voter.name == registry.name for voter in registry.voters)
 
 
-def _claim_member(
+def _register_member(
     registry: VoterRegistry, beat: Heartbeat, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     member = registry.members.get(beat.node.name)
@@ -183,8 +184,8 @@
         is_same = state.node == beat.node
         if is_same and state.home == registry.name and state.is_alive:
             return
-    claim = MemberState(beat.node, registry.name, beat.sequence)
-    gossip.register(registry, claim, effects, now)
+    registered = MemberState(beat.node, registry.name, beat.sequence)
+    gossip.register(registry, registered, effects, now)
 
 
 def _reply(
@@ -199,7 +200,7 @@
     is_current = False
     is_same = False
     if not resync:
-        is_current = pushes.bring_up_to_date(registry, beat, client, effects)
+        is_current = pushes.push_missing_configuration(registry, beat, client, effects)
         is_same = pushes.compare_digest(registry, beat, client, effects)
     reply = HeartbeatReply(
         beat.sequence,
@@ -213,13 +214,13 @@
 
 
 def confirmed_age_ms(registry: VoterRegistry, now: Seconds) -> Milliseconds | None:
-    """Return the time since the start of the last confirmed round, None without one."""
-    if registry.confirmed_from is None:
+    """Return the time since the start of the last confirmed quorum round, None without one."""
+    if registry.confirmed_round_started_at is None:
         return None
-    return (now - registry.confirmed_from) * MILLISECONDS_PER_SECOND
+    return (now - registry.confirmed_round_started_at) * MILLISECONDS_PER_SECOND
 
 
-def _take_announce(
+def _handle_announce(
     registry: VoterRegistry, announce: Announce, effects: list[RegistryEffect], now: Seconds
 ) -> None:
     member = registry.members.get(announce.node)
@@ -233,7 +234,7 @@
     gossip.register(registry, state, effects, now)
 
 
-def _take_watch(registry: VoterRegistry, watch: Watch, effects: list[RegistryEffect]) -> None:
+def _handle_watch(registry: VoterRegistry, watch: Watch, effects: list[RegistryEffect]) -> None:
     client = registry.clients.get(watch.node)
     if client is None or client.incarnation != watch.incarnation:
         return
@@ -244,12 +245,12 @@
 
 
 def list_alive(registry: VoterRegistry) -> tuple[Instance, ...]:
-    """List the nodes that this voter counts as alive."""
+    """List the nodes that this voter considers alive."""
     return tuple(member.state.node for member in registry.members.values() if member.is_visible)
 
 
 def list_status(registry: VoterRegistry, now: Seconds) -> tuple[NodeStatus, ...]:
-    """List the nodes attached to this voter."""
+    """List the status of the nodes attached to this voter."""
     return tuple(
         _make_status(registry, name, client, now) for name, client in registry.clients.items()
     )
@@ -259,7 +260,7 @@
     node = registry.members[name].state.node
     age = now - client.renewed_at
     confirmed = confirmed_age_ms(registry, now)
-    lease_ms = registry.times.provable * MILLISECONDS_PER_SECOND
+    lease_ms = registry.times.provable_lease * MILLISECONDS_PER_SECOND
     is_fresh = (
         client.version == registry.configuration.version
         and confirmed is not None
--- a/packages/bendwind-core/src/bendwind_core/membership/routing_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/routing_changes.py
@@ -1,46 +1,49 @@
-"""Tell nodes which routes changed since the version that they hold, instead of all routes."""
+"""Compute which routes changed since the version that a node holds, to send only those."""
 
 import msgspec
 
 from bendwind_core.core import Record
 from bendwind_core.world import CallerLimits, Route, Routing
 
-RoutePlace = tuple[str, str]
+RouteKey = tuple[str, str]
 
 
 class RoutingChange(Record, frozen=True, array_like=True):
-    """Carry the routes that changed and the places, host and path prefix, of those that ended.
+    """Hold the routes that changed and the keys, host and path prefix, of those removed.
 
-    One that `is_whole` carries all routes.
+    A change with `is_whole` holds all routes.
     """
 
     revision: int
     limits: CallerLimits
     routes: tuple[Route, ...]
-    removed: tuple[RoutePlace, ...] = ()
+    removed: tuple[RouteKey, ...] = ()
     is_whole: bool = True
 
 
 class RoutingHistory(msgspec.Struct):
-    """Hold at which version each route last changed, and the places of ended ones with theirs."""
+    """Hold the version of each route's last change, and the version that removed each old route."""
 
-    changed_at: dict[RoutePlace, int] = msgspec.field(default_factory=dict)
-    removed_at: dict[RoutePlace, int] = msgspec.field(default_factory=dict)
+    changed_at: dict[RouteKey, int] = msgspec.field(default_factory=dict)
+    removed_at: dict[RouteKey, int] = msgspec.field(default_factory=dict)
     newest: int = 0
 
 
-def find_place(route: Route) -> RoutePlace:
-    """Return what no two routes share."""
+def find_route_key(route: Route) -> RouteKey:
+    """Return the key of a route, its host and path prefix, which is unique."""
     return route.host, route.path_prefix
 
 
-def note_routing(
+def record_routing_change(
     history: RoutingHistory, before: Routing, after: Routing, version: int, oldest: int
 ) -> None:
-    """Note what a version changed; nobody is told of changes since versions before `oldest`."""
-    known = {find_place(route): route for route in before.routes}
+    """Record what a version changed.
+
+    No node is sent the changes since versions before `oldest`, so removals up to it are dropped.
+    """
+    known = {find_route_key(route): route for route in before.routes}
     for route in after.routes:
-        place = find_place(route)
+        place = find_route_key(route)
         if known.pop(place, None) != route:
             history.changed_at[place] = version
             history.removed_at.pop(place, None)
@@ -55,25 +58,25 @@
 def make_routing_change(
     history: RoutingHistory, routing: Routing, base: int
 ) -> RoutingChange | None:
-    """Return what changed since a version, all routes where it is 0, None if nothing did."""
-    # All routes sent for a change of one would hold up a slow link, and the heartbeats on it.
+    """Return the changes since a version, all routes for version 0, None if nothing changed."""
+    # Sending all routes for a change of one would block a slow link and delay the heartbeats on it.
     if base == 0:
         return RoutingChange(routing.revision, routing.limits, routing.routes)
     if history.newest <= base:
         return None
     changed = tuple(
-        route for route in routing.routes if history.changed_at.get(find_place(route), 0) > base
+        route for route in routing.routes if history.changed_at.get(find_route_key(route), 0) > base
     )
     removed = tuple(place for place, at in history.removed_at.items() if at > base)
     return RoutingChange(routing.revision, routing.limits, changed, removed, is_whole=False)
 
 
 def apply_routing_change(routing: Routing, change: RoutingChange) -> Routing:
-    """Return the routes after a change that follows on those held."""
+    """Return the routes that result from applying a change to the held routes."""
     if change.is_whole:
         return Routing(change.revision, change.routes, change.limits)
-    routes = {find_place(route): route for route in routing.routes}
+    routes = {find_route_key(route): route for route in routing.routes}
     for place in change.removed:
         routes.pop(place, None)
-    routes.update((find_place(route), route) for route in change.routes)
+    routes.update((find_route_key(route), route) for route in change.routes)
     return Routing(change.revision, tuple(routes.values()), change.limits)
--- a/packages/bendwind-core/src/bendwind_core/membership/state.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/state.py
@@ -1,27 +1,29 @@
-"""Hold what a voter registers of nodes, their upstreams and what they watch."""
+"""Define a voter's registry of nodes, their upstreams and their watched services."""
 
 import msgspec
 
 from bendwind_core.claims import ClaimGroup
 from bendwind_core.core import Seconds
-from bendwind_core.membership.customer_ledger import CustomerLedger
+from bendwind_core.membership.customer_history import CustomerHistory
 from bendwind_core.membership.digest import digest_record
-from bendwind_core.membership.holdings import UpstreamKey
-from bendwind_core.membership.member import BUCKETS, Member
+from bendwind_core.membership.member import BUCKET_COUNT, Member
 from bendwind_core.membership.messages import VoterPlace
 from bendwind_core.membership.routing_changes import RoutingHistory
 from bendwind_core.membership.settings import LeaseTimes
+from bendwind_core.membership.watch_cache import UpstreamKey
 from bendwind_core.suspicion import SuspectTable
 from bendwind_core.world import EMPTY_CONFIGURATION, Configuration, Service, Upstream
 
 
 class Client(msgspec.Struct):
-    """Hold a node attached to this voter: its last heartbeat and what it watches.
-
-    `is_suspect` says that the last heartbeat's digest differed from what was pushed, `pushed` which
-    version it was sent last, -1 for none since its watch changed, with `pushed_items` that changed
-    since the two bases. `customers` is the version as of which it holds all customers, by its
-    own word.
+    """Hold a node attached to this voter: its last heartbeat and its watched services.
+
+    `has_digest_mismatch` is true if the digest of the last heartbeat differed from that of the
+    pushed upstreams and claim groups.
+    `pushed_version` is the version sent last, -1 if none was sent since the node's watch changed.
+    `pushed_items` counts the items of that push which had changed since its two bases,
+    `pushed_base` and `pushed_customers_base`.
+    `customers` is the version for which the node, by its own report, holds all customers.
     Units: `renewed_at` and `pushed_at` in seconds of the voter's clock.
     """
 
@@ -31,8 +33,8 @@
     version: int = 0
     watch: int = 0
     services: tuple[str, ...] = ()
-    is_suspect: bool = False
-    pushed: int = -1
+    has_digest_mismatch: bool = False
+    pushed_version: int = -1
     pushed_items: int = 0
     pushed_base: int = 0
     pushed_customers_base: int = 0
@@ -41,10 +43,10 @@
 
 
 class ServiceRow(msgspec.Struct):
-    """Hold what the watchers of a service were pushed, and who they are.
+    """Hold the watchers of a service and the state that was pushed to them.
 
-    `digest` covers `upstreams` and `claim_group`; `dirty` names owners whose upstreams of the
-    service may differ from what was pushed.
+    `digest` covers `upstreams` and `claim_group`. `dirty_owners` lists the owners whose upstreams
+    of the service may differ from those pushed.
     """
 
     service: Service | None = None
@@ -52,19 +54,24 @@
     claim_group: ClaimGroup | None = None
     upstreams: dict[UpstreamKey, Upstream] = msgspec.field(default_factory=dict)
     watchers: dict[str, None] = msgspec.field(default_factory=dict)
-    dirty: set[str] = msgspec.field(default_factory=set)
+    dirty_owners: set[str] = msgspec.field(default_factory=set)
     digest: int = 0
 
 
 class VoterRegistry(msgspec.Struct):
-    """Hold a voter's soft state: all of it is rebuilt from nodes and other voters.
-
-    `clients` is ordered by renewal. `held` lists the newest versions that this run held, so
-    that it knows what changed since each; `routing` knows it of routes. `news` names members to
-    tell the other voters of; `dirty` and `urgent` name services and `outdated` clients to push to.
-    `voters` are all voters, this one included if it is one; `uninformed` names clients that have
-    not been told of them.
-    `suspects` are the requests that may end the upstreams which run them.
+    """Hold a voter's soft state, all of which can be rebuilt from nodes and other voters.
+
+    `clients` is ordered by the time of renewal, the oldest first.
+    `held_versions` lists the newest versions that this run held, for each of which it can determine
+    what changed since; `routing` does so for routes.
+    `changed_members` lists the members to send to the other voters.
+    `dirty_services` and `urgent_services` list services, and `outdated_clients` lists clients, for
+    which pushes are due.
+    `voters` are all voters, including this process if it is one. `clients_awaiting_voters` lists
+    the clients to which they have not been sent.
+    `confirmed_round_started_at` is the start of the last quorum round that confirmed the version.
+    `no_expiry_until` is the time until which no client or voter expires.
+    `suspects` are the requests that may crash the upstreams which run them.
     Units: times in seconds of the voter's clock.
     """
 
@@ -72,35 +79,35 @@
     times: LeaseTimes
     peers: dict[str, Seconds]
     ticked_at: Seconds
-    lenient_until: Seconds
+    no_expiry_until: Seconds
     clients: dict[str, Client] = msgspec.field(default_factory=dict)
     members: dict[str, Member] = msgspec.field(default_factory=dict)
-    buckets: list[int] = msgspec.field(default_factory=lambda: [0] * BUCKETS)
+    buckets: list[int] = msgspec.field(default_factory=lambda: [0] * BUCKET_COUNT)
     services: dict[str, ServiceRow] = msgspec.field(default_factory=dict)
     configuration: Configuration = EMPTY_CONFIGURATION
     routing: RoutingHistory = msgspec.field(default_factory=RoutingHistory)
     evacuated_changed_at: int = 0
-    customers: CustomerLedger = msgspec.field(default_factory=CustomerLedger)
+    customers: CustomerHistory = msgspec.field(default_factory=CustomerHistory)
     voters: tuple[VoterPlace, ...] = ()
-    uninformed: dict[str, None] = msgspec.field(default_factory=dict)
-    held: dict[int, None] = msgspec.field(default_factory=lambda: {0: None})
-    confirmed_from: Seconds | None = None
-    news: dict[str, None] = msgspec.field(default_factory=dict)
-    dirty: dict[str, None] = msgspec.field(default_factory=dict)
-    urgent: dict[str, None] = msgspec.field(default_factory=dict)
-    outdated: dict[str, None] = msgspec.field(default_factory=dict)
+    clients_awaiting_voters: dict[str, None] = msgspec.field(default_factory=dict)
+    held_versions: dict[int, None] = msgspec.field(default_factory=lambda: {0: None})
+    confirmed_round_started_at: Seconds | None = None
+    changed_members: dict[str, None] = msgspec.field(default_factory=dict)
+    dirty_services: dict[str, None] = msgspec.field(default_factory=dict)
+    urgent_services: dict[str, None] = msgspec.field(default_factory=dict)
+    outdated_clients: dict[str, None] = msgspec.field(default_factory=dict)
     draining_instances: frozenset[str] = frozenset()
     draining_upstreams: frozenset[str] = frozenset()
     lost_voters: set[str] = msgspec.field(default_factory=set)
-    gossip_at: Seconds = 0.0
-    digest_at: Seconds = 0.0
-    forget_at: Seconds = 0.0
+    gossip_sent_at: Seconds = 0.0
+    next_digest_at: Seconds = 0.0
+    next_eviction_at: Seconds = 0.0
     suspects: SuspectTable = msgspec.field(default_factory=SuspectTable)
-    suspects_at: Seconds = 0.0
+    next_suspects_repeat_at: Seconds = 0.0
 
 
-def find_row(registry: VoterRegistry, service: str) -> ServiceRow:
-    """Return the row of a service, made if there is none."""
+def find_or_create_row(registry: VoterRegistry, service: str) -> ServiceRow:
+    """Return the row of a service, creating it if there is none."""
     row = registry.services.get(service)
     if row is None:
         row = registry.services[service] = ServiceRow()
@@ -108,7 +115,7 @@
 
 
 def put_claim_group(row: ServiceRow, group: ClaimGroup | None) -> None:
-    """Replace the claim group of a row and keep its digest right."""
+    """Replace the claim group of a row and update the row's digest."""
     if row.claim_group:
         row.digest ^= digest_record(row.claim_group)
     row.claim_group = group
--- a/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/suspicions.py
@@ -1,10 +1,10 @@
-"""Spread what is known against requests: from owner nodes to voters, and on to all that send."""
+"""Distribute reports on suspect requests from owner nodes to voters and on to entry nodes."""
 
 from collections.abc import Iterable
 
 from bendwind_core.core import Seconds
 from bendwind_core.membership.events import RegistryEffect, SendTo
-from bendwind_core.membership.messages import SuspectsTold, Watch
+from bendwind_core.membership.messages import SuspectReports, Watch
 from bendwind_core.membership.state import VoterRegistry
 from bendwind_core.suspicion import (
     SuspectReport,
@@ -15,40 +15,41 @@
     remove_expired,
 )
 
-# What has a consequence is told again this often. By then a voter that was cut off, or that missed
-# a message, knows as much as the others; nodes have three times as long.
-REPEAT_EVERY: Seconds = 1.0
-# A suspect with three ends takes some 200 bytes.
-_PER_MESSAGE = 50
+# Interval at which reports that restrict a request are repeated to the other voters. Within it, a
+# voter that was partitioned or missed a message catches up with the others; nodes may take three
+# times as long.
+REPEAT_INTERVAL: Seconds = 1.0
+# Limits the size of a message: the report on a suspect with three ends takes some 200 bytes.
+_REPORTS_PER_MESSAGE = 50
 
 
-def take_suspects(registry: VoterRegistry, message: SuspectsTold, now: Seconds) -> None:
-    """Take over what a node or another voter tells; what is new is passed on at the next flush."""
-    for told in message.suspects:
-        merge_and_queue_report(registry.suspects, told, now)
+def merge_suspects(registry: VoterRegistry, message: SuspectReports, now: Seconds) -> None:
+    """Merge reports of a node or another voter; new ones are forwarded at the next flush."""
+    for report in message.suspects:
+        merge_and_queue_report(registry.suspects, report, now)
 
 
 def flush_suspects(registry: VoterRegistry, effects: list[RegistryEffect], now: Seconds) -> None:
-    """Tell the other voters and the nodes that watch the service what is new against requests."""
+    """Send new reports on suspects to the other voters and to the nodes that watch the service."""
     if registry.suspects.unreported:
-        news = pop_unreported(registry.suspects, now)
+        reports = pop_unreported(registry.suspects, now)
         for voter in registry.peers:
-            _send(voter, news, effects)
-        _push(registry, news, effects)
-    if registry.suspects.suspects and now >= registry.suspects_at:
-        registry.suspects_at = now + REPEAT_EVERY
+            _send(voter, reports, effects)
+        _push_to_watchers(registry, reports, effects)
+    if registry.suspects.suspects and now >= registry.next_suspects_repeat_at:
+        registry.next_suspects_repeat_at = now + REPEAT_INTERVAL
         remove_expired(registry.suspects, now)
-        serious = list_restricted(registry.suspects, now)
+        restricted = list_restricted(registry.suspects, now)
         for voter in registry.peers:
-            _send(voter, serious, effects)
+            _send(voter, restricted, effects)
 
 
-def _push(
-    registry: VoterRegistry, news: tuple[SuspectReport, ...], effects: list[RegistryEffect]
+def _push_to_watchers(
+    registry: VoterRegistry, reports: tuple[SuspectReport, ...], effects: list[RegistryEffect]
 ) -> None:
     by_service: dict[str, list[SuspectReport]] = {}
-    for told in news:
-        by_service.setdefault(told.service, []).append(told)
+    for report in reports:
+        by_service.setdefault(report.service, []).append(report)
     for service, suspects in by_service.items():
         row = registry.services.get(service)
         for node in row.watchers if row is not None else ():
@@ -58,7 +59,7 @@
 def send_known_suspects(
     registry: VoterRegistry, watch: Watch, effects: list[RegistryEffect], now: Seconds
 ) -> None:
-    """Tell a node what is known against requests of the services that it watches."""
+    """Send a node the reports on suspect requests of the services that it watches."""
     services = frozenset(watch.services)
     known = registry.suspects.suspects.values()
     _send(
@@ -69,6 +70,6 @@
 
 
 def _send(to: str, suspects: Iterable[SuspectReport], effects: list[RegistryEffect]) -> None:
-    told = tuple(suspects)
-    for start in range(0, len(told), _PER_MESSAGE):
-        effects.append(SendTo(to, SuspectsTold(told[start : start + _PER_MESSAGE])))
+    report = tuple(suspects)
+    for start in range(0, len(report), _REPORTS_PER_MESSAGE):
+        effects.append(SendTo(to, SuspectReports(report[start : start + _REPORTS_PER_MESSAGE])))
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_fuzz_freshness.py
@@ -53,8 +53,8 @@
         self.pass_time(6.0)
 
     @rule(one=NODE, other=NODE)
-    def greet(self, one, other):
-        self.world.meet(one, other)
+    def exchange_hello(self, one, other):
+        self.world.exchange_hello(one, other)
 
     @precondition(lambda self: hasattr(self, "world"))
     @invariant()
@@ -62,7 +62,7 @@
         world = self.world
         for name, node in world.nodes.items():
             view = node.view
-            assert view.version >= node.highest, f"{name} went from {node.highest} back"
+            assert view.version >= node.highest, f"{name} went back from {node.highest}"
             node.highest = view.version
             if world.is_fresh(name):
                 oldest = world.newest_before(world.now - TIMES.lease)
@@ -76,7 +76,7 @@
         assert view.routing.revision == truth.routing.revision, f"routes at {view.version}"
         routes = set(map(repr, view.routing.routes))
         assert routes == set(map(repr, truth.routing.routes)), f"routes at {view.version}"
-        for service in view.holdings.watched.keys() - view.pending:
+        for service in view.cache.watched.keys() - view.pending:
             expected = truth.find_service(service)
             assert view.services.get(service) == expected, f"{service} at {view.version}"
 
@@ -89,7 +89,7 @@
         for name, node in self.world.nodes.items():
             assert self.world.is_fresh(name), f"{name} stays stale"
             assert node.view.version == newest, f"{name} stays at {node.view.version}"
-            assert not node.view.pending, f"{name} never heard of {node.view.pending}"
+            assert not node.view.pending, f"{name} never received {node.view.pending}"
             self.check_content(node.view)
 
 
--- a/packages/bendwind-core/src/bendwind_core/membership/view.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/view.py
@@ -1,4 +1,4 @@
-"""Hold what a node knows: its voter, what is in force and the proof that it is fresh."""
+"""Define a node's view: its voter, the applied configuration and the proof of freshness."""
 
 import random
 from collections.abc import Mapping
@@ -8,53 +8,54 @@
 from bendwind_core.claims import ClaimGroup
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 from bendwind_core.customers import CustomerTable
-from bendwind_core.membership import holdings as held
+from bendwind_core.membership import watch_cache
 from bendwind_core.membership.attachment import Attachment, order_voters
 from bendwind_core.membership.messages import VoterPlace
 from bendwind_core.membership.settings import LeaseTimes
 from bendwind_core.world import Instance, Routing, Service, Upstream
 
 
-class Proof(msgspec.Struct):
-    """Hold a confirmation that waits for the configuration it confirmed."""
+class PendingConfirmation(msgspec.Struct):
+    """Hold a confirmation of a version that the node has not applied yet."""
 
     version: int
     confirmed_at: Seconds
 
 
 class NodeView(msgspec.Struct):
-    """Hold what one run of a node knows of the configuration and of the upstreams.
+    """Hold the configuration and the upstreams that one run of a node has received.
 
-    `version` is in force; `is_complete` says that it covers everything now watched.
-    `pending` names watched services of which nothing is known yet.
+    `version` is the applied version; `is_complete` is true if it covers all services now watched.
+    `pending` lists watched services for which nothing has been received yet.
     `confirmed_at` is the time, on the node's own clock, up to which nothing newer than `version`
-    had been accepted; `groups_confirmed_at` says the same of the claim groups it holds.
-    `is_in_doubt` says that the customers held may not be those of `version`.
-    `seeds` are the voters that the settings name, to be asked when none of the known ones answers.
+    had been accepted; `groups_confirmed_at` is the same time for the claim groups it holds.
+    `newest_peer_version` is the highest version that another process has stated.
+    `has_uncertain_customers` is true if the customers held may not be those of `version`.
+    `seeds` are the voters listed in the settings, to be tried when no known voter replies.
     """
 
     instance: Instance
     times: LeaseTimes
     attachment: Attachment
-    holdings: held.Holdings
+    cache: watch_cache.WatchCache
     version: int = 0
     is_complete: bool = False
     confirmed_at: Seconds | None = None
     groups_confirmed_at: Seconds | None = None
-    waiting_proof: Proof | None = None
+    pending_confirmation: PendingConfirmation | None = None
     watch_sequence: int = 0
     announce_sequence: int = 0
     announced: dict[str, Upstream] = msgspec.field(default_factory=dict)
     pending: set[str] = msgspec.field(default_factory=set)
-    seen_version: int = 0
+    newest_peer_version: int = 0
     was_fresh: bool = False
-    is_in_doubt: bool = False
+    has_uncertain_customers: bool = False
     seeds: tuple[VoterPlace, ...] = ()
 
     def is_fresh(self, now: Seconds) -> bool:
-        """Tell whether nothing newer can have been accepted more than a lease ago."""
+        """Return whether nothing newer can have been accepted more than a lease ago."""
         confirmed = self.confirmed_at
-        return confirmed is not None and now - confirmed < self.times.provable
+        return confirmed is not None and now - confirmed < self.times.provable_lease
 
     def confirmed_age_ms(self, now: Seconds) -> Milliseconds | None:
         """Return the age of the proof of freshness, None without one."""
@@ -64,37 +65,37 @@
 
     @property
     def services(self) -> Mapping[str, Service]:
-        """Return the services in force among those watched."""
-        return self.holdings.services
+        """Return the applied configuration of the watched services that exist."""
+        return self.cache.services
 
     @property
     def routing(self) -> Routing:
-        """Return the routes in force."""
-        return self.holdings.routing
+        """Return the applied routes."""
+        return self.cache.routing
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Return the data centres whose upstreams get nothing new."""
-        return self.holdings.evacuated
+        """Return the data centres whose upstreams receive no new attempts."""
+        return self.cache.evacuated
 
     @property
     def customers(self) -> CustomerTable | None:
-        """Return the customers in force, None if requests need no key."""
-        return self.holdings.customers
+        """Return the applied customers, None if requests need no key."""
+        return self.cache.customers
 
     @property
     def claim_groups(self) -> Mapping[str, ClaimGroup]:
         """Return the claim groups of the watched services."""
-        return self.holdings.claim_groups
+        return self.cache.claim_groups
 
     @property
     def voter(self) -> str:
-        """Return the name of the voter the node renews with."""
+        """Return the name of the voter that the node is attached to."""
         return self.attachment.voter
 
     def upstreams(self, service: str) -> tuple[Upstream, ...]:
         """List the upstreams of a watched service."""
-        return held.list_upstreams(self.holdings, service)
+        return watch_cache.list_upstreams(self.cache, service)
 
 
 def create_node_view(
@@ -105,11 +106,11 @@
     rng: random.Random,
     services: tuple[str, ...] = (),
 ) -> NodeView:
-    """Create the view of a node that has just started and knows nothing."""
+    """Create the view of a node that has just started and has received nothing."""
     order = order_voters(instance.name, instance.name, instance.data_centre, voters)
     attachment = Attachment(order, moved_at=now)
-    attachment.next_beat = now + 0.1 * times.heartbeat * rng.random()
-    watched = held.Holdings(watched=dict.fromkeys(services))
+    attachment.next_heartbeat_at = now + 0.1 * times.heartbeat * rng.random()
+    watched = watch_cache.WatchCache(watched=dict.fromkeys(services))
     pending = set(services)
     return NodeView(
         instance, times, attachment, watched, watch_sequence=1, pending=pending, seeds=voters
--- a/packages/bendwind-node/src/bendwind_node/membership/tests/test_task.py
+++ b/packages/bendwind-node/src/bendwind_node/membership/tests/test_task.py
@@ -1,4 +1,4 @@
-"""Test nodes' membership and voters' registries together over a stand-in network."""
+"""Test nodes' membership tasks with voters' registry tasks over a simulated network."""
 
 import contextlib
 import random
@@ -24,7 +24,7 @@
 
 
 class Control:
-    """Stand in for a voter's log."""
+    """Replace a voter's log."""
 
     def __init__(self):
         self.confirmed = 0
@@ -42,7 +42,7 @@
 
 @contextlib.asynccontextmanager
 async def run_learner(deployment):
-    """Run the registry of a process without a vote, and yield its control."""
+    """Run the registry task of a learner and yield its control."""
     control = Control()
     parts = deployment.make_parts("learner")
     learner = create_registry_task(
@@ -121,7 +121,7 @@
 
         run(test)
 
-    def test_without_a_quorum_nodes_turn_stale_and_say_so(self):
+    def test_nodes_become_stale_without_quorum_and_report_it(self):
         async def test(deployment):
             deployment.control.has_quorum = False
             await trio.sleep(LeaseTimes().lease + 1)
@@ -132,7 +132,7 @@
 
         run(test)
 
-    def test_stream_of_messages_does_not_hold_up_heartbeats(self):
+    def test_steady_messages_do_not_delay_heartbeats(self):
         async def test(deployment):
             deployment.sent.clear()
             node = deployment.nodes["near-v0"]
@@ -148,7 +148,7 @@
 
         run(test)
 
-    def test_status_lists_nodes_of_all_voters_and_waits_for_none(self):
+    def test_status_lists_nodes_of_reachable_voters_without_blocking(self):
         async def test(deployment):
             registry = deployment.registries["v0"]
             rows = await registry.status()
@@ -161,7 +161,7 @@
 
         run(test)
 
-    def test_learner_confirms_nothing_until_it_has_a_vote(self):
+    def test_learner_starts_confirming_once_it_is_a_voter(self):
         async def test(deployment):
             async with run_learner(deployment) as control:
                 await trio.sleep(10)
@@ -172,11 +172,12 @@
 
         run(test)
 
-    def test_learner_that_saw_others_join_before_confirms_once_it_has_a_vote(self):
+    def test_learner_confirms_after_other_voters_joined_first(self):
         async def test(deployment):
             async with run_learner(deployment) as control:
                 await trio.sleep(10)
-                # Replacing what the task waited on lost the news of its own vote, for good.
+                # Guards against a lost wake-up: replacing the event that the task waited on meant
+                # that the task never noticed that it had become a voter.
                 for other in ("v2", "v3"):
                     control.voter_places = (*control.voter_places, VoterPlace(other, "dc"))
                     await trio.sleep(1)
