--- a/packages/bendwind-node/src/bendwind_node/calls/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Offer the tasks that carry calls: the entry node's, the owner node's and their HTTP edges."""
+"""Provide the tasks that serve calls at the entry node and at the owner node, with their HTTP."""
--- a/packages/bendwind-node/src/bendwind_node/calls/assembly.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/assembly.py
@@ -1,4 +1,4 @@
-"""Put together the hand-overs whose bodies come in parts."""
+"""Assemble the hand-overs whose bodies arrive in parts."""
 
 import msgspec
 from expression import Error, Ok, Result
@@ -13,7 +13,7 @@
 
 
 class Assembly(msgspec.Struct, eq=False):
-    """Hold a hand-over whose body is still coming, and since when."""
+    """Hold a hand-over whose body is incomplete, and the time at which it arrived."""
 
     hand_over: HandOver
     epoch: int
@@ -22,9 +22,9 @@
 
 
 class AssemblyTable(msgspec.Struct, eq=False):
-    """Hold the incomplete hand-overs of one owner node, within a number and a byte budget.
+    """Hold the incomplete hand-overs of one owner node, limited in number and in bytes.
 
-    None of them has started, so each may be refused or dropped as not run.
+    None of them has started, so each may be refused as not run or dropped.
     """
 
     body_limit: int
@@ -32,7 +32,7 @@
     open: dict[AttemptId, Assembly] = msgspec.field(default_factory=dict)
 
     def start(self, hand_over: HandOver, epoch: int, now: Seconds) -> Result[None, NotRunReason]:
-        """Begin with the first part, which came with the hand-over."""
+        """Start an assembly with the first part of the body, which the hand-over contains."""
         if len(self.open) >= MAX_ASSEMBLING:
             return Error(NotRunReason.OVERLOADED)
         inflow = Inflow(self.body_limit, self.budget)
@@ -44,7 +44,7 @@
     def add(
         self, part: BodyPart, epoch: int, now: Seconds
     ) -> Result[HandOver | None, NotRunReason] | None:
-        """Add a part; return the whole hand-over once complete, None for an unknown attempt."""
+        """Add a part; return the hand-over once it is complete, None for an unknown attempt."""
         assembly = self.open.get(part.attempt)
         if assembly is None or assembly.epoch != epoch:
             return None
@@ -54,18 +54,19 @@
         if part.more:
             return Ok(None)
         self.drop(part.attempt)
-        # Its body would have to come again to another owner, which takes longer than most waits.
+        # The attempt may wait in the queue now: after a refusal its body would have to be sent
+        # again to another owner, which takes longer than most waits.
         whole = replace(assembly.hand_over, body=assembly.inflow.join(), more=False, may_wait=True)
-        # Its caller waited while the body came.
+        # The caller's time was running while the body arrived.
         return Ok(deduct_time(whole, now - assembly.begun_at))
 
     def drop(self, attempt: AttemptId) -> None:
-        """Forget a hand-over and free its bytes."""
+        """Remove a hand-over and free its bytes."""
         assembly = self.open.pop(attempt, None)
         if assembly is not None:
             assembly.inflow.free()
 
     def drop_all_of(self, entry: str) -> None:
-        """Forget every hand-over of an entry node whose link broke."""
+        """Remove all hand-overs of an entry node whose link broke."""
         for attempt in [attempt for attempt in self.open if attempt.entry == entry]:
             self.drop(attempt)
--- a/packages/bendwind-node/src/bendwind_node/calls/authentication.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/authentication.py
@@ -1,4 +1,4 @@
-"""Find out whose a request is, by the key that its caller sends."""
+"""Find the customer of a request by the key that its caller sends."""
 
 from expression import Error, Ok, Result
 
@@ -9,9 +9,9 @@
 from bendwind_node.calls.dialect import Dialect
 from bendwind_node.calls.refusal import Refusal
 
-# To send it again brings the same answer until the keys change, so that no time is named.
+# No Retry-After: sending the request again gives the same answer until the keys change.
 _UNKNOWN_KEY = Refusal(401, outcomes.REFUSED, "unknown-key")
-# Made once, since most requests of a deployment without customers end up here.
+# Created once, since all requests of a deployment without customers get this result.
 _NOBODY: Result[Customer | None, Refusal] = Ok(None)
 
 
@@ -22,14 +22,14 @@
     *,
     is_open: bool,
 ) -> Result[Customer | None, Refusal]:
-    """Return the customer of a request, None where it needs none and names none.
+    """Return the customer of a request, None if it needs none and has no valid key.
 
-    Errors: the refusal of a request that needs a key and does not bear exactly one known.
+    Errors: the refusal of a request that needs a key and does not have exactly one that is known.
     """
     if customers is None:
         return _NOBODY
     keys = [value for name, value in headers if name == dialect.key]
-    # Of two keys, the caller could not tell whose request it becomes.
+    # With two keys, the caller could not know to which customer its request counts.
     customer = find_customer(customers, keys[0]) if len(keys) == 1 else None
     if customer is not None:
         return Ok(customer)
--- a/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
@@ -1,4 +1,4 @@
-"""Carry out the effects of one call that wait: claiming, answering, finishing."""
+"""Carry out the effects of a call that may wait: claiming its key, answering, finishing."""
 
 import contextlib
 import math
@@ -27,12 +27,13 @@
 from bendwind_node.calls.caller_exchange import CallerExchange, CallerGoneError
 from bendwind_node.calls.entry_node import EntryNode
 
-# A caller that goes away is noticed after this; most calls end sooner and are spared the watcher.
+# The caller's connection is watched for its close only after this time; most calls end sooner and
+# need no watching task.
 GONE_WATCH_AFTER: Seconds = 0.025
 
 
 class Delivery:
-    """Deliver one call's outcome to its caller."""
+    """Deliver the outcome of one call to its caller."""
 
     __slots__ = ("entry", "exchange", "is_gone", "is_started", "run")
 
@@ -44,7 +45,7 @@
         self.is_gone = False
 
     async def finish(self) -> None:
-        """Go on until the final outcome is delivered."""
+        """Carry out the call's effects until its final outcome is delivered."""
         if await self._go_on(is_watched=False):
             return
         async with trio.open_nursery() as nursery:
@@ -63,14 +64,14 @@
 
     @contextlib.contextmanager
     def _noticing_gone(self) -> Iterator[None]:
-        """Take a failed sending as the caller's end; what follows is not sent either."""
+        """Treat a failed send as the caller going away; skip the sends that follow it."""
         try:
             yield
         except CallerGoneError:
             self._note_gone()
 
     async def _go_on(self, *, is_watched: bool) -> bool:
-        """Carry out effects; False if the call lasts and its caller is to be watched."""
+        """Carry out effects; return False if the call goes on and its caller has to be watched."""
         run = self.run
         until = math.inf if is_watched else trio.current_time() + GONE_WATCH_AFTER
         while is_watched or not self.is_started:
@@ -105,7 +106,7 @@
                 status = outcomes.find_not_run_status(reason, self.entry.dialect)
                 self._remember_refused()
                 if run.is_inner and reason is not NotRunReason.QUARANTINED:
-                    # A poison request says nothing of the room at the service that it calls.
+                    # A quarantined request says nothing about the capacity of the called service.
                     self.entry.owner.note_call_refused()
                 await self._send_outcome(status, outcomes.NOT_RUN, reason, retry_after_ms)
             case ev.FinishUnknown(reason=reason, retry_after_ms=retry_after_ms):
--- a/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
@@ -1,4 +1,4 @@
-"""Put together what decided about one request, for its log lines."""
+"""Collect the facts behind the decisions on one request, for its log lines."""
 
 from bendwind_core.attempts import Header
 from bendwind_core.attempts.call import Attempt
@@ -22,7 +22,7 @@
 
 
 def find_request_id(headers: tuple[Header, ...], dialect: Dialect) -> str:
-    """Return the caller's own id of its request, empty where there is none."""
+    """Return the caller's own id of its request, empty if there is none."""
     if dialect.request_id is None:
         return ""
     return (names.find_header(headers, dialect.request_id) or b"").decode("latin-1")
@@ -31,7 +31,7 @@
 def make_call_facts(
     run: CallRun, status: int, membership: MembershipTask, now: Seconds
 ) -> CallFacts:
-    """Describe the end of a call."""
+    """Return the facts of a finished call."""
     call = run.call
     target_ms = None
     tried_ms = 0.0
@@ -78,7 +78,7 @@
 def make_dispatch_facts(
     owner_state: OwnerState, hand_over: HandOver, expires_at: Seconds, now: Seconds
 ) -> DispatchFacts:
-    """Describe what is known at the start of a dispatch; its duration comes later."""
+    """Return the facts known at the start of a dispatch; its duration is added later."""
     came_at = expires_at - hand_over.remaining_ms / MILLISECONDS_PER_SECOND
     return DispatchFacts(
         hand_over.route,
@@ -101,7 +101,7 @@
     now: Seconds,
     waited: Seconds | None = None,
 ) -> RefusalFacts:
-    """Describe what is known when an attempt is refused."""
+    """Return the facts known when an attempt is refused."""
     is_suspect = reason in (NotRunReason.KEPT_APART, NotRunReason.QUARANTINED)
     return RefusalFacts(
         hand_over.route,
@@ -123,7 +123,7 @@
 
 
 def make_end_facts(under: tuple[UnansweredAttempt, ...], dialect: Dialect) -> EndFacts:
-    """Describe what an upstream ended under."""
+    """Return the facts of the requests that an upstream left unanswered when it ended."""
     return EndFacts(
         tuple(
             UnansweredFacts(ended.signature.hex(), find_request_id(ended.headers, dialect))
@@ -133,7 +133,7 @@
 
 
 def _find_limit(owner_state: OwnerState) -> int:
-    """Return how many attempts may run; 0, which no line spells out, for all slots."""
+    """Return how many attempts may run; 0, which log lines omit, if all slots may be used."""
     return 0 if owner_state.run_limit == owner_state.slots else owner_state.run_limit
 
 
--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -1,4 +1,4 @@
-"""Take in one request: its service, rule, deadline, key and body, each within its limits."""
+"""Admit one request: find its service and rule, and read deadline, key and body within limits."""
 
 import math
 
@@ -29,25 +29,26 @@
 SERVICE_WAIT: Seconds = 2.0
 SERVICE_POLL: Seconds = 0.01
 FIRST_PROOF_WAIT: Seconds = 2.0
-# The route of a request is looked for without waiting; its service may still be on its way.
+# The route of a request is looked up without waiting, but the configuration of its service may not
+# have arrived at this node yet.
 ROUTED_SERVICE_WAIT: Seconds = 0.25
 
 _BODY_TOO_LARGE = Refusal(413, outcomes.REFUSED, "body-too-large")
 _HEADERS_TOO_LARGE = Refusal(431, outcomes.REFUSED, "headers-too-large")
 _BODY_TOO_SLOW = Refusal(408, outcomes.REFUSED, "request-timeout")
-# Making a result costs about 7 microseconds, and most calls have neither key nor body.
+# Shared results: creating one takes about 7 microseconds, and most calls have neither key nor body.
 _NO_KEY: Result[str, Refusal] = Ok("")
 _EMPTY: Result[bytes, Refusal] = Ok(b"")
 _UNKNOWN_SERVICE = Refusal(404, outcomes.REFUSED, "unknown-service")
 _NO_ROUTE = Refusal(404, outcomes.REFUSED, "no-route")
-# CONNECT asks for a tunnel, which no upstream takes part in. An answer to TRACE repeats the request
-# with what was added to it on the way (RFC 9110, 9.3.6 and 9.3.8).
+# CONNECT requests a tunnel, which no upstream supports. An answer to TRACE repeats the request with
+# everything that was added to it on the way (RFC 9110, 9.3.6 and 9.3.8).
 _NOT_SERVED = frozenset({"CONNECT", "TRACE"})
 _METHOD_NOT_SERVED = Refusal(501, outcomes.REFUSED, "method-not-served")
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Name the service that takes a request, the rule that it comes under and whose it is."""
+    """Hold the service that serves a request, the rule that applies to it, and its customer."""
 
     service: Service
     rule: Rule
@@ -55,7 +56,7 @@
 
 
 class CallIntake:
-    """Take in requests for one process."""
+    """Admit the requests that one process receives."""
 
     __slots__ = ("budget", "entry", "in_flight", "max_body_bytes", "max_in_flight")
 
@@ -69,7 +70,7 @@
         self.in_flight = 0
 
     async def take(self, exchange: CallerExchange, call_id: str) -> Result[CallRun, Refusal]:
-        """Read a request whole; the bytes of its body are the caller's to give back."""
+        """Read a request whole; the calling code returns the bytes of its body to the budget."""
         arrived_at = trio.current_time()
         if self.in_flight > self.max_in_flight:
             return Error(Refusal.not_run(NotRunReason.OVERLOADED))
@@ -115,7 +116,8 @@
             with trio.move_on_at(deadline_at):
                 body = await self._read_body(exchange, limit)
         else:
-            # There is nothing to wait for, and a scope costs most calls more than the rest here.
+            # There is nothing to wait for, and for most calls a cancel scope would take longer than
+            # everything else here.
             body = await self._read_body(exchange, limit)
         return body.map(
             lambda whole: self._create_run(
@@ -126,12 +128,13 @@
     def _find_span(
         self, request: CallerRequest, rule: Rule, arrived_at: Seconds, timeout_ms: Milliseconds
     ) -> CallerTime:
-        """Return since when the caller has been trying, and when its time ends."""
+        """Return when the caller first sent the request and when its time ends."""
         ends_at = arrived_at + timeout_ms / MILLISECONDS_PER_SECOND
         if rule.target_latency_ms is None or not math.isfinite(ends_at):
             return CallerTime(arrived_at, ends_at)
         asked = Request(rule.name, request.method, request.target)
-        # Callers that came back displaced new ones, whose answers could still be in time.
+        # The time counts from the first arrival: otherwise callers that retry displace new callers,
+        # whose answers could still be in time.
         return CallerTime(take_began_at(self.entry.returns, asked, arrived_at, ends_at), ends_at)
 
     def _find_body_limit(self, service: Service) -> int:
@@ -204,12 +207,12 @@
         return found
 
     async def _find_direct(self, request: CallerRequest) -> Result[Target, Refusal]:
-        """Find the service that the request names."""
+        """Resolve a request by the service that it names."""
         if self.entry.dialect.service is None:
-            # Where callers cannot name a service, only routes lead to one.
+            # If callers cannot name a service, only routes lead to one.
             return Error(self._refuse_if_fresh(_UNKNOWN_SERVICE))
-        # Only the service's rules tell whether a key is needed, and a node that waited for its
-        # first configuration has heard of keys only now.
+        # Authentication comes after the wait for the service: only the rules of the service state
+        # whether a key is needed, and a node without a configuration learns the keys in this wait.
         service = await self._find_service(request.headers)
         rule = None if service is None else find_rule(service, request.method, request.path)
         asked = self._authenticate(request, is_open=rule is not None and rule.is_open)
@@ -220,13 +223,13 @@
         return Ok(Target(service, rule, asked.ok))
 
     def _refuse_if_fresh(self, refusal: Refusal) -> Refusal:
-        """Return a refusal that only a fresh node may give, otherwise not-run as stale."""
-        # A node without proof of freshness cannot tell what the newest configuration lacks.
+        """Return the refusal if the configuration is fresh, otherwise a not-run refusal as stale."""
+        # A node without proof of freshness does not know what the newest configuration contains.
         is_fresh = self.entry.membership.is_fresh()
         return refusal if is_fresh else Refusal.not_run(NotRunReason.STALE)
 
     async def _find_routed(self, request: CallerRequest) -> Result[Target, Refusal]:
-        """Find the service by the routes; one that is not known yet is waited for shortly."""
+        """Resolve a request by the routes; wait briefly for a service that is not known yet."""
         table = self.entry.routes
         route = find_route(table, names.find_host(request.headers), request.path)
         if route is None:
@@ -279,7 +282,7 @@
         return membership.services.get(name)
 
     async def _wait_first_proof(self) -> None:
-        """Give a node that has just started the time to learn the configuration."""
+        """Wait until a node that has just started has received the configuration."""
         view = self.entry.membership.view
         if view.confirmed_at is not None:
             return
@@ -317,7 +320,7 @@
 
 
 class _BodyReading:
-    """Hold a body while it is read."""
+    """Hold the parts of a body that is being read."""
 
     __slots__ = ("budget", "limit", "parts", "size")
 
@@ -328,7 +331,7 @@
         self.size = 0
 
     def add(self, part: bytes) -> Refusal | None:
-        """Add a part, or say why the body is refused."""
+        """Add a part; return a refusal if the body exceeds its limit or the budget."""
         if self.size + len(part) > self.limit:
             return _BODY_TOO_LARGE
         if not self.budget.take(len(part)):
@@ -339,15 +342,15 @@
 
 
 def _scope_key(customer: str, key: str) -> str:
-    # Customers choose their keys without knowing of each other. No header's value holds a line's
-    # end, so that no caller can name a key of a customer's.
+    # Customers choose their keys independently, so equal keys of two customers must differ here. A
+    # header value contains no line break, so no caller can forge the key of another customer.
     return f"{customer}\n{key}" if customer else key
 
 
 def _read_timeout_ms(
     stated: bytes | None, service: Service, rule: Rule
 ) -> Result[Milliseconds, Refusal]:
-    """Return the time that the caller states, or the longest that its rule permits."""
+    """Return the timeout that the caller states, or else the longest that its rule permits."""
     if stated is None:
         return Ok(rule.longest_wait_ms or service.longest_wait_ms)
     try:
--- a/packages/bendwind-node/src/bendwind_node/calls/call_run.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_run.py
@@ -1,4 +1,4 @@
-"""Hold one call while its task, its attempts and its timers are under way."""
+"""Hold the state of one call while its task, its attempts and its timers are active."""
 
 import collections
 from collections.abc import Callable
@@ -22,11 +22,11 @@
 
 
 class CallRun(msgspec.Struct, eq=False):
-    """Hold one call; `apply` decides on an event and carries out what needs no waiting.
+    """Hold one call; `apply` applies an event and carries out the effects that need no waiting.
 
     `request_id` is the caller's own id of its request, `span` the time that the caller has, and
-    `is_inner` says that an owner took it for a call of an upstream. `quota_grant` is where the
-    token of its customer's quota comes from.
+    `is_inner` is true once an owner has classified the request as a call made by an upstream.
+    `quota_grant` states which voter granted the token of the customer's quota.
     """
 
     call: EntryCall
@@ -55,7 +55,7 @@
     wake: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def feed(self, event: EntryEvent) -> None:
-        """Apply an event; one that comes while another is applied waits its turn."""
+        """Apply an event; queue it while another event is being applied."""
         self.events.append(event)
         if self.is_stepping:
             return
@@ -67,17 +67,17 @@
             self.is_stepping = False
 
     def leave_to_task(self, effect: EntryEffect) -> None:
-        """Queue an effect that the call's task carries out, and wake it."""
+        """Queue an effect for the call's task and wake the task."""
         self.todo.append(effect)
         self.wake.set()
 
     def start_timer(self, timer: StartTimer) -> None:
-        """Set or move a timer."""
+        """Start a timer or change its time."""
         self.timers[timer.kind] = timer.at
         self.wake.set()
 
     async def wait(self, until: Seconds) -> None:
-        """Return when there is an effect to carry out or a timer to fire, or at a time."""
+        """Return when there is an effect to carry out, a timer is due, or `until` is reached."""
         if self.todo:
             return
         self.wake = trio.Event()
--- a/packages/bendwind-node/src/bendwind_node/calls/call_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_task.py
@@ -1,4 +1,4 @@
-"""Run one caller's request from its arrival to its one final outcome."""
+"""Run one request of a caller from its arrival to its single final outcome."""
 
 import trio
 from expression import Result
@@ -83,7 +83,7 @@
         )
 
     def _make_facts(self, refusal: Refusal, run: CallRun | None) -> CallFacts:
-        """Describe a refused request; before it was taken, nothing is known but the status."""
+        """Return the facts of a refused request: before admission, only status and configuration."""
         membership = self.entry.membership
         if run is not None:
             facts = make_call_facts(run, refusal.status, membership, trio.current_time())
@@ -116,7 +116,7 @@
             self.entry.forget(run)
 
     async def _take_token(self, run: CallRun) -> Refusal | None:
-        """Take a token of the customer's quota; the first attempt may not start without one."""
+        """Acquire a token of the customer's quota, which the first attempt needs to start."""
         call = run.call
         quotas = self.entry.quotas
         if quotas is None or not quotas.is_limited(call.customer):
--- a/packages/bendwind-node/src/bendwind_node/calls/caller_asgi.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/caller_asgi.py
@@ -1,4 +1,4 @@
-"""Serve callers by hypercorn: HTTP/1.1 and HTTP/2 as the library offers them."""
+"""Serve callers over HTTP/1.1 and HTTP/2 with hypercorn."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,7 +11,7 @@
 
 
 class AsgiExchange:
-    """Carry one ASGI request."""
+    """Exchange one ASGI request and its answer."""
 
     __slots__ = (
         "is_aborted",
@@ -62,7 +62,7 @@
         self.is_answered = not more
 
     def abort(self) -> None:
-        """End without the rest of the body, upon which hypercorn closes the connection."""
+        """End the answer without the rest of its body; hypercorn then closes the connection."""
         self.is_aborted = True
 
     async def wait_gone(self) -> None:
@@ -73,7 +73,7 @@
 
 
 async def serve_callers_asgi(handle: Handle, server: AsgiServer, account: RequestAccount) -> None:
-    """Serve callers until shut down, then finish what is in flight."""
+    """Serve callers until shutdown, then finish the requests in flight."""
 
     async def answer(exchange: AsgiExchange) -> None:
         account.open()
--- a/packages/bendwind-node/src/bendwind_node/calls/caller_exchange.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/caller_exchange.py
@@ -1,4 +1,4 @@
-"""Define the seam between the callers' HTTP and the entry node."""
+"""Define the interface between the HTTP servers for callers and the entry node."""
 
 from typing import Protocol
 
@@ -10,7 +10,7 @@
 class CallerRequest(msgspec.Struct):
     """Hold the head of a caller's request; header names are in lower case.
 
-    `may_have_body` is false only if the head rules a body out, so that there is none to wait for.
+    `may_have_body` is false only if the head states that no body follows.
     """
 
     method: str
@@ -25,10 +25,10 @@
 
 
 class CallerExchange(Protocol):
-    """Carry one request of a caller and its answer.
+    """Exchange one request of a caller and its answer.
 
-    `may_have_run` is set by the handler once the request may have had an effect; until then it has
-    not run.
+    The handler sets `may_have_run` once the request may have had an effect; until then the request
+    has not run.
     """
 
     request: CallerRequest
@@ -47,11 +47,11 @@
         """Send a part of the answer's body; the last has `more` false."""
 
     def abort(self) -> None:
-        """Close the connection, so that the caller sees that the answer is cut."""
+        """Close the connection, so that the caller sees that the answer is incomplete."""
 
     async def wait_gone(self) -> None:
         """Return when the caller has closed its connection."""
 
 
 class CallerGoneError(Exception):
-    """Tell that the caller closed its connection."""
+    """Report that the caller closed its connection."""
--- a/packages/bendwind-node/src/bendwind_node/calls/caller_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/caller_h11.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP/1.1 with h11 on trio streams, for the least time added to a call."""
+"""Serve callers over HTTP/1.1 with h11 on trio streams, to add as little latency as possible."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -25,26 +25,28 @@
 
 Handle = Callable[[CallerExchange], Awaitable[None]]
 
-# RFC 9112, section 9.6: reading on for a while lets the caller see the answer before the reset.
+# RFC 9112, section 9.6: the server keeps reading for this time after the last answer, so that the
+# caller reads the answer before the connection is reset.
 LINGER: Seconds = 1.0
-# A head fits into a few packets; one that trickles in takes a connection from others.
+# A head fits into a few packets; one that arrives slowly occupies a connection that others need.
 HEADER_TIMEOUT: Seconds = 10.0
-# A caller that has just connected is about to send its request.
+# While draining, a new connection is kept this long, since its caller is about to send a request.
 FIRST_REQUEST_TIMEOUT: Seconds = 0.25
-# Connections in the backlog are reset with the listening socket; accepting them takes less.
+# Closing the listening socket resets the connections in its backlog; accepting them all takes less
+# than this time.
 LAST_ACCEPT_TIMEOUT: Seconds = 0.01
 
 _SERVICE_UNAVAILABLE = 503
 _HEADERS_TOO_LARGE = 431
 _BAD_REQUEST = 400
 _REQUEST_TIMEOUT = 408
-# What HTTP/1.1 writes beside the text: blanks, the version and line ends.
+# Bytes that HTTP/1.1 adds to the text of a head: spaces, the version, separators and line ends.
 _LINE_OVERHEAD = 12
 _HEADER_OVERHEAD = 4
 
 
 def _find_origin_form(target: bytes) -> bytes | None:
-    """Return the target as a path, None where it is no address."""
+    """Return the target as a path, None if it is not a valid address."""
     # RFC 9112, section 3.2.2: a server must accept the absolute form as well.
     if target.startswith((b"/", b"*")):
         return target
@@ -57,16 +59,17 @@
 
 
 class _HeadTooSlowError(Exception):
-    """Tell that a caller began a head and did not end it in time."""
+    """Report that a caller began a request head and did not complete it in time."""
 
 
 class H11Server(msgspec.Struct, eq=False):
-    """Own the callers' connections of a process.
+    """Serve the callers' connections of a process.
 
-    `keep_alive` bounds the rest between two requests, `header_timeout` the time from the first byte
-    of a head to its last. `idle` holds what waits for a request, and whether for the first one of
-    its connection. From `stopping` on, answers close their connections. With a `recorder`, a fault
-    that one request meets is recorded and its caller answered; without one it is raised.
+    `keep_alive` limits the idle time between two requests, `header_timeout` the time from the first
+    byte of a head to its last. `idle` holds the cancel scope of each connection that waits for a
+    request, with whether it is the first request of the connection. Once `stopping` is set, answers
+    close their connections. With a `recorder`, an exception raised by one request is recorded and
+    its caller gets an error answer; without one the exception is raised.
     """
 
     handle: Handle
@@ -82,13 +85,13 @@
     stopping: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def is_closing(self) -> bool:
-        """Tell whether answers say that their connection closes."""
-        # A caller cannot tell whether a request on a kept connection that closes was read; a
-        # refused new connection tells it that the request was not.
+        """Return whether answers announce that their connection closes."""
+        # If a kept connection closes without notice, a caller cannot know whether its next request
+        # was read; if a new connection is refused, it knows that the request was not.
         return self.is_draining or self.stopping.is_set()
 
     async def run(self, listeners: list[trio.SocketListener], shutdown: trio.Event) -> None:
-        """Accept until shut down; return when what is in flight has been answered."""
+        """Accept until shutdown; return when all requests in flight have been answered."""
         async with trio.open_nursery() as serving:
             prompt = [PromptListener(listener) for listener in listeners]
             async with trio.open_nursery() as accepting:
@@ -105,12 +108,12 @@
             scope.deadline = min(scope.deadline, self._find_idle_end(is_fresh=is_fresh))
 
     def _find_idle_end(self, *, is_fresh: bool) -> Seconds:
-        """Return until when a connection may wait for its next request."""
+        """Return the time until which a connection may wait for its next request."""
         now = trio.current_time()
         if not self.is_draining:
             return now + self.keep_alive
-        # At whatever moment a kept connection is closed, a request may be on its way; it is not
-        # read, which its caller can go by.
+        # A kept connection is closed at once: a request may be in transit at any moment, and the
+        # caller can rely on it not having been read.
         return now + FIRST_REQUEST_TIMEOUT if is_fresh else now
 
     async def _serve(self, stream: PromptStream) -> None:
@@ -133,16 +136,16 @@
             self.connections -= 1
 
     def _note_failure(self, error: Exception) -> None:
-        """Record a fault of this program; without a recorder it is raised."""
+        """Record an unexpected exception; raise it if there is no recorder."""
         if self.recorder is None:
             raise error
-        # A request that ends the process ends the next one with its next try.
+        # Raising it would end the process, and the caller's next retry would end the next process.
         self.recorder.record(EventKind.TASK_FAILED, detail=describe_failure(error))
 
     async def _serve_one(
         self, stream: PromptStream, connection: h11.Connection, *, is_fresh: bool
     ) -> bool:
-        """Serve one request and tell whether the connection may carry another."""
+        """Serve one request; return whether the connection may carry another."""
         try:
             head = await self._read_head(stream, connection, is_fresh=is_fresh)
         except _HeadTooSlowError:
@@ -163,8 +166,8 @@
         exchange = H11Exchange(self.is_closing, stream, connection, head, target)
         await self._handle(exchange)
         if exchange.says_close and exchange.is_answered:
-            # What the caller still sends, or has sent behind its request, would reset the
-            # connection, and the answer could be lost on its way.
+            # Closing now would reset the connection if the caller has sent more after its request
+            # or is still sending, and the answer could be lost in transit.
             await _linger(stream)
         return (
             not exchange.is_aborted
@@ -173,7 +176,7 @@
         )
 
     async def _handle(self, exchange: H11Exchange) -> None:
-        """Have a request answered; one that is given up half-way gets an answer as well."""
+        """Handle a request; send an error answer if its handler fails or is cancelled."""
         self.account.open()
         try:
             await self.handle(exchange)
@@ -181,7 +184,8 @@
             self._note_failure(error)
             exchange.give_up()
         except BaseException:
-            # What cancels a handler's nursery comes as a group, and is no `trio.Cancelled`.
+            # The cancellation of a handler's nursery arrives as an exception group, which is not a
+            # `trio.Cancelled`.
             exchange.give_up()
             raise
         finally:
@@ -199,14 +203,14 @@
         return event if isinstance(event, h11.Request) else None
 
     async def _receive_first(self, stream: PromptStream, *, is_fresh: bool) -> bytes:
-        """Wait for the first bytes of a request; empty where the connection is to be closed."""
+        """Wait for the first bytes of a request; return none if the connection has to be closed."""
         with trio.CancelScope(deadline=self._find_idle_end(is_fresh=is_fresh)) as scope:
             self.idle[scope] = is_fresh
             try:
                 return await stream.receive_some(RECEIVE_BYTES)
             finally:
                 del self.idle[scope]
-        # A request that came just now is still served; its caller would wait for an answer.
+        # A request that has just arrived is still served, since its caller waits for an answer.
         return stream.receive_now()
 
     async def _read_rest(self, stream: PromptStream, connection: h11.Connection) -> object:
@@ -218,9 +222,9 @@
 
 
 def _is_ambiguous(head: h11.Request) -> bool:
-    """Tell whether a head states the length of its body in two ways.
+    """Return whether a head states the length of its body in two ways.
 
-    Another server may go by the other one and take the rest for a second request.
+    Another server may use the other length and read the rest as a second request.
     Source: RFC 9112, section 6.1.
     """
     names = {name for name, _ in head.headers}
@@ -228,7 +232,8 @@
 
 
 def _measure_head(head: h11.Request) -> int:
-    # h11 bounds a head that comes in pieces; one that comes in a single piece is measured here.
+    # h11 limits the size of a head that arrives in several pieces; one that arrives in a single piece
+    # is measured here.
     line = len(head.method) + len(head.target) + _LINE_OVERHEAD
     return line + sum(len(name) + len(text) + _HEADER_OVERHEAD for name, text in head.headers)
 
@@ -236,7 +241,7 @@
 async def _refuse(
     stream: PromptStream, connection: h11.Connection, status: int, outcome: bytes
 ) -> None:
-    """Answer with an error that ends the connection."""
+    """Send an error answer that closes the connection."""
     await stream.send_all(make_error(connection, status, outcome))
     await _linger(stream)
 
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -1,4 +1,4 @@
-"""Carry the calls that reach this process: decide, hand over, deliver."""
+"""Run the calls that callers send to this process: choose upstreams and exchange messages."""
 
 import random
 from dataclasses import dataclass, field
@@ -61,32 +61,32 @@
 from bendwind_node.quotas import NodeQuotaTask
 
 LOCAL_EPOCH = 0
-# A longer body goes to another data centre, or with a try that may not wait, only once the owner
-# has said that it takes the request: on a slow link it takes longer than most waits.
+# A longer body is sent to another data centre, or with a no-wait attempt, only after the owner has
+# accepted the request: on a slow link the body takes longer than most waits in a queue.
 DEFAULT_FAR_BODY_BYTES = 16 * 1024
-# A watched upstream takes 642 bytes at a node (docs/design/distribution.md); with 23 upstreams a
-# service, so many services stay under half a megabyte.
+# A node stores 642 bytes per watched upstream (docs/design/distribution.md); with 23 upstreams per
+# service, this number of services takes less than half a megabyte.
 WATCHED_AHEAD = 32
 
 
 class LocalLink(msgspec.Struct, eq=False):
-    """Stand for the link between the entry node and the owner node of one process."""
+    """Connect the entry node and the owner node of one process, in place of a network link."""
 
     peer: Instance
     deliver: "EntryNode"
     epoch: int = LOCAL_EPOCH
 
     def send(self, message: PeerMessage) -> bool:
-        """Hand a reply of the owner node to the entry node."""
+        """Pass a reply of the owner node to the entry node."""
         self.deliver.receive(self, message)
         return True
 
 
 @dataclass(slots=True, eq=False)
 class EntryNode:
-    """Own the calls that callers brought to this process.
+    """Hold the calls that callers sent to this process.
 
-    `unknown_keys` counts requests refused for want of a known key.
+    `unknown_keys` counts the requests refused because they carried no known key.
     """
 
     own: Instance
@@ -115,7 +115,7 @@
         self.owner.link_opened(self.local)
 
     def find_choice(self, service: Service) -> ServiceChoice:
-        """Return the choice of a service, a new one on its first call."""
+        """Return the state of a service; its first call creates it."""
         choice = self.choices.get(service.name)
         if choice is None:
             choice = create_choice(service)
@@ -125,26 +125,27 @@
         return choice
 
     def refresh_routing(self) -> None:
-        """Take over the routes in force and watch the services that they lead to."""
+        """Apply the routes in force and watch the services that they lead to."""
         routing = self.membership.routing
         if routing.revision == self.routes.routing.revision:
             return
         set_routing(self.routes, routing)
         services = {part.service for route in routing.routes for part in route.parts}
-        # Watched ahead, a service's first call need not wait; of many, each node calls only a few.
+        # If a service is watched in advance, its first call does not have to wait. Out of many
+        # services, each node calls only a few, so that these are not watched in advance.
         if len(services) <= WATCHED_AHEAD:
             for service in sorted(services):
                 self.membership.watch(service)
 
     def refresh_upstreams(self, service_name: str) -> None:
-        """Take over the announced upstreams that the service's patterns admit."""
+        """Update a service's upstreams to those announced ones that its patterns admit."""
         choice = self.choices.get(service_name)
         if choice is not None:
             now = trio.current_time()
             refresh_choice(choice, self.own, self.membership, self.hub, now)
 
     def link_closed(self, link: Link) -> None:
-        """Hear that a link to an owner node broke."""
+        """Handle the loss of a link to an owner node."""
         now = trio.current_time()
         for run, attempt in self._find_attempts_at(link.peer.name):
             table = self.choices[run.call.service.name].table
@@ -156,7 +157,7 @@
                 self.refresh_upstreams(service)
 
     def has_attempts_at(self, owner: str) -> bool:
-        """Tell whether a call under way has an attempt at this owner."""
+        """Return whether a call in progress has an attempt at this owner."""
         return bool(self._find_attempts_at(owner))
 
     def _find_attempts_at(self, owner: str) -> list[tuple[CallRun, Attempt]]:
@@ -168,7 +169,7 @@
         return found
 
     def dial_failed(self, unsent: tuple[PeerMessage, ...]) -> None:
-        """Hear which messages never left this process."""
+        """Handle messages that were never sent because connecting to the owner failed."""
         for message in unsent:
             match message:
                 case HandOver(attempt=attempt):
@@ -186,11 +187,12 @@
         return self.runs.get(attempt.sequence) if is_own else None
 
     def receive(self, link: Link | LocalLink, message: PeerMessage) -> None:
-        """Hear a message of an owner node; one that matches no open attempt is dropped."""
+        """Handle a message of an owner node; drop it if it belongs to no open attempt."""
         run = self._find_run(message.attempt)
         attempt = None if run is None else find_attempt(run.call, message.attempt)
-        # Only the name is compared: a newer run of the owner refuses what names an older one, and
-        # since the hand-over went out on this very link, its word is proof.
+        # Only the owner's name is compared, not its incarnation: a newer incarnation refuses
+        # messages addressed to an older one, and since the hand-over was sent on this same link,
+        # its reply is proof.
         if attempt is None or attempt.upstream.owner.name != link.peer.name:
             self.recorder.record(
                 EventKind.LATE_MESSAGE_DROPPED,
@@ -255,7 +257,7 @@
         )
 
     def apply(self, run: CallRun, event: ev.EntryEvent) -> None:
-        """Decide on an event and carry out what needs no waiting."""
+        """Apply an event to a call and carry out the effects that need no waiting."""
         now = trio.current_time()
         call = run.call
         choice = self.choices[call.service.name]
@@ -264,8 +266,8 @@
             if not may_send(self.membership, run):
                 return None
             note_own_load(choice, self.owner, now)
-            # Long bodies made most of the bytes between data centres, which fell by 52% (one run of
-            # 50 s each with bodies of 60 kB on average).
+            # Long bodies make up most of the bytes between data centres. Keeping them near reduced
+            # these bytes by 52% (one run of 50 s each, with bodies of 60 kB on average).
             stays = self._is_long(run)
             return choose_for(choice, run, excluded, self.own, now, self.rng, stays=stays)
 
@@ -296,12 +298,12 @@
                 run.leave_to_task(effect)
 
     def _keep_part(self, run: CallRun, attempt: AttemptId) -> None:
-        # The part just accepted; a claim's record needs it after the caller has got it.
+        # Keeps the part just accepted: the record of a claim needs it after the caller received it.
         if run.key and sum(map(len, run.kept_parts)) <= MAX_KEPT_ANSWER_BYTES:
             run.kept_parts.append(run.incoming[attempt, run.call.next_part - 1].data)
 
     def send(self, owner: str, message: PeerMessage) -> bool:
-        """Send to an owner node, in this process or another; False if it was not even queued."""
+        """Send to an owner node, in this process or another; return False if nothing was queued."""
         if owner == self.own.name:
             self.owner.receive(self.local, message)
             return True
@@ -352,7 +354,7 @@
             self.nursery.start_soon(self._send_parts, run, effect.attempt, owner.name, rest)
 
     def _find_suspicion(self, run: CallRun) -> SuspectReport | None:
-        """Return what this process knows against a request; its owner may not have heard of it."""
+        """Return the suspect report on a request, if any; its owner may not have received it."""
         suspects = self.owner.register.suspects
         if not suspects.suspects:
             return None
@@ -363,15 +365,15 @@
         return find_report(suspects, run.signature, trio.current_time())
 
     def hear_suspects(self, told: tuple[SuspectReport, ...]) -> None:
-        """Hear from a voter what is known against requests."""
+        """Merge suspect reports that a voter sent."""
         now = trio.current_time()
         for one in told:
             merge_report(self.owner.register.suspects, one, now)
 
     def _asks_first(self, run: CallRun, effect: ev.SendHandOver) -> bool:
-        """Tell whether the owner has to say that it takes a request before it gets the body.
+        """Return whether the body is sent only after the owner has accepted the request.
 
-        A body that is sent back was a load on the links of both nodes for nothing.
+        The body of a refused request would load the links of both nodes for nothing.
         """
         is_far = effect.upstream.owner.data_centre != self.own.data_centre
         return self._is_long(run) and (is_far or not effect.may_wait)
@@ -395,7 +397,7 @@
         self.claims.record(call.service.name, run.key, call.call_id, state, answer)
 
     def forget(self, run: CallRun) -> None:
-        """Drop a finished call: later messages for its attempts are late."""
+        """Remove a finished call; messages for its attempts are dropped as late from then on."""
         table = self.choices[run.call.service.name].table
         now = trio.current_time()
         for attempt in run.call.attempts:
--- a/packages/bendwind-node/src/bendwind_node/calls/failure.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/failure.py
@@ -1,13 +1,13 @@
-"""Describe a fault of this program that one request met."""
+"""Describe an unexpected exception that occurred while serving one request."""
 
 import traceback
 
-# The innermost frames tell where; the rest is the same for each request.
+# The innermost frames show where it occurred; the outer ones are the same for each request.
 _FRAMES = 3
 
 
 def describe_failure(error: BaseException) -> str:
-    """Return what went wrong and where, on one line."""
+    """Return the exception and where it was raised, on one line."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     frames = traceback.extract_tb(error.__traceback__)[-_FRAMES:]
--- a/packages/bendwind-node/src/bendwind_node/calls/h11_exchange.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/h11_exchange.py
@@ -1,4 +1,4 @@
-"""Carry one request of an HTTP/1.1 connection and its answer, with h11 on a trio stream."""
+"""Exchange one HTTP/1.1 request and its answer, with h11 on a trio stream."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,8 @@
 from bendwind_node.streams import PromptStream
 
 RECEIVE_BYTES = 64 * 1024
-# Pipelined requests beyond this stay in the socket, and the caller's end is no longer watched.
+# Pipelined requests beyond this size stay unread in the socket, and the caller's connection is no
+# longer watched for its close.
 MAX_READ_AHEAD_BYTES = 64 * 1024
 FRAMING = frozenset((names.CONTENT_LENGTH, b"transfer-encoding"))
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError)
@@ -23,7 +24,7 @@
 
 
 class H11Exchange:
-    """Carry one request of a connection."""
+    """Exchange one request of a connection and its answer."""
 
     __slots__ = (
         "connection",
@@ -97,7 +98,7 @@
         self.connection.receive_data(data)
 
     async def send_head(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Prepare the head of the answer; it goes out with the first part of the body."""
+        """Prepare the head of the answer; it is sent with the first part of the body."""
         self.says_close = self.is_closing() or not _has_whole_request(self.connection)
         if self.says_close:
             headers = (*headers, _CLOSE)
@@ -123,16 +124,16 @@
             raise CallerGoneError from error
 
     def give_up(self) -> None:
-        """Answer at once that nobody knows what became of the request, or that it has not run.
+        """Answer at once that the outcome of the request is unknown, or that it has not run.
 
-        An answer that has begun stays as it is.
+        Do nothing if the answer has begun.
         """
         if self.is_answer_begun:
             return
         status = _BAD_GATEWAY if self.may_have_run else _SERVICE_UNAVAILABLE
         outcome = outcomes.UNKNOWN if self.may_have_run else outcomes.NOT_RUN
         self.says_close = True
-        # Nothing was sent, so that it does not matter how far the connection's own state had come.
+        # Nothing was sent yet, so a new h11 state can be used whatever state the connection is in.
         answer = make_error(h11.Connection(h11.SERVER), status, outcome)
         try:
             self.is_answered = self.stream.send_now(answer) == len(answer)
@@ -140,7 +141,7 @@
             self.is_gone = True
 
     def abort(self) -> None:
-        """Mark the connection to be closed before the answer is whole."""
+        """Mark the connection to be closed before the answer is complete."""
         self.is_aborted = True
 
     async def wait_gone(self) -> None:
@@ -159,7 +160,7 @@
 
 
 def _has_whole_request(connection: h11.Connection) -> bool:
-    """Pass over what came of a body that nobody read, and tell whether the request has ended."""
+    """Discard the received part of an unread body; return whether the request has ended."""
     while connection.their_state is h11.SEND_BODY:
         try:
             event = connection.next_event()
--- a/packages/bendwind-node/src/bendwind_node/calls/headers.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/headers.py
@@ -1,4 +1,4 @@
-"""Name the HTTP headers Bendwind reads and writes, and strip those of a single hop."""
+"""Define the HTTP headers that Bendwind reads and writes, and remove hop-by-hop headers."""
 
 from bendwind_core.attempts import Header
 
@@ -12,7 +12,7 @@
 HOST = b"host"
 VIA = (b"via", b"1.1 bendwind")
 
-# RFC 9110, section 7.6.1: fields that are meant for one connection only.
+# RFC 9110, section 7.6.1: fields that apply to one connection only.
 _HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -26,13 +26,13 @@
         b"upgrade",
     )
 )
-# Bendwind writes these itself, so that a caller cannot forge them towards an upstream.
+# Only Bendwind writes these; they are removed so that a caller cannot forge them to an upstream.
 _OWN = frozenset((OUTCOME, REASON, CALL, REPLAYED))
 _EXPECT = b"expect"
 
 
 def find_header(headers: tuple[Header, ...], name: bytes) -> bytes | None:
-    """Return the first value of a header, or None.
+    """Return the first value of a header, None if it is absent.
 
     >>> find_header(((b"host", b"emisor"),), b"host")
     b'emisor'
@@ -67,7 +67,7 @@
 def keep_end_to_end(
     headers: tuple[Header, ...], own: frozenset[bytes] = frozenset()
 ) -> tuple[Header, ...]:
-    """Drop the fields of a single hop and those that only Bendwind may write, `own` among them."""
+    """Remove hop-by-hop fields and those that only Bendwind may write, including `own`."""
     dropped = _DROPPED | _find_connection_tokens(headers) | own
     return tuple(header for header in headers if header[0] not in dropped)
 
@@ -75,7 +75,7 @@
 def keep_request_headers(
     headers: tuple[Header, ...], own: frozenset[bytes] = frozenset()
 ) -> tuple[Header, ...]:
-    """Drop what the hand-over of a request restates: hops, length and expectation."""
+    """Remove what a hand-over does not forward: hop-by-hop fields, length and expectation."""
     return tuple(
         header
         for header in keep_end_to_end(headers, own)
--- a/packages/bendwind-node/src/bendwind_node/calls/outcomes.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/outcomes.py
@@ -1,4 +1,4 @@
-"""Write the answers that Bendwind makes itself."""
+"""Build and send the answers that Bendwind generates itself."""
 
 import math
 
@@ -15,7 +15,7 @@
 _RETRY_AFTER_MS = b"bendwind-retry-after-ms"
 _UNAUTHORIZED = 401
 _SERVICE_UNAVAILABLE = 503
-# RFC 6585, section 4: the customer has sent more than it is due.
+# RFC 6585, section 4: the customer has sent more requests than its quota permits.
 _TOO_MANY_REQUESTS = 429
 _GATEWAY_TIMEOUT = 504
 _BAD_GATEWAY = 502
@@ -24,7 +24,7 @@
 def find_not_run_status(reason: NotRunReason, dialect: Dialect = BENDWIND_DIALECT) -> int:
     """Return the HTTP status of a request that was not run.
 
-    Without outcome headers the status alone tells that it did not run, and 504 does not.
+    Without outcome headers only the status can state that it did not run, and 504 does not.
     """
     if reason is NotRunReason.OVER_QUOTA:
         return _TOO_MANY_REQUESTS
@@ -45,7 +45,7 @@
     retry_after_ms: Milliseconds | None,
     dialect: Dialect = BENDWIND_DIALECT,
 ) -> tuple[Header, ...]:
-    """Build the headers of an answer made by Bendwind."""
+    """Return the headers of an answer that Bendwind generates."""
     headers = (
         (b"content-type", b"text/plain; charset=utf-8"),
         (names.CONTENT_LENGTH, str(length).encode()),
@@ -79,11 +79,11 @@
     retry_after_ms: Milliseconds | None = None,
     dialect: Dialect = BENDWIND_DIALECT,
 ) -> None:
-    """Answer a caller with an outcome and its reason."""
+    """Send an answer to a caller with an outcome and its reason."""
     body = f"{outcome.decode()}: {reason}\n".encode()
     headers = make_headers(call, outcome, reason, len(body), retry_after_ms, dialect)
     if status == _UNAUTHORIZED and dialect.key is not None:
-        # RFC 9110, section 11.6.1: such an answer says how to ask.
+        # RFC 9110, section 11.6.1: a 401 answer must state how to authenticate.
         headers = (*headers, (b"www-authenticate", b'ApiKey header="%s"' % dialect.key))
     await exchange.send_head(status, headers)
     await exchange.send_part(b"" if exchange.request.method == "HEAD" else body, more=False)
--- a/packages/bendwind-node/src/bendwind_node/calls/refusal.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/refusal.py
@@ -1,4 +1,4 @@
-"""Describe why a request ends before any attempt is made."""
+"""Describe why a request is refused before its first attempt."""
 
 import msgspec
 
@@ -11,9 +11,9 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Hold the answer to a request that nothing was done for.
+    """Hold the answer to a request that has not run.
 
-    `quota` says whose quota forbade it and which voter had the last word, if one did.
+    `quota` states the customer whose quota refused it and the voter that decided, if one did.
     """
 
     status: int
@@ -24,7 +24,7 @@
 
     @staticmethod
     def not_run(reason: NotRunReason, retry_after_ms: Milliseconds | None = None) -> "Refusal":
-        """Refuse a request that may be sent again later."""
+        """Return the refusal of a request that may be sent again later."""
         if retry_after_ms is None:
             is_load = reason is NotRunReason.OVERLOADED
             retry_after_ms = _OVERLOADED_RETRY_MS if is_load else _STALE_RETRY_MS
--- a/packages/bendwind-node/src/bendwind_node/calls/request_account.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/request_account.py
@@ -1,4 +1,4 @@
-"""Count the requests that a server took against what became of them."""
+"""Count the requests that a server received and how each of them ended."""
 
 import collections
 import enum
@@ -13,17 +13,17 @@
 
 
 class Ending(enum.StrEnum):
-    """Say how a request ended for its caller."""
+    """List how a request can end for its caller."""
 
     ANSWERED = "answered"
-    # The answer of an upstream that broke off is broken off as well.
+    # The upstream's answer was incomplete, so the answer to the caller was aborted as well.
     CUT = "cut"
     LEFT = "left"
     UNANSWERED = "unanswered"
 
 
 class SeenExchange(Protocol):
-    """Name what an exchange notes of how it went."""
+    """Define the fields in which an exchange records its progress."""
 
     is_answered: bool
     is_gone: bool
@@ -32,10 +32,11 @@
 
 
 class RequestAccount(msgspec.Struct, eq=False):
-    """Hold how many requests one server took and how they ended.
+    """Hold how many requests one server received and how they ended.
 
-    A request counts as taken from its whole head on. One that ends unanswered is recorded: its
-    caller got neither a whole answer nor a refusal, and did not leave before.
+    A request counts as received once its head is complete. One that ends unanswered is recorded as
+    an event: its caller got neither a complete answer nor a refusal, and did not close its
+    connection before.
     """
 
     address: str = ""
@@ -46,15 +47,15 @@
 
     @property
     def in_hand(self) -> int:
-        """Count the requests that have not ended."""
+        """Return the number of requests that have not ended."""
         return self.taken - self.ended.total()
 
     def open(self) -> None:
-        """Note that a request was taken."""
+        """Count a request that was received."""
         self.taken += 1
 
     def close(self, request: CallerRequest, ending: Ending) -> None:
-        """Note how a request ended."""
+        """Count how a request ended; record it as an event if it is unanswered."""
         self.ended[ending] += 1
         if ending is Ending.UNANSWERED and self.recorder is not None:
             self.recorder.record(
@@ -64,13 +65,13 @@
             )
 
     def describe(self) -> str:
-        """Return the counts on one line."""
+        """Return the counts as one line of text."""
         ended = " ".join(f"{ending}={self.ended[ending]}" for ending in Ending)
         return f"{self.address}: taken={self.taken} {ended}"
 
 
 def find_ending(exchange: SeenExchange) -> Ending:
-    """Return how a request ended for its caller, by what its exchange saw."""
+    """Return how a request ended for its caller, from the fields of its exchange."""
     if exchange.is_answered:
         return Ending.ANSWERED
     if exchange.is_gone:
--- a/packages/bendwind-node/src/bendwind_node/calls/service_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/service_choice.py
@@ -1,7 +1,7 @@
 """Choose the upstream of an attempt: the entry node's part of the decision.
 
-What it goes by is what reports said and what it sent itself; whether a slot is free only the owner
-knows, which is asked by a hand-over that may not wait.
+The choice is based on load reports and on the attempts this node sent itself. Only the owner knows
+whether a slot is free; a no-wait hand-over finds that out.
 """
 
 import math
@@ -29,12 +29,13 @@
 from bendwind_node.links import LinkHub
 from bendwind_node.membership import MembershipTask
 
-# Callers that are refused by one word of when there is room come back up to so many times as late.
+# Callers that are refused with the same expected wait for capacity are told to retry after between
+# one and this many times that wait, so that they do not all return together.
 RETURN_SPREAD = 3.0
 
 
 class ServiceChoice(msgspec.Struct, eq=False):
-    """Hold the upstreams that one service's calls choose from, and what their tries may cost."""
+    """Hold the upstreams that the calls of one service choose from, and their retry budget."""
 
     table: UpstreamTable
     budget: RetryBudget
@@ -43,7 +44,7 @@
 
 
 def create_choice(service: Service) -> ServiceChoice:
-    """Create the choice of a service that has no upstreams yet."""
+    """Return the state of a service that has no upstreams yet."""
     return ServiceChoice(
         create_upstream_table(service.name), RetryBudget(service.limits.retry_ratio)
     )
@@ -52,7 +53,7 @@
 def refresh_choice(
     choice: ServiceChoice, own: Instance, membership: MembershipTask, hub: LinkHub, now: Seconds
 ) -> None:
-    """Take over the announced upstreams that the service's patterns admit."""
+    """Update the upstreams to the announced ones that the service's patterns admit."""
     name = choice.table.service
     service = membership.services.get(name)
     announced = membership.upstreams(name)
@@ -62,7 +63,7 @@
     reached = _list_reached(choice.table, listed, membership, hub)
     before = {view.upstream.owner.name for view in choice.table.upstreams.values()}
     set_upstreams(choice.table, (*used, *reached), now)
-    # An attempt at an owner that fell silent should not have to wait for its deadline.
+    # An attempt at an owner that stopped responding should fail before its deadline.
     for owner in before - {upstream.owner.name for upstream in used}:
         hub.check(owner)
 
@@ -75,13 +76,13 @@
 def _list_reached(
     table: UpstreamTable, listed: set[str], membership: MembershipTask, hub: LinkHub
 ) -> list[Upstream]:
-    """List the upstreams that no voter names any more though their owners are reached.
+    """Return the upstreams that no voter lists any more but whose owners are still reachable.
 
-    An instance that is cut off from the voters alone goes on serving. Its owner node knows
-    best whether the upstream stays, and says so to the next attempt if it does not.
+    An instance that is cut off only from the voters continues to serve. Its owner node knows best
+    whether the upstream is still there, and refuses the next attempt if it is not.
     """
-    # With two fifths of the nodes cut off from the voters for 7 s, 57% of the credit of the
-    # worst seconds was earned instead of 45% (one run each).
+    # With two fifths of the nodes cut off from the voters for 7 s, keeping these upstreams earned
+    # 57% of the credit of the worst seconds instead of 45% (one run each).
     return [
         view.upstream
         for name, view in table.upstreams.items()
@@ -93,7 +94,11 @@
 
 
 def may_send(membership: MembershipTask, run: CallRun) -> bool:
-    """Tell whether the configuration is fresh, or served stale and this the first attempt."""
+    """Return whether the configuration is fresh, or may be stale for this attempt.
+
+    A service that is served with a stale configuration permits only the first attempt, or every
+    attempt if it is reached by routes only.
+    """
     if membership.is_fresh():
         return True
     service = run.call.service
@@ -111,7 +116,7 @@
     *,
     stays: bool,
 ) -> Upstream | NoRoom | None:
-    """Return the upstream of a call's next attempt, or why there is none."""
+    """Return the upstream of a call's next attempt, or the reason why there is none."""
     service = run.call.service
     near = own.data_centre if service.near_first else None
     chosen = choose_upstream(
@@ -128,7 +133,7 @@
 
 
 def _explain_absence(table: UpstreamTable, now: Seconds, rng: random.Random) -> NoRoom | None:
-    """Say when there is room again where only cold or limited upstreams are left, else None."""
+    """Return when there is capacity again if only cold or limited upstreams are left, else None."""
     room_at = find_earliest_capacity_at(table)
     if room_at is None or room_at <= now:
         return None
@@ -136,12 +141,13 @@
     limits = [find_rate_limit(table.notices, view.upstream) for view in table.upstreams.values()]
     if all(limit is None for limit in limits):
         return NoRoom(wait_ms)
-    # At a limit there is room for one at that moment, and for one more each such while.
+    # A rate limit permits one request at that time, and one more after each further wait of this
+    # length, so the retry times are spread.
     return NoRoom(wait_ms * rng.uniform(1.0, RETURN_SPREAD), NotRunReason.LIMITED)
 
 
 def note_own_load(choice: ServiceChoice, owner: OwnerNode, now: Seconds) -> None:
-    """Have a choice weigh the exact load of the upstreams beside this process."""
+    """Record the exact load of the upstreams that this process owns."""
     for name in owner.register.owned:
         if name in choice.table.upstreams:
             record_load(choice.table, name, owner.read_load(name), now)
--- a/packages/bendwind-node/src/bendwind_node/calls/time_left.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/time_left.py
@@ -1,4 +1,4 @@
-"""Count down the time that a hand-over states as left to its caller."""
+"""Reduce the remaining time that a hand-over states for its caller."""
 
 from msgspec.structs import replace
 
@@ -7,7 +7,7 @@
 
 
 def deduct_time(hand_over: HandOver, passed: Seconds) -> HandOver:
-    """Deduct from a hand-over's time what has passed since it was stated."""
+    """Return a hand-over with the time deducted that has passed since it was stated."""
     passed_ms = passed * MILLISECONDS_PER_SECOND
     target_ms = hand_over.target_ms
     return replace(
