--- a/packages/bendwind-node/src/bendwind_node/calls/assembly.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/assembly.py
@@ -9,7 +9,7 @@
 from bendwind_node.calls.body_flow import ByteBudget, Inflow
 from bendwind_node.calls.time_left import deduct_time
 
-MAX_ASSEMBLING = 256
+MAX_INCOMPLETE_HAND_OVERS = 256
 
 
 class Assembly(msgspec.Struct, eq=False):
@@ -18,7 +18,7 @@
     hand_over: HandOver
     epoch: int
     inflow: Inflow
-    begun_at: Seconds
+    started_at: Seconds
 
 
 class AssemblyTable(msgspec.Struct, eq=False):
@@ -33,7 +33,7 @@
 
     def start(self, hand_over: HandOver, epoch: int, now: Seconds) -> Result[None, NotRunReason]:
         """Start an assembly with the first part of the body, which the hand-over contains."""
-        if len(self.open) >= MAX_ASSEMBLING:
+        if len(self.open) >= MAX_INCOMPLETE_HAND_OVERS:
             return Error(NotRunReason.OVERLOADED)
         inflow = Inflow(self.body_limit, self.budget)
         if not inflow.append(0, hand_over.body):
@@ -58,7 +58,7 @@
         # again to another owner, which takes longer than most waits.
         whole = replace(assembly.hand_over, body=assembly.inflow.join(), more=False, may_wait=True)
         # The caller's time was running while the body arrived.
-        return Ok(deduct_time(whole, now - assembly.begun_at))
+        return Ok(deduct_time(whole, now - assembly.started_at))
 
     def drop(self, attempt: AttemptId) -> None:
         """Remove a hand-over and free its bytes."""
@@ -66,7 +66,7 @@
         if assembly is not None:
             assembly.inflow.free()
 
-    def drop_all_of(self, entry: str) -> None:
+    def drop_by_entry(self, entry: str) -> None:
         """Remove all hand-overs of an entry node whose link broke."""
         for attempt in [attempt for attempt in self.open if attempt.entry == entry]:
             self.drop(attempt)
--- a/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
@@ -29,60 +29,60 @@
 
 # The caller's connection is watched for its close only after this time; most calls end sooner and
 # need no watching task.
-GONE_WATCH_AFTER: Seconds = 0.025
+GONE_WATCH_DELAY: Seconds = 0.025
 
 
 class Delivery:
     """Deliver the outcome of one call to its caller."""
 
-    __slots__ = ("entry", "exchange", "is_gone", "is_started", "run")
+    __slots__ = ("entry", "exchange", "is_gone", "is_answer_begun", "run")
 
     def __init__(self, entry: EntryNode, exchange: CallerExchange, run: CallRun):
         self.entry = entry
         self.exchange = exchange
         self.run = run
-        self.is_started = False
+        self.is_answer_begun = False
         self.is_gone = False
 
     async def finish(self) -> None:
         """Carry out the call's effects until its final outcome is delivered."""
-        if await self._go_on(is_watched=False):
+        if await self._process_effects(is_watched=False):
             return
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_gone)
-            await self._go_on(is_watched=True)
+            await self._process_effects(is_watched=True)
             nursery.cancel_scope.cancel()
 
     async def _watch_gone(self) -> None:
         await self.exchange.wait_gone()
-        self._note_gone()
+        self._record_gone()
 
-    def _note_gone(self) -> None:
+    def _record_gone(self) -> None:
         if not self.is_gone:
             self.is_gone = True
             self.run.feed(ev.CallerGone())
 
     @contextlib.contextmanager
-    def _noticing_gone(self) -> Iterator[None]:
+    def _detecting_gone(self) -> Iterator[None]:
         """Treat a failed send as the caller going away; skip the sends that follow it."""
         try:
             yield
         except CallerGoneError:
-            self._note_gone()
+            self._record_gone()
 
-    async def _go_on(self, *, is_watched: bool) -> bool:
+    async def _process_effects(self, *, is_watched: bool) -> bool:
         """Carry out effects; return False if the call goes on and its caller has to be watched."""
         run = self.run
-        until = math.inf if is_watched else trio.current_time() + GONE_WATCH_AFTER
-        while is_watched or not self.is_started:
+        until = math.inf if is_watched else trio.current_time() + GONE_WATCH_DELAY
+        while is_watched or not self.is_answer_begun:
             await run.wait(until)
-            while run.todo:
-                effect = run.todo.popleft()
+            while run.pending_effects:
+                effect = run.pending_effects.popleft()
                 await self._carry_out(effect)
                 if isinstance(effect, ev.FINAL_EFFECTS):
                     return True
             now = trio.current_time()
-            for kind in run.take_due_timers(now):
+            for kind in run.pop_due_timers(now):
                 run.feed(ev.TimerFired(kind))
             if now >= until:
                 return False
@@ -104,7 +104,7 @@
                 self._record_end("answered", self._find_delivered_status())
             case ev.FinishNotRun(reason=reason, retry_after_ms=retry_after_ms):
                 status = outcomes.find_not_run_status(reason, self.entry.dialect)
-                self._remember_refused()
+                self._record_refused_caller()
                 if run.is_inner and reason is not NotRunReason.QUARANTINED:
                     # A quarantined request says nothing about the capacity of the called service.
                     self.entry.owner.note_call_refused()
@@ -137,11 +137,11 @@
         run.feed(_translate_claim(decision))
 
     async def _send_head(self, head: AnswerHead) -> None:
-        self.is_started = True
+        self.is_answer_begun = True
         added = ()
         if self.entry.dialect.has_outcomes:
             added = (names.VIA, (names.CALL, self.run.call.call_id.encode()))
-        with self._noticing_gone():
+        with self._detecting_gone():
             await self.exchange.send_head(head.status, (*head.headers, *added))
             await self.exchange.send_part(head.body, more=head.more)
 
@@ -149,15 +149,15 @@
         run = self.run
         index = min(index for id, index in run.incoming if id == attempt)
         part = run.incoming.pop((attempt, index))
-        with self._noticing_gone():
+        with self._detecting_gone():
             await self.exchange.send_part(part.data, more=part.more)
         if part.more:
             self._grant_credit(attempt, len(part.data))
 
     def _grant_credit(self, attempt: AttemptId, credit: int) -> None:
-        for known in self.run.call.attempts:
-            if known.id == attempt:
-                self.entry.send(known.upstream.owner.name, BodyCredit(attempt, credit))
+        for call_attempt in self.run.call.attempts:
+            if call_attempt.id == attempt:
+                self.entry.send(call_attempt.upstream.owner.name, BodyCredit(attempt, credit))
 
     async def _send_recorded(self) -> None:
         answer = self.run.replay
@@ -167,7 +167,7 @@
             (names.CALL, self.run.call.call_id.encode()),
             (names.REPLAYED, b"true"),
         )
-        with self._noticing_gone():
+        with self._detecting_gone():
             await self.exchange.send_head(answer.status, (*answer.headers, *extra))
             await self.exchange.send_part(answer.body, more=False)
 
@@ -175,7 +175,7 @@
         self, status: int, outcome: bytes, reason: str, retry_after_ms: Milliseconds | None
     ) -> None:
         self._record_end(f"{outcome.decode()}: {reason}", status)
-        with self._noticing_gone():
+        with self._detecting_gone():
             await outcomes.send_outcome(
                 self.exchange,
                 self.run.call.call_id,
@@ -186,7 +186,7 @@
                 self.entry.dialect,
             )
 
-    def _remember_refused(self) -> None:
+    def _record_refused_caller(self) -> None:
         run = self.run
         if run.span is not None and math.isfinite(run.span.ends_at):
             asked = Request(run.call.rule.name, run.method, run.target)
--- a/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
@@ -36,17 +36,17 @@
     target_ms = None
     tried_ms = 0.0
     if call.target_at is not None:
-        target_ms = _count_ms(call.target_at - run.arrived_at)
+        target_ms = _convert_to_ms(call.target_at - run.arrived_at)
         tried_ms = max(0.0, round((call.rule.target_latency_ms or 0.0) - target_ms, 1))
     return CallFacts(
         call.service.name,
         call.rule.name,
         status,
-        _count_ms(now - run.arrived_at),
-        _count_ms(call.deadline_at - run.arrived_at),
+        _convert_to_ms(now - run.arrived_at),
+        _convert_to_ms(call.deadline_at - run.arrived_at),
         target_ms,
         membership.view.version,
-        _round_age(membership.confirmed_age_ms()),
+        _round_ms(membership.confirmed_age_ms()),
         tuple(_make_attempt_facts(run, attempt) for attempt in call.attempts),
         tried_ms,
         call.rank,
@@ -61,9 +61,9 @@
 
 
 def _make_attempt_facts(run: CallRun, attempt: Attempt) -> AttemptFacts:
-    ms = None if attempt.ended_at is None else _count_ms(attempt.ended_at - attempt.sent_at)
-    sent_ms = _count_ms(attempt.sent_at - run.arrived_at)
-    end, wait_ms = _describe_end(run, attempt), _round_age(attempt.wait_ms)
+    ms = None if attempt.ended_at is None else _convert_to_ms(attempt.ended_at - attempt.sent_at)
+    sent_ms = _convert_to_ms(attempt.sent_at - run.arrived_at)
+    end, wait_ms = _describe_end(run, attempt), _round_ms(attempt.wait_ms)
     return AttemptFacts(attempt.upstream.name, sent_ms, end, ms, wait_ms, attempt.id.sequence)
 
 
@@ -79,16 +79,16 @@
     owner_state: OwnerState, hand_over: HandOver, expires_at: Seconds, now: Seconds
 ) -> DispatchFacts:
     """Return the facts known at the start of a dispatch; its duration is added later."""
-    came_at = expires_at - hand_over.remaining_ms / MILLISECONDS_PER_SECOND
+    arrived_at = expires_at - hand_over.remaining_ms / MILLISECONDS_PER_SECOND
     return DispatchFacts(
         hand_over.route,
-        max(0.0, _count_ms(now - came_at)),
+        max(0.0, _convert_to_ms(now - arrived_at)),
         remaining_ms=round(hand_over.remaining_ms, 1),
         running=len(owner_state.running),
         slots=owner_state.slots,
         slow_factor=owner_state.pace.factor,
         report_age_ms=_find_report_age(owner_state, now),
-        limit=_find_limit(owner_state),
+        limit=_find_run_limit(owner_state),
         rank=int(hand_over.rank),
         customer=hand_over.customer,
     )
@@ -106,7 +106,7 @@
     return RefusalFacts(
         hand_over.route,
         round(hand_over.remaining_ms, 1),
-        _round_age(hand_over.target_ms),
+        _round_ms(hand_over.target_ms),
         round(find_usual_ms(owner_state, hand_over.route), 1),
         len(owner_state.running),
         len(owner_state.waiting),
@@ -114,37 +114,37 @@
         owner_state.pace.factor,
         _find_report_age(owner_state, now),
         compute_hand_over_signature(hand_over).hex() if is_suspect else "",
-        None if waited is None else _count_ms(waited),
-        _find_limit(owner_state),
+        None if waited is None else _convert_to_ms(waited),
+        _find_run_limit(owner_state),
         int(hand_over.rank),
         hand_over.customer,
         owner_state.rate_limit.per_second,
     )
 
 
-def make_end_facts(under: tuple[UnansweredAttempt, ...], dialect: Dialect) -> EndFacts:
+def make_end_facts(unanswered: tuple[UnansweredAttempt, ...], dialect: Dialect) -> EndFacts:
     """Return the facts of the requests that an upstream left unanswered when it ended."""
     return EndFacts(
         tuple(
-            UnansweredFacts(ended.signature.hex(), find_request_id(ended.headers, dialect))
-            for ended in under
+            UnansweredFacts(attempt.signature.hex(), find_request_id(attempt.headers, dialect))
+            for attempt in unanswered
         )
     )
 
 
-def _find_limit(owner_state: OwnerState) -> int:
+def _find_run_limit(owner_state: OwnerState) -> int:
     """Return how many attempts may run; 0, which log lines omit, if all slots may be used."""
     return 0 if owner_state.run_limit == owner_state.slots else owner_state.run_limit
 
 
 def _find_report_age(owner_state: OwnerState, now: Seconds) -> Milliseconds | None:
     reported_at = owner_state.pace.reported_at
-    return None if reported_at is None else _count_ms(now - reported_at)
+    return None if reported_at is None else _convert_to_ms(now - reported_at)
 
 
-def _round_age(age_ms: Milliseconds | None) -> Milliseconds | None:
-    return None if age_ms is None else round(age_ms, 1)
+def _round_ms(ms: Milliseconds | None) -> Milliseconds | None:
+    return None if ms is None else round(ms, 1)
 
 
-def _count_ms(seconds: Seconds) -> Milliseconds:
+def _convert_to_ms(seconds: Seconds) -> Milliseconds:
     return round(seconds * MILLISECONDS_PER_SECOND, 1)
--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -28,7 +28,7 @@
 
 SERVICE_WAIT: Seconds = 2.0
 SERVICE_POLL: Seconds = 0.01
-FIRST_PROOF_WAIT: Seconds = 2.0
+FIRST_CONFIRMATION_WAIT: Seconds = 2.0
 # The route of a request is looked up without waiting, but the configuration of its service may not
 # have arrived at this node yet.
 ROUTED_SERVICE_WAIT: Seconds = 0.25
@@ -43,11 +43,11 @@
 _NO_ROUTE = Refusal(404, outcomes.REFUSED, "no-route")
 # CONNECT requests a tunnel, which no upstream supports. An answer to TRACE repeats the request with
 # everything that was added to it on the way (RFC 9110, 9.3.6 and 9.3.8).
-_NOT_SERVED = frozenset({"CONNECT", "TRACE"})
+_UNSUPPORTED_METHODS = frozenset({"CONNECT", "TRACE"})
 _METHOD_NOT_SERVED = Refusal(501, outcomes.REFUSED, "method-not-served")
 
 
-class Target(msgspec.Struct, frozen=True):
+class ResolvedRequest(msgspec.Struct, frozen=True):
     """Hold the service that serves a request, the rule that applies to it, and its customer."""
 
     service: Service
@@ -69,34 +69,36 @@
         self.budget = budget
         self.in_flight = 0
 
-    async def take(self, exchange: CallerExchange, call_id: str) -> Result[CallRun, Refusal]:
+    async def admit_request(
+        self, exchange: CallerExchange, call_id: str
+    ) -> Result[CallRun, Refusal]:
         """Read a request whole; the calling code returns the bytes of its body to the budget."""
         arrived_at = trio.current_time()
         if self.in_flight > self.max_in_flight:
             return Error(Refusal.not_run(NotRunReason.OVERLOADED))
-        if exchange.request.method in _NOT_SERVED:
+        if exchange.request.method in _UNSUPPORTED_METHODS:
             return Error(_METHOD_NOT_SERVED)
         if check_headers(exchange.request.headers).is_error():
             return Error(_HEADERS_TOO_LARGE)
-        found = await self._find_target(exchange.request)
+        found = await self._resolve_request(exchange.request)
         if found.is_error():
             return found
         target = found.ok
         service = target.service
         share = self.entry.share
-        self.entry.find_choice(service)
+        self.entry.find_or_create_service_state(service)
         if not admit(share, service.name, service.limits.in_flight_per_entry):
             return Error(Refusal.not_run(NotRunReason.OVERLOADED))
         taken: Result[CallRun, Refusal] = Error(_BODY_TOO_SLOW)
         try:
-            taken = await self._take_admitted(exchange, call_id, target, arrived_at)
+            taken = await self._read_request(exchange, call_id, target, arrived_at)
         finally:
             if taken.is_error():
                 leave(share, service.name)
         return taken
 
-    async def _take_admitted(
-        self, exchange: CallerExchange, call_id: str, target: Target, arrived_at: Seconds
+    async def _read_request(
+        self, exchange: CallerExchange, call_id: str, target: ResolvedRequest, arrived_at: Seconds
     ) -> Result[CallRun, Refusal]:
         request = exchange.request
         service, rule = target.service, target.rule
@@ -109,7 +111,7 @@
             return timeout_ms
         longest_ms = rule.longest_wait_ms or service.longest_wait_ms
         deadline_at = arrived_at + min(timeout_ms.ok, longest_ms) / MILLISECONDS_PER_SECOND
-        span = self._find_span(request, rule, arrived_at, timeout_ms.ok)
+        span = self._find_caller_time(request, rule, arrived_at, timeout_ms.ok)
         body: Result[bytes, Refusal] = Error(_BODY_TOO_SLOW)
         limit = self._find_body_limit(service)
         if request.may_have_body:
@@ -125,7 +127,7 @@
             )
         )
 
-    def _find_span(
+    def _find_caller_time(
         self, request: CallerRequest, rule: Rule, arrived_at: Seconds, timeout_ms: Milliseconds
     ) -> CallerTime:
         """Return when the caller first sent the request and when its time ends."""
@@ -147,7 +149,7 @@
         self,
         request: CallerRequest,
         call_id: str,
-        target: Target,
+        target: ResolvedRequest,
         arrived_at: Seconds,
         span: CallerTime,
         deadline_at: Seconds,
@@ -155,7 +157,7 @@
         body: bytes,
     ) -> CallRun:
         service, rule, customer = target.service, target.rule, target.customer
-        budget = self.entry.find_choice(service).budget
+        budget = self.entry.find_or_create_service_state(service).budget
         target_at = None
         if rule.target_latency_ms is not None:
             target_at = span.began_at + rule.target_latency_ms / MILLISECONDS_PER_SECOND
@@ -198,15 +200,19 @@
             return (*kept, names.VIA)
         return (*kept, (dialect.origin_service, self.entry.origin_service.encode()))
 
-    async def _find_target(self, request: CallerRequest) -> Result[Target, Refusal]:
-        find = self._find_routed if self.entry.routes.by_host else self._find_direct
+    async def _resolve_request(self, request: CallerRequest) -> Result[ResolvedRequest, Refusal]:
+        find = (
+            self._resolve_by_route if self.entry.routes.by_host else self._resolve_by_service_name
+        )
         found = await find(request)
         refuses_stale = found.is_ok() and found.ok.service.on_stale is StaleAction.REFUSE
         if refuses_stale and not self.entry.membership.is_fresh():
             return Error(Refusal.not_run(NotRunReason.STALE))
         return found
 
-    async def _find_direct(self, request: CallerRequest) -> Result[Target, Refusal]:
+    async def _resolve_by_service_name(
+        self, request: CallerRequest
+    ) -> Result[ResolvedRequest, Refusal]:
         """Resolve a request by the service that it names."""
         if self.entry.dialect.service is None:
             # If callers cannot name a service, only routes lead to one.
@@ -220,15 +226,15 @@
             return asked
         if rule is None or service.routed_only:
             return Error(self._refuse_if_fresh(_UNKNOWN_SERVICE))
-        return Ok(Target(service, rule, asked.ok))
+        return Ok(ResolvedRequest(service, rule, asked.ok))
 
     def _refuse_if_fresh(self, refusal: Refusal) -> Refusal:
-        """Return the refusal if the configuration is fresh, otherwise a not-run refusal as stale."""
+        """Return the refusal if the configuration is fresh, otherwise a refusal as stale."""
         # A node without proof of freshness does not know what the newest configuration contains.
         is_fresh = self.entry.membership.is_fresh()
         return refusal if is_fresh else Refusal.not_run(NotRunReason.STALE)
 
-    async def _find_routed(self, request: CallerRequest) -> Result[Target, Refusal]:
+    async def _resolve_by_route(self, request: CallerRequest) -> Result[ResolvedRequest, Refusal]:
         """Resolve a request by the routes; wait briefly for a service that is not known yet."""
         table = self.entry.routes
         route = find_route(table, names.find_host(request.headers), request.path)
@@ -248,7 +254,7 @@
             service = membership.services.get(name)
         if service is None:
             return Error(Refusal.not_run(NotRunReason.STALE))
-        return Ok(Target(service, route.rule, asked.ok))
+        return Ok(ResolvedRequest(service, route.rule, asked.ok))
 
     def _authenticate(
         self, request: CallerRequest, *, is_open: bool
@@ -269,7 +275,7 @@
         membership = self.entry.membership
         if not name:
             return None
-        await self._wait_first_proof()
+        await self._wait_first_confirmation()
         service = membership.services.get(name)
         if service is not None:
             return service
@@ -281,12 +287,12 @@
                 await trio.sleep(SERVICE_POLL)
         return membership.services.get(name)
 
-    async def _wait_first_proof(self) -> None:
+    async def _wait_first_confirmation(self) -> None:
         """Wait until a node that has just started has received the configuration."""
         view = self.entry.membership.view
         if view.confirmed_at is not None:
             return
-        with trio.move_on_after(FIRST_PROOF_WAIT):
+        with trio.move_on_after(FIRST_CONFIRMATION_WAIT):
             while view.confirmed_at is None:
                 await trio.sleep(SERVICE_POLL)
 
@@ -305,7 +311,7 @@
         length = names.find_header(exchange.request.headers, names.CONTENT_LENGTH)
         if length is not None and int(length) > limit:
             return Error(_BODY_TOO_LARGE)
-        reading = _BodyReading(self.budget, limit)
+        reading = _BodyBuffer(self.budget, limit)
         is_kept = False
         try:
             while (part := await exchange.receive_part()) is not None:
@@ -319,7 +325,7 @@
                 self.budget.give_back(reading.size)
 
 
-class _BodyReading:
+class _BodyBuffer:
     """Hold the parts of a body that is being read."""
 
     __slots__ = ("budget", "limit", "parts", "size")
--- a/packages/bendwind-node/src/bendwind_node/calls/call_run.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_run.py
@@ -44,31 +44,33 @@
     fingerprint: bytes = b""
     heads: dict[AttemptId, AnswerHead] = msgspec.field(default_factory=dict)
     incoming: dict[tuple[AttemptId, int], BodyPart] = msgspec.field(default_factory=dict)
-    todo: collections.deque[EntryEffect] = msgspec.field(default_factory=collections.deque)
+    pending_effects: collections.deque[EntryEffect] = msgspec.field(
+        default_factory=collections.deque
+    )
     timers: dict[TimerKind, Seconds] = msgspec.field(default_factory=dict)
     events: collections.deque[EntryEvent] = msgspec.field(default_factory=collections.deque)
     outflows: dict[AttemptId, Outflow] = msgspec.field(default_factory=dict)
     kept_parts: list[bytes] = msgspec.field(default_factory=list)
     replay: ClaimAnswer | CutReason | None = None
     quota_grant: Grant | None = None
-    is_stepping: bool = False
+    is_applying: bool = False
     wake: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def feed(self, event: EntryEvent) -> None:
         """Apply an event; queue it while another event is being applied."""
         self.events.append(event)
-        if self.is_stepping:
+        if self.is_applying:
             return
-        self.is_stepping = True
+        self.is_applying = True
         try:
             while self.events:
                 self.apply(self, self.events.popleft())
         finally:
-            self.is_stepping = False
+            self.is_applying = False
 
-    def leave_to_task(self, effect: EntryEffect) -> None:
+    def enqueue_effect(self, effect: EntryEffect) -> None:
         """Queue an effect for the call's task and wake the task."""
-        self.todo.append(effect)
+        self.pending_effects.append(effect)
         self.wake.set()
 
     def start_timer(self, timer: StartTimer) -> None:
@@ -78,13 +80,13 @@
 
     async def wait(self, until: Seconds) -> None:
         """Return when there is an effect to carry out, a timer is due, or `until` is reached."""
-        if self.todo:
+        if self.pending_effects:
             return
         self.wake = trio.Event()
         with trio.move_on_at(min((until, *self.timers.values()))):
             await self.wake.wait()
 
-    def take_due_timers(self, now: Seconds) -> list[TimerKind]:
+    def pop_due_timers(self, now: Seconds) -> list[TimerKind]:
         """Remove and return the timers that are due, earliest first."""
         due = sorted((at, kind.value) for kind, at in self.timers.items() if at <= now)
         kinds = [TimerKind(value) for _, value in due]
--- a/packages/bendwind-node/src/bendwind_node/calls/call_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_task.py
@@ -34,7 +34,7 @@
         self.intake.in_flight += 1
         body_bytes = 0
         try:
-            match await self.intake.take(exchange, call_id):
+            match await self.intake.admit_request(exchange, call_id):
                 case Result(tag="ok", ok=run):
                     body_bytes = len(run.body)
                     await self._run(exchange, run)
@@ -83,7 +83,7 @@
         )
 
     def _make_facts(self, refusal: Refusal, run: CallRun | None) -> CallFacts:
-        """Return the facts of a refused request: before admission, only status and configuration."""
+        """Return the facts of a refused request; before its admission only its status is known."""
         membership = self.entry.membership
         if run is not None:
             facts = make_call_facts(run, refusal.status, membership, trio.current_time())
@@ -95,11 +95,11 @@
         call = run.call
         detail = f"{run.method} {call.service.name}"
         self.entry.recorder.record(EventKind.CALL_ARRIVED, call=call.call_id, detail=detail)
-        choice = self.entry.find_choice(call.service)
-        choice.in_flight += 1
-        choice.called_at = trio.current_time()
+        service_state = self.entry.find_or_create_service_state(call.service)
+        service_state.in_flight += 1
+        service_state.last_call_at = trio.current_time()
         try:
-            refusal = await self._take_token(run)
+            refusal = await self._acquire_quota_token(run)
             if refusal is not None:
                 await self._refuse(exchange, call.call_id, refusal, run)
                 return
@@ -107,15 +107,15 @@
             run.feed(ev.Begin())
             await Delivery(self.entry, exchange, run).finish()
         finally:
-            choice.in_flight -= 1
+            service_state.in_flight -= 1
             leave(self.entry.share, call.service.name)
             if not call.is_finished:
                 run.feed(ev.CallerGone())
             if run.quota_grant is not None and not may_have_run(call):
                 self.entry.quotas.give_back(run.quota_grant)
-            self.entry.forget(run)
+            self.entry.remove_call(run)
 
-    async def _take_token(self, run: CallRun) -> Refusal | None:
+    async def _acquire_quota_token(self, run: CallRun) -> Refusal | None:
         """Acquire a token of the customer's quota, which the first attempt needs to start."""
         call = run.call
         quotas = self.entry.quotas
--- a/packages/bendwind-node/src/bendwind_node/calls/caller_asgi.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/caller_asgi.py
@@ -76,11 +76,11 @@
     """Serve callers until shutdown, then finish the requests in flight."""
 
     async def answer(exchange: AsgiExchange) -> None:
-        account.open()
+        account.record_received()
         try:
             await handle(exchange)
         finally:
-            account.close(exchange.request, find_ending(exchange))
+            account.record_ended(exchange.request, find_ending(exchange))
 
     async def app(scope: dict, receive: Callable, send: Callable) -> None:
         match scope["type"]:
--- a/packages/bendwind-node/src/bendwind_node/calls/caller_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/caller_h11.py
@@ -14,8 +14,8 @@
 from bendwind_node.calls.caller_exchange import CallerExchange
 from bendwind_node.calls.failure import describe_failure
 from bendwind_node.calls.h11_exchange import (
-    BROKEN,
-    FRAMING,
+    BROKEN_STREAM_ERRORS,
+    FRAMING_HEADERS,
     RECEIVE_BYTES,
     H11Exchange,
     make_error,
@@ -27,7 +27,7 @@
 
 # RFC 9112, section 9.6: the server keeps reading for this time after the last answer, so that the
 # caller reads the answer before the connection is reset.
-LINGER: Seconds = 1.0
+LINGER_TIMEOUT: Seconds = 1.0
 # A head fits into a few packets; one that arrives slowly occupies a connection that others need.
 HEADER_TIMEOUT: Seconds = 10.0
 # While draining, a new connection is kept this long, since its caller is about to send a request.
@@ -104,17 +104,17 @@
 
     def _start_draining(self) -> None:
         self.is_draining = True
-        for scope, is_fresh in self.idle.items():
-            scope.deadline = min(scope.deadline, self._find_idle_end(is_fresh=is_fresh))
+        for scope, is_new in self.idle.items():
+            scope.deadline = min(scope.deadline, self._find_idle_deadline(is_new=is_new))
 
-    def _find_idle_end(self, *, is_fresh: bool) -> Seconds:
+    def _find_idle_deadline(self, *, is_new: bool) -> Seconds:
         """Return the time until which a connection may wait for its next request."""
         now = trio.current_time()
         if not self.is_draining:
             return now + self.keep_alive
         # A kept connection is closed at once: a request may be in transit at any moment, and the
         # caller can rely on it not having been read.
-        return now + FIRST_REQUEST_TIMEOUT if is_fresh else now
+        return now + FIRST_REQUEST_TIMEOUT if is_new else now
 
     async def _serve(self, stream: PromptStream) -> None:
         self.connections += 1
@@ -124,30 +124,30 @@
                 if self.connections > self.max_connections:
                     await _refuse(stream, connection, _SERVICE_UNAVAILABLE, outcomes.NOT_RUN)
                     return
-                is_fresh = True
-                while await self._serve_one(stream, connection, is_fresh=is_fresh):
+                is_new = True
+                while await self._serve_request(stream, connection, is_new=is_new):
                     connection.start_next_cycle()
-                    is_fresh = False
-        except BROKEN:
+                    is_new = False
+        except BROKEN_STREAM_ERRORS:
             return
         except Exception as error:
-            self._note_failure(error)
+            self._record_failure(error)
         finally:
             self.connections -= 1
 
-    def _note_failure(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         """Record an unexpected exception; raise it if there is no recorder."""
         if self.recorder is None:
             raise error
         # Raising it would end the process, and the caller's next retry would end the next process.
         self.recorder.record(EventKind.TASK_FAILED, detail=describe_failure(error))
 
-    async def _serve_one(
-        self, stream: PromptStream, connection: h11.Connection, *, is_fresh: bool
+    async def _serve_request(
+        self, stream: PromptStream, connection: h11.Connection, *, is_new: bool
     ) -> bool:
         """Serve one request; return whether the connection may carry another."""
         try:
-            head = await self._read_head(stream, connection, is_fresh=is_fresh)
+            head = await self._read_head(stream, connection, is_new=is_new)
         except _HeadTooSlowError:
             await stream.send_all(make_error(connection, _REQUEST_TIMEOUT, outcomes.NOT_RUN))
             return False
@@ -157,7 +157,7 @@
         if head is None:
             return False
         target = _find_origin_form(head.target)
-        if target is None or _is_ambiguous(head):
+        if target is None or _has_ambiguous_length(head):
             await _refuse(stream, connection, _BAD_REQUEST, outcomes.REFUSED)
             return False
         if _measure_head(head) > self.header_bytes:
@@ -165,7 +165,7 @@
             return False
         exchange = H11Exchange(self.is_closing, stream, connection, head, target)
         await self._handle(exchange)
-        if exchange.says_close and exchange.is_answered:
+        if exchange.announces_close and exchange.is_answered:
             # Closing now would reset the connection if the caller has sent more after its request
             # or is still sending, and the answer could be lost in transit.
             await _linger(stream)
@@ -177,35 +177,35 @@
 
     async def _handle(self, exchange: H11Exchange) -> None:
         """Handle a request; send an error answer if its handler fails or is cancelled."""
-        self.account.open()
+        self.account.record_received()
         try:
             await self.handle(exchange)
         except Exception as error:
-            self._note_failure(error)
-            exchange.give_up()
+            self._record_failure(error)
+            exchange.send_failure()
         except BaseException:
             # The cancellation of a handler's nursery arrives as an exception group, which is not a
             # `trio.Cancelled`.
-            exchange.give_up()
+            exchange.send_failure()
             raise
         finally:
-            self.account.close(exchange.request, find_ending(exchange))
+            self.account.record_ended(exchange.request, find_ending(exchange))
 
     async def _read_head(
-        self, stream: PromptStream, connection: h11.Connection, *, is_fresh: bool
+        self, stream: PromptStream, connection: h11.Connection, *, is_new: bool
     ) -> h11.Request | None:
         event = connection.next_event()
         if event is h11.NEED_DATA:
-            connection.receive_data(await self._receive_first(stream, is_fresh=is_fresh))
+            connection.receive_data(await self._receive_first(stream, is_new=is_new))
             event = connection.next_event()
         if event is h11.NEED_DATA:
             event = await self._read_rest(stream, connection)
         return event if isinstance(event, h11.Request) else None
 
-    async def _receive_first(self, stream: PromptStream, *, is_fresh: bool) -> bytes:
+    async def _receive_first(self, stream: PromptStream, *, is_new: bool) -> bytes:
         """Wait for the first bytes of a request; return none if the connection has to be closed."""
-        with trio.CancelScope(deadline=self._find_idle_end(is_fresh=is_fresh)) as scope:
-            self.idle[scope] = is_fresh
+        with trio.CancelScope(deadline=self._find_idle_deadline(is_new=is_new)) as scope:
+            self.idle[scope] = is_new
             try:
                 return await stream.receive_some(RECEIVE_BYTES)
             finally:
@@ -221,19 +221,19 @@
         raise _HeadTooSlowError
 
 
-def _is_ambiguous(head: h11.Request) -> bool:
+def _has_ambiguous_length(head: h11.Request) -> bool:
     """Return whether a head states the length of its body in two ways.
 
     Another server may use the other length and read the rest as a second request.
     Source: RFC 9112, section 6.1.
     """
     names = {name for name, _ in head.headers}
-    return FRAMING <= names
+    return FRAMING_HEADERS <= names
 
 
 def _measure_head(head: h11.Request) -> int:
-    # h11 limits the size of a head that arrives in several pieces; one that arrives in a single piece
-    # is measured here.
+    # h11 limits the size of a head that arrives in several pieces; one that arrives in a single
+    # piece is measured here.
     line = len(head.method) + len(head.target) + _LINE_OVERHEAD
     return line + sum(len(name) + len(text) + _HEADER_OVERHEAD for name, text in head.headers)
 
@@ -247,10 +247,10 @@
 
 
 async def _linger(stream: PromptStream) -> None:
-    with trio.move_on_after(LINGER):
+    with trio.move_on_after(LINGER_TIMEOUT):
         try:
             await stream.send_eof()
             while await stream.receive_some(RECEIVE_BYTES):
                 continue
-        except BROKEN:
+        except BROKEN_STREAM_ERRORS:
             return
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -47,13 +47,13 @@
 from bendwind_node.calls.dialect import BENDWIND_DIALECT, Dialect
 from bendwind_node.calls.dispatch import format_attempt
 from bendwind_node.calls.owner_node import OwnerNode
-from bendwind_node.calls.service_choice import (
-    ServiceChoice,
-    choose_for,
-    create_choice,
+from bendwind_node.calls.upstream_choice import (
+    ServiceState,
+    choose_next_upstream,
+    create_service_state,
     may_send,
-    note_own_load,
-    refresh_choice,
+    record_own_load,
+    refresh_service_state,
 )
 from bendwind_node.claims.task import ClaimTask
 from bendwind_node.links import Link, LinkHub
@@ -66,19 +66,19 @@
 DEFAULT_FAR_BODY_BYTES = 16 * 1024
 # A node stores 642 bytes per watched upstream (docs/design/distribution.md); with 23 upstreams per
 # service, this number of services takes less than half a megabyte.
-WATCHED_AHEAD = 32
+MAX_PREWATCHED_SERVICES = 32
 
 
 class LocalLink(msgspec.Struct, eq=False):
     """Connect the entry node and the owner node of one process, in place of a network link."""
 
     peer: Instance
-    deliver: "EntryNode"
+    entry_node: "EntryNode"
     epoch: int = LOCAL_EPOCH
 
     def send(self, message: PeerMessage) -> bool:
         """Pass a reply of the owner node to the entry node."""
-        self.deliver.receive(self, message)
+        self.entry_node.receive(self, message)
         return True
 
 
@@ -106,7 +106,7 @@
     routes: RouteTable = field(default_factory=RouteTable)
     returns: Returns = field(default_factory=Returns)
     unknown_keys: int = 0
-    choices: dict[str, ServiceChoice] = field(default_factory=dict)
+    service_states: dict[str, ServiceState] = field(default_factory=dict)
     runs: dict[int, CallRun] = field(default_factory=dict)
     local: LocalLink = field(init=False)
 
@@ -114,15 +114,15 @@
         self.local = LocalLink(self.own, self)
         self.owner.link_opened(self.local)
 
-    def find_choice(self, service: Service) -> ServiceChoice:
+    def find_or_create_service_state(self, service: Service) -> ServiceState:
         """Return the state of a service; its first call creates it."""
-        choice = self.choices.get(service.name)
-        if choice is None:
-            choice = create_choice(service)
-            self.choices[service.name] = choice
-            set_services(self.share, self.choices)
+        service_state = self.service_states.get(service.name)
+        if service_state is None:
+            service_state = create_service_state(service)
+            self.service_states[service.name] = service_state
+            set_services(self.share, self.service_states)
             self.refresh_upstreams(service.name)
-        return choice
+        return service_state
 
     def refresh_routing(self) -> None:
         """Apply the routes in force and watch the services that they lead to."""
@@ -133,26 +133,26 @@
         services = {part.service for route in routing.routes for part in route.parts}
         # If a service is watched in advance, its first call does not have to wait. Out of many
         # services, each node calls only a few, so that these are not watched in advance.
-        if len(services) <= WATCHED_AHEAD:
+        if len(services) <= MAX_PREWATCHED_SERVICES:
             for service in sorted(services):
                 self.membership.watch(service)
 
     def refresh_upstreams(self, service_name: str) -> None:
         """Update a service's upstreams to those announced ones that its patterns admit."""
-        choice = self.choices.get(service_name)
-        if choice is not None:
+        service_state = self.service_states.get(service_name)
+        if service_state is not None:
             now = trio.current_time()
-            refresh_choice(choice, self.own, self.membership, self.hub, now)
+            refresh_service_state(service_state, self.own, self.membership, self.hub, now)
 
     def link_closed(self, link: Link) -> None:
         """Handle the loss of a link to an owner node."""
         now = trio.current_time()
         for run, attempt in self._find_attempts_at(link.peer.name):
-            table = self.choices[run.call.service.name].table
+            table = self.service_states[run.call.service.name].table
             record_attempt_unknown(table, attempt.upstream.name, attempt.id, now)
             run.feed(ev.OwnerLost(attempt.id))
-        for service, choice in self.choices.items():
-            owners = {view.upstream.owner.name for view in choice.table.upstreams.values()}
+        for service, service_state in self.service_states.items():
+            owners = {view.upstream.owner.name for view in service_state.table.upstreams.values()}
             if link.peer.name in owners:
                 self.refresh_upstreams(service)
 
@@ -203,16 +203,16 @@
         match message:
             case AnswerHead(attempt=id, status=status, more=more):
                 run.heads[id] = message
-                self._note_answer(run, attempt.upstream, message)
+                self._record_answer(run, attempt.upstream, message)
                 run.feed(ev.AttemptHead(id, status, not more))
             case BodyPart(attempt=id, index=index, more=more):
                 run.incoming[id, index] = message
                 run.feed(ev.AttemptBodyPart(id, index, more))
             case NotRun(attempt=id, reason=reason, load=load, wait_ms=wait_ms):
-                self._note_not_run(run, attempt.upstream, message)
+                self._record_not_run(run, attempt.upstream, message)
                 run.feed(ev.AttemptNotRun(id, reason, load, wait_ms))
             case Unknown(attempt=id, reason=reason):
-                self._note_unknown(run, attempt.upstream, id, reason)
+                self._record_unknown(run, attempt.upstream, id, reason)
                 run.feed(ev.AttemptUnknown(id, reason))
             case Fenced(attempt=id, verdict=verdict):
                 run.feed(ev.FenceAnswered(id, verdict))
@@ -221,8 +221,8 @@
                 if outflow is not None:
                     outflow.add_credit(credit)
 
-    def _note_answer(self, run: CallRun, upstream: Upstream, head: AnswerHead) -> None:
-        table = self.choices[run.call.service.name].table
+    def _record_answer(self, run: CallRun, upstream: Upstream, head: AnswerHead) -> None:
+        table = self.service_states[run.call.service.name].table
         now = trio.current_time()
         record_attempt_answered(table, upstream.name, head.attempt, now, head.status, head.load)
         self.recorder.record(
@@ -232,8 +232,8 @@
             detail=str(head.status),
         )
 
-    def _note_not_run(self, run: CallRun, upstream: Upstream, proof: NotRun) -> None:
-        table = self.choices[run.call.service.name].table
+    def _record_not_run(self, run: CallRun, upstream: Upstream, proof: NotRun) -> None:
+        table = self.service_states[run.call.service.name].table
         now = trio.current_time()
         record_attempt_not_run(table, upstream.name, proof.attempt, now, proof.reason, proof.load)
         run.is_inner = run.is_inner or proof.is_inner
@@ -244,10 +244,10 @@
             detail=proof.reason,
         )
 
-    def _note_unknown(
+    def _record_unknown(
         self, run: CallRun, upstream: Upstream, attempt: AttemptId, reason: str
     ) -> None:
-        table = self.choices[run.call.service.name].table
+        table = self.service_states[run.call.service.name].table
         record_attempt_unknown(table, upstream.name, attempt, trio.current_time())
         self.recorder.record(
             EventKind.ATTEMPT_UNKNOWN,
@@ -260,28 +260,32 @@
         """Apply an event to a call and carry out the effects that need no waiting."""
         now = trio.current_time()
         call = run.call
-        choice = self.choices[call.service.name]
+        service_state = self.service_states[call.service.name]
 
         def choose(excluded: frozenset[str]) -> Upstream | NoRoom | None:
             if not may_send(self.membership, run):
                 return None
-            note_own_load(choice, self.owner, now)
+            record_own_load(service_state, self.owner, now)
             # Long bodies make up most of the bytes between data centres. Keeping them near reduced
             # these bytes by 52% (one run of 50 s each, with bodies of 60 kB on average).
-            stays = self._is_long(run)
-            return choose_for(choice, run, excluded, self.own, now, self.rng, stays=stays)
+            stays_near = self._has_long_body(run)
+            return choose_next_upstream(
+                service_state, run, excluded, self.own, now, self.rng, stays_near=stays_near
+            )
 
         for effect in entry.step(call, event, now, choose):
-            self._carry_out(run, choice, effect)
+            self._carry_out(run, service_state, effect)
 
-    def _carry_out(self, run: CallRun, choice: ServiceChoice, effect: ev.EntryEffect) -> None:
+    def _carry_out(self, run: CallRun, service_state: ServiceState, effect: ev.EntryEffect) -> None:
         match effect:
             case ev.SendHandOver():
-                self._send_hand_over(run, choice, effect)
+                self._send_hand_over(run, service_state, effect)
             case ev.StartTimer():
                 run.start_timer(effect)
             case ev.SendCancel(attempt=attempt, upstream=upstream):
-                record_attempt_cancelled(choice.table, upstream.name, attempt, trio.current_time())
+                record_attempt_cancelled(
+                    service_state.table, upstream.name, attempt, trio.current_time()
+                )
                 self.send(upstream.owner.name, Cancel(attempt, upstream.name))
             case ev.SendFence(attempt=attempt, upstream=upstream):
                 fence = Fence(attempt, upstream.owner.incarnation, upstream.name)
@@ -292,12 +296,12 @@
             case ev.RecordClaim(outcome=outcome):
                 self._record_claim(run, outcome)
             case ev.DeliverPart(attempt=attempt):
-                self._keep_part(run, attempt)
-                run.leave_to_task(effect)
+                self._keep_answer_part(run, attempt)
+                run.enqueue_effect(effect)
             case _:
-                run.leave_to_task(effect)
+                run.enqueue_effect(effect)
 
-    def _keep_part(self, run: CallRun, attempt: AttemptId) -> None:
+    def _keep_answer_part(self, run: CallRun, attempt: AttemptId) -> None:
         # Keeps the part just accepted: the record of a claim needs it after the caller received it.
         if run.key and sum(map(len, run.kept_parts)) <= MAX_KEPT_ANSWER_BYTES:
             run.kept_parts.append(run.incoming[attempt, run.call.next_part - 1].data)
@@ -309,11 +313,13 @@
             return True
         return self.hub.send_dialed(owner, message)
 
-    def _send_hand_over(self, run: CallRun, choice: ServiceChoice, effect: ev.SendHandOver) -> None:
+    def _send_hand_over(
+        self, run: CallRun, service_state: ServiceState, effect: ev.SendHandOver
+    ) -> None:
         upstream = effect.upstream
         owner = upstream.owner
-        is_asked = self._asks_first(run, effect)
-        first, rest = (b"", cut_body(run.body)) if is_asked else split_body(run.body)
+        is_body_withheld = self._withholds_body(run, effect)
+        first, rest = (b"", cut_body(run.body)) if is_body_withheld else split_body(run.body)
         hand_over = HandOver(
             effect.attempt,
             owner.incarnation,
@@ -331,15 +337,15 @@
             route=run.call.rule.name,
             target_ms=effect.target_ms,
             origin=self.origin_service,
-            suspicion=self._find_suspicion(run),
+            suspicion=self._find_suspect_report(run),
             rank=combine_ranks(run.call.rank, run.call.rule.priority),
             customer=run.call.customer,
             may_wait=effect.may_wait,
             run_rank=self.owner.find_run_rank(),
-            limit_per_s=find_rate_limit(choice.table.notices, upstream),
+            limit_per_s=find_rate_limit(service_state.table.notices, upstream),
         )
         self.runs[effect.attempt.sequence] = run
-        record_attempt_sent(choice.table, upstream.name, effect.attempt, trio.current_time())
+        record_attempt_sent(service_state.table, upstream.name, effect.attempt, trio.current_time())
         self.recorder.record(
             EventKind.ATTEMPT_SENT,
             call=run.call.call_id,
@@ -347,13 +353,13 @@
             detail=format_attempt(effect.attempt),
         )
         if rest:
-            run.outflows[effect.attempt] = Outflow(credit=0) if is_asked else Outflow()
+            run.outflows[effect.attempt] = Outflow(credit=0) if is_body_withheld else Outflow()
         if not self.send(owner.name, hand_over):
             run.feed(ev.AttemptNotRun(effect.attempt, NotRunReason.CONNECT_FAILED))
         elif rest:
             self.nursery.start_soon(self._send_parts, run, effect.attempt, owner.name, rest)
 
-    def _find_suspicion(self, run: CallRun) -> SuspectReport | None:
+    def _find_suspect_report(self, run: CallRun) -> SuspectReport | None:
         """Return the suspect report on a request, if any; its owner may not have received it."""
         suspects = self.owner.register.suspects
         if not suspects.suspects:
@@ -364,21 +370,21 @@
             )
         return find_report(suspects, run.signature, trio.current_time())
 
-    def hear_suspects(self, told: tuple[SuspectReport, ...]) -> None:
+    def merge_suspect_reports(self, reports: tuple[SuspectReport, ...]) -> None:
         """Merge suspect reports that a voter sent."""
         now = trio.current_time()
-        for one in told:
-            merge_report(self.owner.register.suspects, one, now)
+        for report in reports:
+            merge_report(self.owner.register.suspects, report, now)
 
-    def _asks_first(self, run: CallRun, effect: ev.SendHandOver) -> bool:
+    def _withholds_body(self, run: CallRun, effect: ev.SendHandOver) -> bool:
         """Return whether the body is sent only after the owner has accepted the request.
 
         The body of a refused request would load the links of both nodes for nothing.
         """
         is_far = effect.upstream.owner.data_centre != self.own.data_centre
-        return self._is_long(run) and (is_far or not effect.may_wait)
+        return self._has_long_body(run) and (is_far or not effect.may_wait)
 
-    def _is_long(self, run: CallRun) -> bool:
+    def _has_long_body(self, run: CallRun) -> bool:
         return len(run.body) > self.far_body_bytes
 
     async def _send_parts(
@@ -396,9 +402,9 @@
         call = run.call
         self.claims.record(call.service.name, run.key, call.call_id, state, answer)
 
-    def forget(self, run: CallRun) -> None:
+    def remove_call(self, run: CallRun) -> None:
         """Remove a finished call; messages for its attempts are dropped as late from then on."""
-        table = self.choices[run.call.service.name].table
+        table = self.service_states[run.call.service.name].table
         now = trio.current_time()
         for attempt in run.call.attempts:
             self.runs.pop(attempt.id.sequence, None)
--- a/packages/bendwind-node/src/bendwind_node/calls/h11_exchange.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/h11_exchange.py
@@ -15,8 +15,8 @@
 # Pipelined requests beyond this size stay unread in the socket, and the caller's connection is no
 # longer watched for its close.
 MAX_READ_AHEAD_BYTES = 64 * 1024
-FRAMING = frozenset((names.CONTENT_LENGTH, b"transfer-encoding"))
-BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError)
+FRAMING_HEADERS = frozenset((names.CONTENT_LENGTH, b"transfer-encoding"))
+BROKEN_STREAM_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
 
 _BAD_GATEWAY = 502
 _SERVICE_UNAVAILABLE = 503
@@ -37,7 +37,7 @@
         "may_have_run",
         "read_ahead",
         "request",
-        "says_close",
+        "announces_close",
         "stream",
     )
 
@@ -53,7 +53,7 @@
         self.stream = stream
         self.connection = connection
         headers = tuple(head.headers)
-        may_have_body = any(name in FRAMING for name, _ in headers)
+        may_have_body = any(name in FRAMING_HEADERS for name, _ in headers)
         self.request = CallerRequest(head.method.decode(), target, headers, may_have_body)
         self.head = b""
         self.may_have_run = False
@@ -61,7 +61,7 @@
         self.is_answer_begun = False
         self.is_answered = False
         self.is_gone = False
-        self.says_close = False
+        self.announces_close = False
         self.read_ahead = 0
 
     async def receive_part(self) -> bytes | None:
@@ -89,7 +89,7 @@
     async def _receive(self) -> None:
         try:
             data = await self.stream.receive_some(RECEIVE_BYTES)
-        except BROKEN as error:
+        except BROKEN_STREAM_ERRORS as error:
             self.is_gone = True
             raise CallerGoneError from error
         if not data:
@@ -99,8 +99,8 @@
 
     async def send_head(self, status: int, headers: tuple[Header, ...]) -> None:
         """Prepare the head of the answer; it is sent with the first part of the body."""
-        self.says_close = self.is_closing() or not _has_whole_request(self.connection)
-        if self.says_close:
+        self.announces_close = self.is_closing() or not _discard_unread_body(self.connection)
+        if self.announces_close:
             headers = (*headers, _CLOSE)
         self.head = self.connection.send(h11.Response(status_code=status, headers=list(headers)))
 
@@ -119,11 +119,11 @@
     async def _send(self, data: bytes) -> None:
         try:
             await self.stream.send_all(data)
-        except BROKEN as error:
+        except BROKEN_STREAM_ERRORS as error:
             self.is_gone = True
             raise CallerGoneError from error
 
-    def give_up(self) -> None:
+    def send_failure(self) -> None:
         """Answer at once that the outcome of the request is unknown, or that it has not run.
 
         Do nothing if the answer has begun.
@@ -132,12 +132,12 @@
             return
         status = _BAD_GATEWAY if self.may_have_run else _SERVICE_UNAVAILABLE
         outcome = outcomes.UNKNOWN if self.may_have_run else outcomes.NOT_RUN
-        self.says_close = True
+        self.announces_close = True
         # Nothing was sent yet, so a new h11 state can be used whatever state the connection is in.
         answer = make_error(h11.Connection(h11.SERVER), status, outcome)
         try:
             self.is_answered = self.stream.send_now(answer) == len(answer)
-        except BROKEN:
+        except BROKEN_STREAM_ERRORS:
             self.is_gone = True
 
     def abort(self) -> None:
@@ -149,7 +149,7 @@
         while self.read_ahead < MAX_READ_AHEAD_BYTES:
             try:
                 data = await self.stream.receive_some(RECEIVE_BYTES)
-            except BROKEN:
+            except BROKEN_STREAM_ERRORS:
                 data = b""
             if not data:
                 self.is_gone = True
@@ -159,7 +159,7 @@
         await trio.sleep_forever()
 
 
-def _has_whole_request(connection: h11.Connection) -> bool:
+def _discard_unread_body(connection: h11.Connection) -> bool:
     """Discard the received part of an unread body; return whether the request has ended."""
     while connection.their_state is h11.SEND_BODY:
         try:
--- a/packages/bendwind-node/src/bendwind_node/calls/headers.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/headers.py
@@ -27,7 +27,7 @@
     )
 )
 # Only Bendwind writes these; they are removed so that a caller cannot forge them to an upstream.
-_OWN = frozenset((OUTCOME, REASON, CALL, REPLAYED))
+_RESERVED = frozenset((OUTCOME, REASON, CALL, REPLAYED))
 _EXPECT = b"expect"
 
 
@@ -65,22 +65,22 @@
 
 
 def keep_end_to_end(
-    headers: tuple[Header, ...], own: frozenset[bytes] = frozenset()
+    headers: tuple[Header, ...], reserved: frozenset[bytes] = frozenset()
 ) -> tuple[Header, ...]:
-    """Remove hop-by-hop fields and those that only Bendwind may write, including `own`."""
-    dropped = _DROPPED | _find_connection_tokens(headers) | own
+    """Remove hop-by-hop fields and those that only Bendwind may write, including `reserved`."""
+    dropped = _DROPPED | _find_connection_tokens(headers) | reserved
     return tuple(header for header in headers if header[0] not in dropped)
 
 
 def keep_request_headers(
-    headers: tuple[Header, ...], own: frozenset[bytes] = frozenset()
+    headers: tuple[Header, ...], reserved: frozenset[bytes] = frozenset()
 ) -> tuple[Header, ...]:
     """Remove what a hand-over does not forward: hop-by-hop fields, length and expectation."""
     return tuple(
         header
-        for header in keep_end_to_end(headers, own)
+        for header in keep_end_to_end(headers, reserved)
         if header[0] not in (CONTENT_LENGTH, _EXPECT)
     )
 
 
-_DROPPED = _HOP_BY_HOP | _OWN
+_DROPPED = _HOP_BY_HOP | _RESERVED
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -94,7 +94,7 @@
         """Hear that an entry node's link broke."""
         if not self.replies.close(link):
             return
-        self.assemblies.drop_all_of(link.peer.name)
+        self.assemblies.drop_by_entry(link.peer.name)
         for attempt, outflow in self.outflows.items():
             if attempt.entry == link.peer.name:
                 outflow.lose()
--- a/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
@@ -8,7 +8,7 @@
 from bendwind_core.routing import LoadProbe, LoadReport, plan_probes, record_load
 from bendwind_node.calls.entry_node import EntryNode
 from bendwind_node.calls.owner_node import OwnerNode
-from bendwind_node.calls.service_choice import ServiceChoice
+from bendwind_node.calls.upstream_choice import ServiceState
 
 PROBE_EVERY: Seconds = 0.25
 IDLE_SLEEP: Seconds = 1.0
@@ -32,12 +32,12 @@
 
     def probe_all(self, now: Seconds) -> bool:
         """Probe for every service in use and tell whether there is one."""
-        active = [one for one in self.entry.choices.values() if self._is_probed(one, now)]
+        active = [one for one in self.entry.service_states.values() if self._is_probed(one, now)]
         for choice in active:
             self._probe(choice, now)
         return bool(active)
 
-    def _is_probed(self, choice: ServiceChoice, now: Seconds) -> bool:
+    def _is_probed(self, choice: ServiceState, now: Seconds) -> bool:
         """Tell whether a service is in use and chosen by load.
 
         Owners of a service that is called near first refuse what they would answer late, and need
@@ -45,9 +45,9 @@
         """
         service = self.entry.membership.services.get(choice.table.service)
         is_near_first = service is not None and service.near_first
-        return not is_near_first and now - choice.called_at < IDLE_AFTER
+        return not is_near_first and now - choice.last_call_at < IDLE_AFTER
 
-    def _probe(self, choice: ServiceChoice, now: Seconds) -> None:
+    def _probe(self, choice: ServiceState, now: Seconds) -> None:
         for name in plan_probes(choice.table, self.budget, now):
             owner = choice.table.upstreams[name].upstream.owner.name
             # A probe is no reason to open a link.
@@ -57,6 +57,6 @@
 
     def receive(self, report: LoadReport) -> None:
         """Hear the load of an upstream."""
-        choice = self.entry.choices.get(report.service)
+        choice = self.entry.service_states.get(report.service)
         if choice is not None:
             record_load(choice.table, report.upstream, report.load, trio.current_time())
--- a/packages/bendwind-node/src/bendwind_node/calls/request_account.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/request_account.py
@@ -22,7 +22,7 @@
     UNANSWERED = "unanswered"
 
 
-class SeenExchange(Protocol):
+class ExchangeProgress(Protocol):
     """Define the fields in which an exchange records its progress."""
 
     is_answered: bool
@@ -46,15 +46,15 @@
     ended: collections.Counter[Ending] = msgspec.field(default_factory=collections.Counter)
 
     @property
-    def in_hand(self) -> int:
+    def in_flight(self) -> int:
         """Return the number of requests that have not ended."""
         return self.taken - self.ended.total()
 
-    def open(self) -> None:
+    def record_received(self) -> None:
         """Count a request that was received."""
         self.taken += 1
 
-    def close(self, request: CallerRequest, ending: Ending) -> None:
+    def record_ended(self, request: CallerRequest, ending: Ending) -> None:
         """Count how a request ended; record it as an event if it is unanswered."""
         self.ended[ending] += 1
         if ending is Ending.UNANSWERED and self.recorder is not None:
@@ -70,7 +70,7 @@
         return f"{self.address}: taken={self.taken} {ended}"
 
 
-def find_ending(exchange: SeenExchange) -> Ending:
+def find_ending(exchange: ExchangeProgress) -> Ending:
     """Return how a request ended for its caller, from the fields of its exchange."""
     if exchange.is_answered:
         return Ending.ANSWERED
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_authentication.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_authentication.py
@@ -93,7 +93,7 @@
                 self.assertEqual(done.headers[b"www-authenticate"], b'ApiKey header="bendwind-key"')
                 self.assertNotIn(b"retry-after", done.headers)
             self.assertEqual((bench.entry.runs, bench.intake.in_flight), ({}, 0))
-            self.assertEqual((bench.entry.choices, bench.entry.unknown_keys), ({}, 2))
+            self.assertEqual((bench.entry.service_states, bench.entry.unknown_keys), ({}, 2))
 
         self.run_with(check)
         self.assertEqual(self.seen, [])
@@ -132,12 +132,12 @@
             keys = []
             for key in ("k1", "k2", "k3"):
                 exchange = make_exchange(b"POST", b"x", bendwind_key=key, idempotency_key="order-1")
-                keys.append((await bench.intake.take(exchange, "c")).ok.key)
+                keys.append((await bench.intake.admit_request(exchange, "c")).ok.key)
             self.assertEqual(keys[0], keys[1])
             self.assertNotIn(keys[2], (keys[0], "order-1"))
             bench.membership.customers = None
             exchange = make_exchange(b"POST", b"x", idempotency_key="order-1")
-            self.assertEqual((await bench.intake.take(exchange, "c")).ok.key, "order-1")
+            self.assertEqual((await bench.intake.admit_request(exchange, "c")).ok.key, "order-1")
 
         self.run_with(check)
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
@@ -202,7 +202,7 @@
                 done = await bench.call(make_exchange())
                 self.assertEqual(done.headers[b"bendwind-reason"], b"no-upstream")
             bench.entry.refresh_upstreams("svc")
-            self.assertEqual(bench.entry.choices["svc"].table.upstreams, {})
+            self.assertEqual(bench.entry.service_states["svc"].table.upstreams, {})
             self.assertEqual(self.runs, 1)
 
         self.run_with(self.answer_ok, check)
@@ -249,7 +249,7 @@
             announce(bench.owner, port)
             for reason, expected in ((NotRunReason.QUEUE_FULL, 1), (NotRunReason.QUARANTINED, 0)):
                 exchange = make_exchange()
-                run = (await bench.intake.take(exchange, "c1")).ok
+                run = (await bench.intake.admit_request(exchange, "c1")).ok
                 run.is_inner = True
                 delivery = Delivery(bench.entry, exchange, run)
                 with mock.patch.object(OwnerNode, "note_call_refused") as noted:
@@ -268,7 +268,7 @@
             exchange = make_exchange(POST, b"x", bendwind_timeout_ms="100")
             done = await bench.call(exchange)
             self.assertEqual(done.headers[b"bendwind-outcome"], b"unknown")
-            view = bench.entry.choices["svc"].table.upstreams["svc-1"]
+            view = bench.entry.service_states["svc"].table.upstreams["svc-1"]
             self.assertEqual((view.error_rate, len(view.outstanding)), (0.0, 0))
 
         self.run_with(wait, check)
@@ -374,7 +374,7 @@
         async def check(bench, port):
             quiet = Service("quiet", ("*",))
             bench.membership.services["quiet"] = quiet
-            bench.entry.find_choice(quiet)
+            bench.entry.find_or_create_service_state(quiet)
             announce(bench.owner, port)
             async with trio.open_nursery() as nursery:
                 for _ in range(80):
@@ -393,7 +393,7 @@
             owner = bench.add_owner("other")
             announce(owner, port)
             await bench.call(make_exchange())
-            owner_state = bench.entry.choices["svc"]
+            owner_state = bench.entry.service_states["svc"]
             view = owner_state.table.upstreams["svc-1"]
             probes = ProbeTask(bench.entry, bench.owner, ProbeBudget(20, 4000))
             bench.hub.reports = probes.receive
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_quota_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_quota_path.py
@@ -14,8 +14,8 @@
 class CustomersIntake(CallIntake):
     """Take every request for one customer."""
 
-    async def take(self, exchange, call_id):
-        taken = await super().take(exchange, call_id)
+    async def admit_request(self, exchange, call_id):
+        taken = await super().admit_request(exchange, call_id)
         if taken.is_ok():
             taken.ok.call.customer = "maria"
         return taken
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_request_account.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_request_account.py
@@ -40,7 +40,7 @@
 
     def check(self, account, ending):
         self.assertEqual(account.taken, 1)
-        self.assertEqual(account.in_hand, 0)
+        self.assertEqual(account.in_flight, 0)
         self.assertEqual(dict(account.ended), {ending: 1})
 
     def test_whole_answer_counts_as_answered(self):
@@ -70,7 +70,7 @@
             while not account.taken:
                 await trio.sleep(0.001)
             await stream.aclose()
-            while account.in_hand:
+            while account.in_flight:
                 await trio.sleep(0.001)
 
         account, _ = self.run_with(handle, leave)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_service_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_choice.py
@@ -5,7 +5,11 @@
 from bendwind_core.attempts import NotRunReason
 from bendwind_core.routing import record_load, set_upstreams
 from bendwind_core.world import Instance, LoadSample, Service, Upstream
-from bendwind_node.calls.service_choice import RETURN_SPREAD, choose_for, create_choice
+from bendwind_node.calls.upstream_choice import (
+    RETRY_AFTER_SPREAD,
+    choose_next_upstream,
+    create_service_state,
+)
 
 OWN = Instance("n", "a", "127.0.0.1", 1, incarnation=1)
 
@@ -13,12 +17,17 @@
 class ServiceChoiceTest(unittest.TestCase):
     def choose(self, **said):
         service = Service("s", ("*",))
-        choice = create_choice(service)
-        set_upstreams(choice.table, [Upstream("u", "s", OWN, 6, 6)], 100.0)
-        record_load(choice.table, "u", LoadSample(0, 0, 6, room_wait_ms=1000.0, **said), 100.0)
+        service_state = create_service_state(service)
+        set_upstreams(service_state.table, [Upstream("u", "s", OWN, 6, 6)], 100.0)
+        record_load(
+            service_state.table, "u", LoadSample(0, 0, 6, room_wait_ms=1000.0, **said), 100.0
+        )
         run = types.SimpleNamespace(call=types.SimpleNamespace(service=service, target_at=100.2))
         rng = random.Random(1)
-        return [choose_for(choice, run, frozenset(), OWN, 100.0, rng, stays=False) for _ in "abc"]
+        return [
+            choose_next_upstream(service_state, run, frozenset(), OWN, 100.0, rng, stays_near=False)
+            for _ in "abc"
+        ]
 
     def test_callers_that_a_limit_leaves_no_room_come_back_at_different_times(self):
         for limit in (0.0, 6.2):
@@ -26,7 +35,7 @@
             self.assertEqual({one.reason for one in refusals}, {NotRunReason.LIMITED})
             waits = {one.wait_ms for one in refusals}
             self.assertEqual(len(waits), 3)
-            self.assertTrue(all(1000.0 <= wait <= 1000.0 * RETURN_SPREAD for wait in waits))
+            self.assertTrue(all(1000.0 <= wait <= 1000.0 * RETRY_AFTER_SPREAD for wait in waits))
 
     def test_cold_upstream_without_a_limit_is_full(self):
         refusals = self.choose()
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_ways_out.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_ways_out.py
@@ -82,7 +82,7 @@
                     scene = Scene(nursery, pair.held, upstream, has_fault=pair.event is Event.FAULT)
                     await scene.start(nursery, port)
                     data = await self.meet(scene, pair)
-                    while scene.account.in_hand:
+                    while scene.account.in_flight:
                         await trio.sleep(0.001)
                     self.check(scene, pair, data)
                     await scene.stream.aclose()
@@ -108,7 +108,7 @@
         ending = find_ending(pair)
         unanswered = 1 if ending is Ending.UNANSWERED else 0
         self.assertEqual(account.ended[Ending.UNANSWERED], unanswered, account.describe())
-        self.assertEqual(account.in_hand, 0)
+        self.assertEqual(account.in_flight, 0)
         self.assertGreaterEqual(account.ended[ending], 1)
         held = (bench.entry.runs, bench.intake.in_flight, bench.intake.budget.used)
         self.assertEqual(held, ({}, 0, 0))
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_parts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_parts.py
@@ -8,7 +8,7 @@
 from bendwind_core.claims import Granted
 from bendwind_core.quotas import Grant
 from bendwind_core.world import Repeat, Routing, SplitPart, create_route
-from bendwind_node.calls.call_delivery import GONE_WATCH_AFTER
+from bendwind_node.calls.call_delivery import GONE_WATCH_DELAY
 from bendwind_node.calls.tests.fakes import MIB
 from bendwind_node.calls.tests.scripted_server import OK, read_request
 from bendwind_node.calls.tests.ways_out import Held
@@ -17,7 +17,7 @@
 # Longer than what windows and small buffers hold between an upstream and a caller that rests.
 LONG_ANSWER = 4 * MIB
 # From then on the caller of a request that is under way is watched.
-WATCHED_AFTER_S = 2 * GONE_WATCH_AFTER
+WATCHED_AFTER_S = 2 * GONE_WATCH_DELAY
 STATED = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
 
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_scene.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_scene.py
@@ -117,7 +117,7 @@
         if self.held is Held.RUNNING:
             await trio.sleep(WATCHED_AFTER_S)
         assert self._is_held(), self.held
-        assert self.account.in_hand == 1
+        assert self.account.in_flight == 1
 
     async def _give_back(self):
         """Have the owner refuse the request that the hand-over goes to first."""
--- a/packages/bendwind-node/src/bendwind_node/calls/time_left.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/time_left.py
@@ -6,9 +6,9 @@
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
 
 
-def deduct_time(hand_over: HandOver, passed: Seconds) -> HandOver:
+def deduct_time(hand_over: HandOver, elapsed: Seconds) -> HandOver:
     """Return a hand-over with the time deducted that has passed since it was stated."""
-    passed_ms = passed * MILLISECONDS_PER_SECOND
+    passed_ms = elapsed * MILLISECONDS_PER_SECOND
     target_ms = hand_over.target_ms
     return replace(
         hand_over,
--- a/packages/bendwind-node/src/bendwind_node/calls/service_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
@@ -31,38 +31,42 @@
 
 # Callers that are refused with the same expected wait for capacity are told to retry after between
 # one and this many times that wait, so that they do not all return together.
-RETURN_SPREAD = 3.0
+RETRY_AFTER_SPREAD = 3.0
 
 
-class ServiceChoice(msgspec.Struct, eq=False):
+class ServiceState(msgspec.Struct, eq=False):
     """Hold the upstreams that the calls of one service choose from, and their retry budget."""
 
     table: UpstreamTable
     budget: RetryBudget
     in_flight: int = 0
-    called_at: Seconds = -math.inf
+    last_call_at: Seconds = -math.inf
 
 
-def create_choice(service: Service) -> ServiceChoice:
+def create_service_state(service: Service) -> ServiceState:
     """Return the state of a service that has no upstreams yet."""
-    return ServiceChoice(
+    return ServiceState(
         create_upstream_table(service.name), RetryBudget(service.limits.retry_ratio)
     )
 
 
-def refresh_choice(
-    choice: ServiceChoice, own: Instance, membership: MembershipTask, hub: LinkHub, now: Seconds
+def refresh_service_state(
+    service_state: ServiceState,
+    own: Instance,
+    membership: MembershipTask,
+    hub: LinkHub,
+    now: Seconds,
 ) -> None:
     """Update the upstreams to the announced ones that the service's patterns admit."""
-    name = choice.table.service
+    name = service_state.table.service
     service = membership.services.get(name)
     announced = membership.upstreams(name)
     admitted = [u for u in announced if service is not None and _may_use(membership, service, u)]
     used = choose_subset(own.name, own.data_centre, admitted)
     listed = {upstream.name for upstream in announced}
-    reached = _list_reached(choice.table, listed, membership, hub)
-    before = {view.upstream.owner.name for view in choice.table.upstreams.values()}
-    set_upstreams(choice.table, (*used, *reached), now)
+    reached = _list_reachable(service_state.table, listed, membership, hub)
+    before = {view.upstream.owner.name for view in service_state.table.upstreams.values()}
+    set_upstreams(service_state.table, (*used, *reached), now)
     # An attempt at an owner that stopped responding should fail before its deadline.
     for owner in before - {upstream.owner.name for upstream in used}:
         hub.check(owner)
@@ -73,7 +77,7 @@
     return may_serve(service, upstream.name) and not is_evacuated
 
 
-def _list_reached(
+def _list_reachable(
     table: UpstreamTable, listed: set[str], membership: MembershipTask, hub: LinkHub
 ) -> list[Upstream]:
     """Return the upstreams that no voter lists any more but whose owners are still reachable.
@@ -106,30 +110,30 @@
     return service.on_stale is StaleAction.SERVE and (is_first or service.routed_only)
 
 
-def choose_for(
-    choice: ServiceChoice,
+def choose_next_upstream(
+    service_state: ServiceState,
     run: CallRun,
     excluded: frozenset[str],
     own: Instance,
     now: Seconds,
     rng: random.Random,
     *,
-    stays: bool,
+    stays_near: bool,
 ) -> Upstream | NoRoom | None:
     """Return the upstream of a call's next attempt, or the reason why there is none."""
     service = run.call.service
     near = own.data_centre if service.near_first else None
     chosen = choose_upstream(
         service.policy,
-        choice.table,
+        service_state.table,
         excluded,
         now,
         rng,
         near,
-        stays_near=stays,
+        stays_near=stays_near,
         target_at=run.call.target_at,
     )
-    return _explain_absence(choice.table, now, rng) if chosen is None else chosen
+    return _explain_absence(service_state.table, now, rng) if chosen is None else chosen
 
 
 def _explain_absence(table: UpstreamTable, now: Seconds, rng: random.Random) -> NoRoom | None:
@@ -143,11 +147,11 @@
         return NoRoom(wait_ms)
     # A rate limit permits one request at that time, and one more after each further wait of this
     # length, so the retry times are spread.
-    return NoRoom(wait_ms * rng.uniform(1.0, RETURN_SPREAD), NotRunReason.LIMITED)
+    return NoRoom(wait_ms * rng.uniform(1.0, RETRY_AFTER_SPREAD), NotRunReason.LIMITED)
 
 
-def note_own_load(choice: ServiceChoice, owner: OwnerNode, now: Seconds) -> None:
+def record_own_load(service_state: ServiceState, owner: OwnerNode, now: Seconds) -> None:
     """Record the exact load of the upstreams that this process owns."""
     for name in owner.register.owned:
-        if name in choice.table.upstreams:
-            record_load(choice.table, name, owner.read_load(name), now)
+        if name in service_state.table.upstreams:
+            record_load(service_state.table, name, owner.read_load(name), now)
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -329,13 +329,13 @@
                 dispatcher.owner.register.hear_pushed(upstream)
             dispatcher.entry.refresh_upstreams(service)
         case SuspectsLearned(suspects=suspects):
-            dispatcher.entry.hear_suspects(suspects)
+            dispatcher.entry.merge_suspect_reports(suspects)
         case VotersLearned(voters=voters):
             learn_places(dispatcher.hub, voters)
         case ConfigurationApplied():
             dispatcher.owner.register.hear_configuration(dispatcher.membership.evacuated)
             dispatcher.entry.refresh_routing()
-            for service in tuple(dispatcher.entry.choices):
+            for service in tuple(dispatcher.entry.service_states):
                 dispatcher.entry.refresh_upstreams(service)
         case ClaimGroupsChanged():
             groups = tuple(dispatcher.membership.claim_groups.values())
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -174,7 +174,7 @@
 
 def _has_work(daemon: Daemon) -> bool:
     dispatcher = daemon.dispatcher
-    has_requests = any(account.in_hand for account in daemon.accounts)
+    has_requests = any(account.in_flight for account in daemon.accounts)
     has_calls = bool(dispatcher.entry.runs) or not dispatcher.owner.is_idle()
     # An outcome that no claim holder has confirmed yet would be told as unknown to a resend.
     return has_requests or has_calls or bool(dispatcher.claims.entry.settling)
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
@@ -122,18 +122,18 @@
         # What a stopping node counted were attempts. A request that had none yet, since its
         # body was being read, or that was being answered ended with the process, unanswered.
         account = RequestAccount("callers")
-        account.open()
+        account.record_received()
         daemon = make_daemon(FakeRegister(), [account])
 
         async def answer_late():
             await trio.sleep(2.5)
-            account.close(None, Ending.ANSWERED)
+            account.record_ended(None, Ending.ANSWERED)
 
         async def main():
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(answer_late)
                 await _stop(daemon)
-                self.assertEqual(account.in_hand, 0)
+                self.assertEqual(account.in_flight, 0)
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
--- a/packages/bendwind-node/src/bendwind_node/metrics/gather.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/gather.py
@@ -92,7 +92,7 @@
     """Read what became of the requests that came to each address."""
     for account in accounts:
         yield Sample(Metric.REQUESTS_TAKEN, account.taken, (account.address,))
-        yield Sample(Metric.REQUESTS_IN_HAND, account.in_hand, (account.address,))
+        yield Sample(Metric.REQUESTS_IN_HAND, account.in_flight, (account.address,))
         for ending in Ending:
             labels = (account.address, ending)
             yield Sample(Metric.REQUESTS_ENDED, account.ended[ending], labels)
@@ -100,7 +100,7 @@
 
 def gather_calls(entry: EntryNode, owner: OwnerNode) -> Iterator[Sample]:
     """Read the calls and attempts under way."""
-    for service, choice in entry.choices.items():
+    for service, choice in entry.service_states.items():
         yield Sample(Metric.CALLS_IN_FLIGHT, choice.in_flight, (service,))
     for upstream, owned in owner.register.owned.items():
         yield Sample(Metric.ATTEMPTS_RUNNING, len(owned.owner_state.running), (upstream,))
