--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -223,12 +223,12 @@
         # whether a key is needed, and a node without a configuration learns the keys in this wait.
         service = await self._find_service(request.headers)
         rule = None if service is None else find_rule(service, request.method, request.path)
-        asked = self._authenticate(request, is_open=rule is not None and rule.is_open)
-        if asked.is_error():
-            return asked
+        authenticated = self._authenticate(request, is_open=rule is not None and rule.is_open)
+        if authenticated.is_error():
+            return authenticated
         if rule is None or service.routed_only:
             return Error(self._refuse_if_fresh(_UNKNOWN_SERVICE))
-        return Ok(ResolvedRequest(service, rule, asked.ok))
+        return Ok(ResolvedRequest(service, rule, authenticated.ok))
 
     def _refuse_if_fresh(self, refusal: Refusal) -> Refusal:
         """Return the refusal if the configuration is fresh, otherwise a refusal as stale."""
@@ -242,9 +242,9 @@
         route = find_route(table, names.find_host(request.headers), request.path)
         if route is None:
             return Error(self._refuse_if_fresh(_NO_ROUTE))
-        asked = self._authenticate(request, is_open=route.is_open)
-        if asked.is_error():
-            return asked
+        authenticated = self._authenticate(request, is_open=route.is_open)
+        if authenticated.is_error():
+            return authenticated
         name = choose_part(table, route, self.entry.rng)
         membership = self.entry.membership
         service = membership.services.get(name)
@@ -256,19 +256,19 @@
             service = membership.services.get(name)
         if service is None:
             return Error(Refusal.not_run(NotRunReason.STALE))
-        return Ok(ResolvedRequest(service, route.rule, asked.ok))
+        return Ok(ResolvedRequest(service, route.rule, authenticated.ok))
 
     def _authenticate(
         self, request: CallerRequest, *, is_open: bool
     ) -> Result[Customer | None, Refusal]:
         entry = self.entry
-        asked = authenticate(
+        authenticated = authenticate(
             entry.membership.customers, request.headers, entry.dialect, is_open=is_open
         )
-        if asked.is_ok():
-            return asked
-        refusal = self._refuse_if_fresh(asked.error)
-        if refusal is asked.error:
+        if authenticated.is_ok():
+            return authenticated
+        refusal = self._refuse_if_fresh(authenticated.error)
+        if refusal is authenticated.error:
             entry.unknown_keys += 1
         return Error(refusal)
 
--- a/packages/bendwind-node/src/bendwind_node/calls/request_account.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/request_account.py
@@ -42,17 +42,17 @@
     address: str = ""
     recorder: Recorder | None = None
     dialect: Dialect = BENDWIND_DIALECT
-    taken: int = 0
+    received: int = 0
     ended: collections.Counter[Ending] = msgspec.field(default_factory=collections.Counter)
 
     @property
     def in_flight(self) -> int:
         """Return the number of requests that have not ended."""
-        return self.taken - self.ended.total()
+        return self.received - self.ended.total()
 
     def record_received(self) -> None:
         """Count a request that was received."""
-        self.taken += 1
+        self.received += 1
 
     def record_ended(self, request: CallerRequest, ending: Ending) -> None:
         """Count how a request ended; record it as an event if it is unanswered."""
@@ -67,7 +67,7 @@
     def describe(self) -> str:
         """Return the counts as one line of text."""
         ended = " ".join(f"{ending}={self.ended[ending]}" for ending in Ending)
-        return f"{self.address}: taken={self.taken} {ended}"
+        return f"{self.address}: taken={self.received} {ended}"
 
 
 def find_ending(exchange: ExchangeProgress) -> Ending:
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_caller_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_caller_h11.py
@@ -111,15 +111,19 @@
 
         async def check(connect, shutdown):
             request = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"
-            async with await connect() as kept:
-                await kept.send_all(request)
-                self.assertNotIn(b"close", (await kept.receive_some(65536)).lower())
+            async with await connect() as kept_connection:
+                await kept_connection.send_all(request)
+                self.assertNotIn(b"close", (await kept_connection.receive_some(65536)).lower())
                 stopping.set()
-                await kept.send_all(request)
-                self.assertIn(b"connection: close", (await kept.receive_some(65536)).lower())
-            async with await connect() as fresh:
-                await fresh.send_all(request)
-                self.assertTrue((await fresh.receive_some(65536)).startswith(b"HTTP/1.1 200 "))
+                await kept_connection.send_all(request)
+                self.assertIn(
+                    b"connection: close", (await kept_connection.receive_some(65536)).lower()
+                )
+            async with await connect() as new_connection:
+                await new_connection.send_all(request)
+                self.assertTrue(
+                    (await new_connection.receive_some(65536)).startswith(b"HTTP/1.1 200 ")
+                )
 
         self.run_with(echo, check, stopping=stopping)
 
@@ -128,11 +132,11 @@
         # established, and the requests have been sent.
         async def check(connect, shutdown):
             address = (await connect()).socket.getpeername()
-            made = [socket.create_connection(address) for _ in range(5)]
-            for connection in made:
+            connections = [socket.create_connection(address) for _ in range(5)]
+            for connection in connections:
                 connection.sendall(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
             shutdown.set()
-            for connection in made:
+            for connection in connections:
                 stream = trio.SocketStream(trio.socket.from_stdlib_socket(connection))
                 answer = await stream.receive_some(65536)
                 self.assertTrue(answer.startswith(b"HTTP/1.1 200 "))
@@ -216,7 +220,7 @@
                     nursery.start_soon(server.run, listeners, trio.Event())
                     stream = await trio.open_tcp_stream(*listeners[0].socket.getsockname())
                     await stream.send_all(request)
-                    while not account.taken:
+                    while not account.received:
                         await trio.sleep(0.001)
                     await trio.testing.wait_all_tasks_blocked()
                     nursery.cancel_scope.cancel()
@@ -338,7 +342,7 @@
                     serving.start_soon(server.run, listeners, trio.Event())
                     for path, rest in requests.items():
                         calling.start_soon(call, path, rest)
-                    while account.taken < len(requests):
+                    while account.received < len(requests):
                         await trio.sleep(0.001)
                     await trio.testing.wait_all_tasks_blocked()
                     serving.cancel_scope.cancel()
@@ -431,7 +435,7 @@
             noticed.set()
             raise CallerGoneError
 
-        async def swallow(exchange):
+        async def wait_until_gone(exchange):
             try:
                 await wait(exchange)
             except CallerGoneError:
@@ -442,15 +446,15 @@
                 await stream.send_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
             await noticed.wait()
 
-        self.run_with(swallow, check)
+        self.run_with(wait_until_gone, check)
 
     def test_shutdown_finishes_a_request_in_flight_and_closes_after_it(self):
-        go_on = trio.Event()
+        may_finish = trio.Event()
         begun = trio.Event()
 
         async def slow(exchange):
             begun.set()
-            await go_on.wait()
+            await may_finish.wait()
             await echo(exchange)
 
         async def check(connect, shutdown):
@@ -459,7 +463,7 @@
                 await begun.wait()
                 shutdown.set()
                 await trio.sleep(0.05)
-                go_on.set()
+                may_finish.set()
                 received = b""
                 while data := await stream.receive_some(65536):
                     received += data
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_request_account.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_request_account.py
@@ -39,7 +39,7 @@
             continue
 
     def check(self, account, ending):
-        self.assertEqual(account.taken, 1)
+        self.assertEqual(account.received, 1)
         self.assertEqual(account.in_flight, 0)
         self.assertEqual(dict(account.ended), {ending: 1})
 
@@ -67,7 +67,7 @@
             await exchange.wait_gone()
 
         async def leave(stream, account):
-            while not account.taken:
+            while not account.received:
                 await trio.sleep(0.001)
             await stream.aclose()
             while account.in_flight:
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
@@ -57,18 +57,18 @@
     hub: LinkHub,
     now: Seconds,
 ) -> None:
-    """Update the upstreams to the announced ones that the service's patterns admit."""
+    """Update the upstreams to the announced ones that the service admits and those still reachable."""
     name = service_state.table.service
     service = membership.services.get(name)
     announced = membership.upstreams(name)
     admitted = [u for u in announced if service is not None and _may_use(membership, service, u)]
-    used = choose_subset(own.name, own.data_centre, admitted)
-    listed = {upstream.name for upstream in announced}
-    reached = _list_reachable(service_state.table, listed, membership, hub)
+    subset = choose_subset(own.name, own.data_centre, admitted)
+    announced_names = {upstream.name for upstream in announced}
+    reachable = _list_reachable(service_state.table, announced_names, membership, hub)
     before = {view.upstream.owner.name for view in service_state.table.upstreams.values()}
-    set_upstreams(service_state.table, (*used, *reached), now)
+    set_upstreams(service_state.table, (*subset, *reachable), now)
     # An attempt at an owner that stopped responding should fail before its deadline.
-    for owner in before - {upstream.owner.name for upstream in used}:
+    for owner in before - {upstream.owner.name for upstream in subset}:
         hub.check(owner)
 
 
@@ -78,7 +78,7 @@
 
 
 def _list_reachable(
-    table: UpstreamTable, listed: set[str], membership: MembershipTask, hub: LinkHub
+    table: UpstreamTable, announced_names: set[str], membership: MembershipTask, hub: LinkHub
 ) -> list[Upstream]:
     """Return the upstreams that no voter lists any more but whose owners are still reachable.
 
@@ -90,7 +90,7 @@
     return [
         view.upstream
         for name, view in table.upstreams.items()
-        if name not in listed
+        if name not in announced_names
         and not view.is_draining
         and view.upstream.owner.data_centre not in membership.evacuated
         and hub.reaches(view.upstream.owner)
@@ -133,15 +133,15 @@
         stays_near=stays_near,
         target_at=run.call.target_at,
     )
-    return _explain_absence(service_state.table, now, rng) if chosen is None else chosen
+    return _make_no_capacity(service_state.table, now, rng) if chosen is None else chosen
 
 
-def _explain_absence(table: UpstreamTable, now: Seconds, rng: random.Random) -> NoRoom | None:
+def _make_no_capacity(table: UpstreamTable, now: Seconds, rng: random.Random) -> NoRoom | None:
     """Return when there is capacity again if only cold or limited upstreams are left, else None."""
-    room_at = find_earliest_capacity_at(table)
-    if room_at is None or room_at <= now:
+    capacity_at = find_earliest_capacity_at(table)
+    if capacity_at is None or capacity_at <= now:
         return None
-    wait_ms = (room_at - now) * MILLISECONDS_PER_SECOND
+    wait_ms = (capacity_at - now) * MILLISECONDS_PER_SECOND
     limits = [find_rate_limit(table.notices, view.upstream) for view in table.upstreams.values()]
     if all(limit is None for limit in limits):
         return NoRoom(wait_ms)
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
@@ -84,7 +84,7 @@
             return True
 
         async def handle(exchange):
-            await trio.sleep(0.001 if account.taken == 1 else 5)
+            await trio.sleep(0.001 if account.received == 1 else 5)
             await exchange.send_head(200, ((b"content-length", b"2"),))
             await exchange.send_part(b"ok", more=False)
 
@@ -116,7 +116,7 @@
                     nursery.cancel_scope.cancel()
 
         trio.run(main)
-        self.assertEqual((account.taken, account.ended), (1, {Ending.ANSWERED: 1}))
+        self.assertEqual((account.received, account.ended), (1, {Ending.ANSWERED: 1}))
 
     def test_request_without_an_attempt_is_waited_for(self):
         # What a stopping node counted were attempts. A request that had none yet, since its
--- a/packages/bendwind-node/src/bendwind_node/metrics/gather.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/gather.py
@@ -91,7 +91,7 @@
 def gather_requests(accounts: Iterable[RequestAccount]) -> Iterator[Sample]:
     """Read what became of the requests that came to each address."""
     for account in accounts:
-        yield Sample(Metric.REQUESTS_TAKEN, account.taken, (account.address,))
+        yield Sample(Metric.REQUESTS_TAKEN, account.received, (account.address,))
         yield Sample(Metric.REQUESTS_IN_HAND, account.in_flight, (account.address,))
         for ending in Ending:
             labels = (account.address, ending)
