--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
@@ -57,7 +57,7 @@
     hub: LinkHub,
     now: Seconds,
 ) -> None:
-    """Update the upstreams to the announced ones that the service admits and those still reachable."""
+    """Update the upstreams to the announced and admitted ones and those still reachable."""
     name = service_state.table.service
     service = membership.services.get(name)
     announced = membership.upstreams(name)
