--- a/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_facts.py
@@ -1,4 +1,4 @@
-"""Put together what decided about one request, for its log lines."""
+"""Collect the facts behind the decisions on one request, for its log lines."""
 
 from bendwind_core.attempts import Header
 from bendwind_core.attempts.call import Attempt
@@ -22,7 +22,7 @@
 
 
 def find_request_id(headers: tuple[Header, ...], dialect: Dialect) -> str:
-    """Return the caller's own id of its request, empty where there is none."""
+    """Return the caller's own id of its request, empty if there is none."""
     if dialect.request_id is None:
         return ""
     return (names.find_header(headers, dialect.request_id) or b"").decode("latin-1")
@@ -31,22 +31,22 @@
 def make_call_facts(
     run: CallRun, status: int, membership: MembershipTask, now: Seconds
 ) -> CallFacts:
-    """Describe the end of a call."""
+    """Return the facts of a finished call."""
     call = run.call
     target_ms = None
     tried_ms = 0.0
     if call.target_at is not None:
-        target_ms = _count_ms(call.target_at - run.arrived_at)
+        target_ms = _convert_to_ms(call.target_at - run.arrived_at)
         tried_ms = max(0.0, round((call.rule.target_latency_ms or 0.0) - target_ms, 1))
     return CallFacts(
         call.service.name,
         call.rule.name,
         status,
-        _count_ms(now - run.arrived_at),
-        _count_ms(call.deadline_at - run.arrived_at),
+        _convert_to_ms(now - run.arrived_at),
+        _convert_to_ms(call.deadline_at - run.arrived_at),
         target_ms,
         membership.view.version,
-        _round_age(membership.confirmed_age_ms()),
+        _round_ms(membership.confirmed_age_ms()),
         tuple(_make_attempt_facts(run, attempt) for attempt in call.attempts),
         tried_ms,
         call.rank,
@@ -61,9 +61,9 @@
 
 
 def _make_attempt_facts(run: CallRun, attempt: Attempt) -> AttemptFacts:
-    ms = None if attempt.ended_at is None else _count_ms(attempt.ended_at - attempt.sent_at)
-    sent_ms = _count_ms(attempt.sent_at - run.arrived_at)
-    end, wait_ms = _describe_end(run, attempt), _round_age(attempt.wait_ms)
+    ms = None if attempt.ended_at is None else _convert_to_ms(attempt.ended_at - attempt.sent_at)
+    sent_ms = _convert_to_ms(attempt.sent_at - run.arrived_at)
+    end, wait_ms = _describe_end(run, attempt), _round_ms(attempt.wait_ms)
     return AttemptFacts(attempt.upstream.name, sent_ms, end, ms, wait_ms, attempt.id.sequence)
 
 
@@ -78,17 +78,17 @@
 def make_dispatch_facts(
     owner_state: OwnerState, hand_over: HandOver, expires_at: Seconds, now: Seconds
 ) -> DispatchFacts:
-    """Describe what is known at the start of a dispatch; its duration comes later."""
-    came_at = expires_at - hand_over.remaining_ms / MILLISECONDS_PER_SECOND
+    """Return the facts known at the start of a dispatch; its duration is added later."""
+    arrived_at = expires_at - hand_over.remaining_ms / MILLISECONDS_PER_SECOND
     return DispatchFacts(
         hand_over.route,
-        max(0.0, _count_ms(now - came_at)),
+        max(0.0, _convert_to_ms(now - arrived_at)),
         remaining_ms=round(hand_over.remaining_ms, 1),
         running=len(owner_state.running),
         slots=owner_state.slots,
         slow_factor=owner_state.pace.factor,
         report_age_ms=_find_report_age(owner_state, now),
-        limit=_find_limit(owner_state),
+        limit=_find_run_limit(owner_state),
         rank=int(hand_over.rank),
         customer=hand_over.customer,
     )
@@ -101,12 +101,12 @@
     now: Seconds,
     waited: Seconds | None = None,
 ) -> RefusalFacts:
-    """Describe what is known when an attempt is refused."""
+    """Return the facts known when an attempt is refused."""
     is_suspect = reason in (NotRunReason.KEPT_APART, NotRunReason.QUARANTINED)
     return RefusalFacts(
         hand_over.route,
         round(hand_over.remaining_ms, 1),
-        _round_age(hand_over.target_ms),
+        _round_ms(hand_over.target_ms),
         round(find_usual_ms(owner_state, hand_over.route), 1),
         len(owner_state.running),
         len(owner_state.waiting),
@@ -114,37 +114,37 @@
         owner_state.pace.factor,
         _find_report_age(owner_state, now),
         compute_hand_over_signature(hand_over).hex() if is_suspect else "",
-        None if waited is None else _count_ms(waited),
-        _find_limit(owner_state),
+        None if waited is None else _convert_to_ms(waited),
+        _find_run_limit(owner_state),
         int(hand_over.rank),
         hand_over.customer,
         owner_state.rate_limit.per_second,
     )
 
 
-def make_end_facts(under: tuple[UnansweredAttempt, ...], dialect: Dialect) -> EndFacts:
-    """Describe what an upstream ended under."""
+def make_end_facts(unanswered: tuple[UnansweredAttempt, ...], dialect: Dialect) -> EndFacts:
+    """Return the facts of the requests that an upstream left unanswered when it ended."""
     return EndFacts(
         tuple(
-            UnansweredFacts(ended.signature.hex(), find_request_id(ended.headers, dialect))
-            for ended in under
+            UnansweredFacts(attempt.signature.hex(), find_request_id(attempt.headers, dialect))
+            for attempt in unanswered
         )
     )
 
 
-def _find_limit(owner_state: OwnerState) -> int:
-    """Return how many attempts may run; 0, which no line spells out, for all slots."""
+def _find_run_limit(owner_state: OwnerState) -> int:
+    """Return how many attempts may run; 0, which log lines omit, if all slots may be used."""
     return 0 if owner_state.run_limit == owner_state.slots else owner_state.run_limit
 
 
 def _find_report_age(owner_state: OwnerState, now: Seconds) -> Milliseconds | None:
     reported_at = owner_state.pace.reported_at
-    return None if reported_at is None else _count_ms(now - reported_at)
+    return None if reported_at is None else _convert_to_ms(now - reported_at)
 
 
-def _round_age(age_ms: Milliseconds | None) -> Milliseconds | None:
-    return None if age_ms is None else round(age_ms, 1)
+def _round_ms(ms: Milliseconds | None) -> Milliseconds | None:
+    return None if ms is None else round(ms, 1)
 
 
-def _count_ms(seconds: Seconds) -> Milliseconds:
+def _convert_to_ms(seconds: Seconds) -> Milliseconds:
     return round(seconds * MILLISECONDS_PER_SECOND, 1)
--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -1,4 +1,4 @@
-"""Take in one request: its service, rule, deadline, key and body, each within its limits."""
+"""Admit one request: find its service and rule, and read deadline, key and body within limits."""
 
 import math
 
@@ -28,26 +28,27 @@
 
 SERVICE_WAIT: Seconds = 2.0
 SERVICE_POLL: Seconds = 0.01
-FIRST_PROOF_WAIT: Seconds = 2.0
-# The route of a request is looked for without waiting; its service may still be on its way.
+FIRST_CONFIRMATION_WAIT: Seconds = 2.0
+# The route of a request is looked up without waiting, but the configuration of its service may not
+# have arrived at this node yet.
 ROUTED_SERVICE_WAIT: Seconds = 0.25
 
 _BODY_TOO_LARGE = Refusal(413, outcomes.REFUSED, "body-too-large")
 _HEADERS_TOO_LARGE = Refusal(431, outcomes.REFUSED, "headers-too-large")
 _BODY_TOO_SLOW = Refusal(408, outcomes.REFUSED, "request-timeout")
-# Making a result costs about 7 microseconds, and most calls have neither key nor body.
+# Shared results: creating one takes about 7 microseconds, and most calls have neither key nor body.
 _NO_KEY: Result[str, Refusal] = Ok("")
 _EMPTY: Result[bytes, Refusal] = Ok(b"")
 _UNKNOWN_SERVICE = Refusal(404, outcomes.REFUSED, "unknown-service")
 _NO_ROUTE = Refusal(404, outcomes.REFUSED, "no-route")
-# CONNECT asks for a tunnel, which no upstream takes part in. An answer to TRACE repeats the request
-# with what was added to it on the way (RFC 9110, 9.3.6 and 9.3.8).
-_NOT_SERVED = frozenset({"CONNECT", "TRACE"})
+# CONNECT requests a tunnel, which no upstream supports. An answer to TRACE repeats the request with
+# everything that was added to it on the way (RFC 9110, 9.3.6 and 9.3.8).
+_UNSUPPORTED_METHODS = frozenset({"CONNECT", "TRACE"})
 _METHOD_NOT_SERVED = Refusal(501, outcomes.REFUSED, "method-not-served")
 
 
-class Target(msgspec.Struct, frozen=True):
-    """Name the service that takes a request, the rule that it comes under and whose it is."""
+class ResolvedRequest(msgspec.Struct, frozen=True):
+    """Hold the service that serves a request, the rule that applies to it, and its customer."""
 
     service: Service
     rule: Rule
@@ -55,7 +56,7 @@
 
 
 class CallIntake:
-    """Take in requests for one process."""
+    """Admit the requests that one process receives."""
 
     __slots__ = ("budget", "entry", "in_flight", "max_body_bytes", "max_in_flight")
 
@@ -68,34 +69,36 @@
         self.budget = budget
         self.in_flight = 0
 
-    async def take(self, exchange: CallerExchange, call_id: str) -> Result[CallRun, Refusal]:
-        """Read a request whole; the bytes of its body are the caller's to give back."""
+    async def admit_request(
+        self, exchange: CallerExchange, call_id: str
+    ) -> Result[CallRun, Refusal]:
+        """Read a request whole; the calling code returns the bytes of its body to the budget."""
         arrived_at = trio.current_time()
         if self.in_flight > self.max_in_flight:
             return Error(Refusal.not_run(NotRunReason.OVERLOADED))
-        if exchange.request.method in _NOT_SERVED:
+        if exchange.request.method in _UNSUPPORTED_METHODS:
             return Error(_METHOD_NOT_SERVED)
         if check_headers(exchange.request.headers).is_error():
             return Error(_HEADERS_TOO_LARGE)
-        found = await self._find_target(exchange.request)
+        found = await self._resolve_request(exchange.request)
         if found.is_error():
             return found
         target = found.ok
         service = target.service
         share = self.entry.share
-        self.entry.find_choice(service)
+        self.entry.find_or_create_service_state(service)
         if not acquire_call(share, service.name, service.limits.in_flight_per_entry):
             return Error(Refusal.not_run(NotRunReason.OVERLOADED))
         taken: Result[CallRun, Refusal] = Error(_BODY_TOO_SLOW)
         try:
-            taken = await self._take_admitted(exchange, call_id, target, arrived_at)
+            taken = await self._read_request(exchange, call_id, target, arrived_at)
         finally:
             if taken.is_error():
                 release_call(share, service.name)
         return taken
 
-    async def _take_admitted(
-        self, exchange: CallerExchange, call_id: str, target: Target, arrived_at: Seconds
+    async def _read_request(
+        self, exchange: CallerExchange, call_id: str, target: ResolvedRequest, arrived_at: Seconds
     ) -> Result[CallRun, Refusal]:
         request = exchange.request
         service, rule = target.service, target.rule
@@ -108,14 +111,15 @@
             return timeout_ms
         longest_ms = rule.longest_wait_ms or service.longest_wait_ms
         deadline_at = arrived_at + min(timeout_ms.ok, longest_ms) / MILLISECONDS_PER_SECOND
-        span = self._find_span(request, rule, arrived_at, timeout_ms.ok)
+        span = self._find_caller_time(request, rule, arrived_at, timeout_ms.ok)
         body: Result[bytes, Refusal] = Error(_BODY_TOO_SLOW)
         limit = self._find_body_limit(service)
         if request.may_have_body:
             with trio.move_on_at(deadline_at):
                 body = await self._read_body(exchange, limit)
         else:
-            # There is nothing to wait for, and a scope costs most calls more than the rest here.
+            # There is nothing to wait for, and for most calls a cancel scope would take longer than
+            # everything else here.
             body = await self._read_body(exchange, limit)
         return body.map(
             lambda whole: self._create_run(
@@ -123,17 +127,19 @@
             )
         )
 
-    def _find_span(
+    def _find_caller_time(
         self, request: CallerRequest, rule: Rule, arrived_at: Seconds, timeout_ms: Milliseconds
     ) -> CallerTime:
-        """Return since when the caller has been trying, and when its time ends."""
+        """Return when the caller first sent the request and when its time ends."""
         timeout_at = arrived_at + timeout_ms / MILLISECONDS_PER_SECOND
         if rule.target_latency_ms is None or not math.isfinite(timeout_at):
             return CallerTime(arrived_at, timeout_at)
         asked = RequestIdentity(rule.name, request.method, request.target)
-        # Callers that came back displaced new ones, whose answers could still be in time.
+        # The time counts from the first arrival: otherwise callers that retry displace new callers,
+        # whose answers could still be in time.
         return CallerTime(
-            pop_first_arrived_at(self.entry.returns, asked, arrived_at, timeout_at), timeout_at
+            pop_first_arrived_at(self.entry.refused_callers, asked, arrived_at, timeout_at),
+            timeout_at,
         )
 
     def _find_body_limit(self, service: Service) -> int:
@@ -146,7 +152,7 @@
         self,
         request: CallerRequest,
         call_id: str,
-        target: Target,
+        target: ResolvedRequest,
         arrived_at: Seconds,
         span: CallerTime,
         deadline_at: Seconds,
@@ -154,7 +160,7 @@
         body: bytes,
     ) -> CallRun:
         service, rule, customer = target.service, target.rule, target.customer
-        budget = self.entry.find_choice(service).budget
+        budget = self.entry.find_or_create_service_state(service).budget
         target_at = None
         if rule.target_latency_ms is not None:
             target_at = span.first_arrived_at + rule.target_latency_ms / MILLISECONDS_PER_SECOND
@@ -197,45 +203,49 @@
             return (*kept, names.VIA)
         return (*kept, (dialect.origin_service, self.entry.origin_service.encode()))
 
-    async def _find_target(self, request: CallerRequest) -> Result[Target, Refusal]:
-        find = self._find_routed if self.entry.routes.by_host else self._find_direct
+    async def _resolve_request(self, request: CallerRequest) -> Result[ResolvedRequest, Refusal]:
+        find = (
+            self._resolve_by_route if self.entry.routes.by_host else self._resolve_by_service_name
+        )
         found = await find(request)
         refuses_stale = found.is_ok() and found.ok.service.on_stale is StaleAction.REFUSE
         if refuses_stale and not self.entry.membership.is_fresh():
             return Error(Refusal.not_run(NotRunReason.STALE))
         return found
 
-    async def _find_direct(self, request: CallerRequest) -> Result[Target, Refusal]:
-        """Find the service that the request names."""
+    async def _resolve_by_service_name(
+        self, request: CallerRequest
+    ) -> Result[ResolvedRequest, Refusal]:
+        """Resolve a request by the service that it names."""
         if self.entry.dialect.service is None:
-            # Where callers cannot name a service, only routes lead to one.
+            # If callers cannot name a service, only routes lead to one.
             return Error(self._refuse_if_fresh(_UNKNOWN_SERVICE))
-        # Only the service's rules tell whether a key is needed, and a node that waited for its
-        # first configuration has heard of keys only now.
+        # Authentication comes after the wait for the service: only the rules of the service state
+        # whether a key is needed, and a node without a configuration learns the keys in this wait.
         service = await self._find_service(request.headers)
         rule = None if service is None else find_rule(service, request.method, request.path)
-        asked = self._authenticate(request, is_open=rule is not None and rule.is_open)
-        if asked.is_error():
-            return asked
+        authenticated = self._authenticate(request, is_open=rule is not None and rule.is_open)
+        if authenticated.is_error():
+            return authenticated
         if rule is None or service.routed_only:
             return Error(self._refuse_if_fresh(_UNKNOWN_SERVICE))
-        return Ok(Target(service, rule, asked.ok))
+        return Ok(ResolvedRequest(service, rule, authenticated.ok))
 
     def _refuse_if_fresh(self, refusal: Refusal) -> Refusal:
-        """Return a refusal that only a fresh node may give, otherwise not-run as stale."""
-        # A node without proof of freshness cannot tell what the newest configuration lacks.
+        """Return the refusal if the configuration is fresh, otherwise a refusal as stale."""
+        # A node without proof of freshness does not know what the newest configuration contains.
         is_fresh = self.entry.membership.is_fresh()
         return refusal if is_fresh else Refusal.not_run(NotRunReason.STALE)
 
-    async def _find_routed(self, request: CallerRequest) -> Result[Target, Refusal]:
-        """Find the service by the routes; one that is not known yet is waited for shortly."""
+    async def _resolve_by_route(self, request: CallerRequest) -> Result[ResolvedRequest, Refusal]:
+        """Resolve a request by the routes; wait briefly for a service that is not known yet."""
         table = self.entry.routes
         route = find_route(table, names.find_host(request.headers), request.path)
         if route is None:
             return Error(self._refuse_if_fresh(_NO_ROUTE))
-        asked = self._authenticate(request, is_open=route.is_open)
-        if asked.is_error():
-            return asked
+        authenticated = self._authenticate(request, is_open=route.is_open)
+        if authenticated.is_error():
+            return authenticated
         name = choose_part(table, route, self.entry.rng)
         membership = self.entry.membership
         service = membership.services.get(name)
@@ -247,19 +257,19 @@
             service = membership.services.get(name)
         if service is None:
             return Error(Refusal.not_run(NotRunReason.STALE))
-        return Ok(Target(service, route.rule, asked.ok))
+        return Ok(ResolvedRequest(service, route.rule, authenticated.ok))
 
     def _authenticate(
         self, request: CallerRequest, *, is_open: bool
     ) -> Result[Customer | None, Refusal]:
         entry = self.entry
-        asked = authenticate(
+        authenticated = authenticate(
             entry.membership.customers, request.headers, entry.dialect, is_open=is_open
         )
-        if asked.is_ok():
-            return asked
-        refusal = self._refuse_if_fresh(asked.error)
-        if refusal is asked.error:
+        if authenticated.is_ok():
+            return authenticated
+        refusal = self._refuse_if_fresh(authenticated.error)
+        if refusal is authenticated.error:
             entry.unknown_keys += 1
         return Error(refusal)
 
@@ -268,7 +278,7 @@
         membership = self.entry.membership
         if not name:
             return None
-        await self._wait_first_proof()
+        await self._wait_first_confirmation()
         service = membership.services.get(name)
         if service is not None:
             return service
@@ -280,12 +290,12 @@
                 await trio.sleep(SERVICE_POLL)
         return membership.services.get(name)
 
-    async def _wait_first_proof(self) -> None:
-        """Give a node that has just started the time to learn the configuration."""
+    async def _wait_first_confirmation(self) -> None:
+        """Wait until a node that has just started has received the configuration."""
         view = self.entry.membership.view
         if view.confirmed_at is not None:
             return
-        with trio.move_on_after(FIRST_PROOF_WAIT):
+        with trio.move_on_after(FIRST_CONFIRMATION_WAIT):
             while view.confirmed_at is None:
                 await trio.sleep(SERVICE_POLL)
 
@@ -304,7 +314,7 @@
         length = names.find_header(exchange.request.headers, names.CONTENT_LENGTH)
         if length is not None and int(length) > limit:
             return Error(_BODY_TOO_LARGE)
-        reading = _BodyReading(self.budget, limit)
+        reading = _BodyBuffer(self.budget, limit)
         is_kept = False
         try:
             while (part := await exchange.receive_part()) is not None:
@@ -318,8 +328,8 @@
                 self.budget.give_back(reading.size)
 
 
-class _BodyReading:
-    """Hold a body while it is read."""
+class _BodyBuffer:
+    """Hold the parts of a body that is being read."""
 
     __slots__ = ("budget", "limit", "parts", "size")
 
@@ -330,7 +340,7 @@
         self.size = 0
 
     def add(self, part: bytes) -> Refusal | None:
-        """Add a part, or say why the body is refused."""
+        """Add a part; return a refusal if the body exceeds its limit or the budget."""
         if self.size + len(part) > self.limit:
             return _BODY_TOO_LARGE
         if not self.budget.take(len(part)):
@@ -341,15 +351,15 @@
 
 
 def _scope_key(customer: str, key: str) -> str:
-    # Customers choose their keys without knowing of each other. No header's value holds a line's
-    # end, so that no caller can name a key of a customer's.
+    # Customers choose their keys independently, so equal keys of two customers must differ here. A
+    # header value contains no line break, so no caller can forge the key of another customer.
     return f"{customer}\n{key}" if customer else key
 
 
 def _read_timeout_ms(
     stated: bytes | None, service: Service, rule: Rule
 ) -> Result[Milliseconds, Refusal]:
-    """Return the time that the caller states, or the longest that its rule permits."""
+    """Return the timeout that the caller states, or else the longest that its rule permits."""
     if stated is None:
         return Ok(rule.longest_wait_ms or service.longest_wait_ms)
     try:
--- a/packages/bendwind-node/src/bendwind_node/calls/call_run.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_run.py
@@ -1,4 +1,4 @@
-"""Hold one call while its task, its attempts and its timers are under way."""
+"""Hold the state of one call while its task, its attempts and its timers are active."""
 
 import collections
 from collections.abc import Callable
@@ -22,11 +22,11 @@
 
 
 class CallRun(msgspec.Struct, eq=False):
-    """Hold one call; `apply` decides on an event and carries out what needs no waiting.
+    """Hold one call; `apply` applies an event and carries out the effects that need no waiting.
 
     `request_id` is the caller's own id of its request, `span` the time that the caller has, and
-    `is_inner` says that an owner took it for a call of an upstream. `quota_grant` is where the
-    token of its customer's quota comes from.
+    `is_inner` is true once an owner has classified the request as a call made by an upstream.
+    `quota_grant` states which voter granted the token of the customer's quota.
     """
 
     call: EntryCall
@@ -44,47 +44,49 @@
     fingerprint: bytes = b""
     heads: dict[AttemptId, AnswerHead] = msgspec.field(default_factory=dict)
     incoming: dict[tuple[AttemptId, int], BodyPart] = msgspec.field(default_factory=dict)
-    todo: collections.deque[EntryEffect] = msgspec.field(default_factory=collections.deque)
+    pending_effects: collections.deque[EntryEffect] = msgspec.field(
+        default_factory=collections.deque
+    )
     timers: dict[TimerKind, Seconds] = msgspec.field(default_factory=dict)
     events: collections.deque[EntryEvent] = msgspec.field(default_factory=collections.deque)
     outflows: dict[AttemptId, Outflow] = msgspec.field(default_factory=dict)
     kept_parts: list[bytes] = msgspec.field(default_factory=list)
     replay: ClaimAnswer | CutReason | None = None
     quota_grant: Grant | None = None
-    is_stepping: bool = False
+    is_applying: bool = False
     wake: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def feed(self, event: EntryEvent) -> None:
-        """Apply an event; one that comes while another is applied waits its turn."""
+        """Apply an event; queue it while another event is being applied."""
         self.events.append(event)
-        if self.is_stepping:
+        if self.is_applying:
             return
-        self.is_stepping = True
+        self.is_applying = True
         try:
             while self.events:
                 self.apply(self, self.events.popleft())
         finally:
-            self.is_stepping = False
+            self.is_applying = False
 
-    def leave_to_task(self, effect: EntryEffect) -> None:
-        """Queue an effect that the call's task carries out, and wake it."""
-        self.todo.append(effect)
+    def enqueue_effect(self, effect: EntryEffect) -> None:
+        """Queue an effect for the call's task and wake the task."""
+        self.pending_effects.append(effect)
         self.wake.set()
 
     def start_timer(self, timer: StartTimer) -> None:
-        """Set or move a timer."""
+        """Start a timer or change its time."""
         self.timers[timer.kind] = timer.at
         self.wake.set()
 
     async def wait(self, until: Seconds) -> None:
-        """Return when there is an effect to carry out or a timer to fire, or at a time."""
-        if self.todo:
+        """Return when there is an effect to carry out, a timer is due, or `until` is reached."""
+        if self.pending_effects:
             return
         self.wake = trio.Event()
         with trio.move_on_at(min((until, *self.timers.values()))):
             await self.wake.wait()
 
-    def take_due_timers(self, now: Seconds) -> list[TimerKind]:
+    def pop_due_timers(self, now: Seconds) -> list[TimerKind]:
         """Remove and return the timers that are due, earliest first."""
         due = sorted((at, kind.value) for kind, at in self.timers.items() if at <= now)
         kinds = [TimerKind(value) for _, value in due]
