--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/limit_oracle.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/limit_oracle.py
@@ -8,6 +8,9 @@
 BOUND_AFTER_S = 3.0
 NODE_BOUND_AFTER_S = 0.5
 WINDOW_S = 4.0
+# Times are sums of steps of 0.05 s. Their rounding errors must not put a request that is exactly
+# one window old into the window.
+ROUNDING_S = 1e-6
 OVERAGE = 1.5
 SLACK = 5
 
@@ -54,7 +57,7 @@
         first_at = self._find_first()
         if self.per_second is None or now < first_at + BOUND_AFTER_S:
             return True
-        begin = now - WINDOW_S
+        begin = now - WINDOW_S + ROUNDING_S
         most = max(limit for limit in self._list_since(begin) if limit is not None)
         count = sum(at > begin for at, _ in self.counted_requests)
         return count <= OVERAGE * most * WINDOW_S + SLACK
