--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_precedence.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_precedence.py
@@ -69,15 +69,15 @@
         route=st.sampled_from(["check", "check", "check", "call"]),
         run_rank=st.sampled_from([None, 0, 2]),
         may_wait=st.sampled_from([True, True, True, False]),
-        insist=st.booleans(),
+        accept_if_slow=st.booleans(),
     )
-    def hand_over(self, rank, customer, target_ms, route, run_rank, may_wait, insist):
+    def hand_over(self, rank, customer, target_ms, route, run_rank, may_wait, accept_if_slow):
         self.sequence += 1
         attempt = AttemptId("e", 1, self.sequence)
         parts = (attempt, 1, "s", "u", "GET", b"/", (), 5000.0, Repeat.IDEMPOTENT, 1)
         message = HandOver(
             *parts,
-            accept_if_slow=insist,
+            accept_if_slow=accept_if_slow,
             route=route,
             target_ms=target_ms,
             origin="shop" if route == "call" else f"place-{self.sequence % 3}",
