--- a/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_real_lines.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_real_lines.py
@@ -13,7 +13,7 @@
 from bendwind_core.timeline import LogLine
 from bendwind_core.timeline.clock import HybridClock
 from bendwind_core.world import Repeat, Rule, Service
-from bendwind_node.calls.tests.fakes import CallBench, announce, make_exchange
+from bendwind_node.calls.tests.fakes import CallTestCluster, announce, make_exchange
 from bendwind_node.calls.tests.scripted_server import OK, read_request, run_server
 
 # The upstream takes two at a time, so that half of the calls wait.
@@ -53,7 +53,7 @@
     service = Service("svc", ("*",), rules=(rule,), longest_wait_ms=90_000.0)
     with trio.fail_after(20):
         async with run_server(work) as port, trio.open_nursery() as nursery:
-            bench = CallBench(nursery, service)
+            bench = CallTestCluster(nursery, service)
             bench.owner.recorder.clock = HybridClock(wall_ms)
             announce(bench.owner, port)
             async with trio.open_nursery() as callers:
--- a/packages/bendwind-node/src/bendwind_node/calls/announce_asgi.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/announce_asgi.py
@@ -58,7 +58,7 @@
         if method == "POST" and path == _PREFIX:
             return self._announce(await _read_body(receive))
         if method == "DELETE" and path.startswith(_PREFIX + "/"):
-            has_left = self.register.left(path.removeprefix(_PREFIX + "/"))
+            has_left = self.register.handle_departure(path.removeprefix(_PREFIX + "/"))
             return (204, None) if has_left else (404, ErrorReply("unknown upstream"))
         return 404, ErrorReply("no such route")
 
@@ -66,12 +66,12 @@
         if body is None:
             return 413, ErrorReply(f"at most {MAX_BODY_BYTES} bytes")
         try:
-            news = _DECODER.decode(body)
+            announcement = _DECODER.decode(body)
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
             return 400, ErrorReply(str(error))
-        if news.state is UpstreamState.GONE:
+        if announcement.state is UpstreamState.GONE:
             return 400, ErrorReply("leave by DELETE")
-        if not self.register.announced(news):
+        if not self.register.handle_announcement(announcement):
             return 429, ErrorReply("this node holds no more upstreams")
         return 200, LeaseReply(self.lease_ms)
 
--- a/packages/bendwind-node/src/bendwind_node/calls/assembly.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/assembly.py
@@ -63,7 +63,7 @@
         """Forget a hand-over and free its bytes."""
         assembly = self.open.pop(attempt, None)
         if assembly is not None:
-            assembly.inflow.free()
+            assembly.inflow.release()
 
     def drop_all_of(self, entry: str) -> None:
         """Forget every hand-over of an entry node whose link broke."""
--- a/packages/bendwind-node/src/bendwind_node/calls/body_flow.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/body_flow.py
@@ -13,14 +13,14 @@
     limit: int
     used: int = 0
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserve bytes; False, and none reserved, where they do not fit."""
         if self.used + size > self.limit:
             return False
         self.used += size
         return True
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Free reserved bytes."""
         self.used -= size
 
@@ -38,7 +38,7 @@
         self.credit += credit
         self._wake()
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Stop holding back: the link to the receiver is gone."""
         self.is_lost = True
         self._wake()
@@ -47,7 +47,7 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    async def take(self, size: int) -> int:
+    async def consume_credit(self, size: int) -> int:
         """Wait for credit, spend it and return the index of the part it pays for."""
         while self.credit <= 0 and not self.is_lost:
             await self.changed.wait()
@@ -69,16 +69,16 @@
     def append(self, index: int, data: bytes) -> bool:
         """Add the next part; False if it is another, too long, or over the process's budget."""
         is_next = index == self.next_index and self.size + len(data) <= self.limit
-        if not is_next or not self.budget.take(len(data)):
+        if not is_next or not self.budget.reserve(len(data)):
             return False
         self.parts.append(data)
         self.size += len(data)
         self.next_index += 1
         return True
 
-    def free(self) -> None:
+    def release(self) -> None:
         """Give the body's bytes back to the budget."""
-        self.budget.give_back(self.size)
+        self.budget.release(self.size)
         self.size = 0
 
     def join(self) -> bytes:
@@ -86,12 +86,12 @@
         return b"".join(self.parts)
 
 
-def cut_body(body: bytes) -> tuple[bytes, ...]:
+def split_into_parts(body: bytes) -> tuple[bytes, ...]:
     """Cut a body into parts."""
     return tuple(body[start : start + PART_BYTES] for start in range(0, len(body), PART_BYTES))
 
 
-def split_body(body: bytes) -> tuple[bytes, tuple[bytes, ...]]:
+def split_first_part(body: bytes) -> tuple[bytes, tuple[bytes, ...]]:
     """Split a body into the part that goes with its head and those that follow.
 
     >>> split_body(b"ab")
@@ -99,5 +99,5 @@
     """
     if len(body) <= PART_BYTES:
         return body, ()
-    parts = cut_body(body)
+    parts = split_into_parts(body)
     return parts[0], parts[1:]
--- a/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
@@ -106,7 +106,7 @@
                 self._remember_refused()
                 if run.is_inner and reason is not NotRunReason.QUARANTINED:
                     # A poison request says nothing of the room at the service that it calls.
-                    self.entry.owner.note_call_refused()
+                    self.entry.owner.record_inner_call_refused()
                 await self._send_outcome(status, outcomes.NOT_RUN, reason, retry_after_ms)
             case ev.FinishUnknown(reason=reason, retry_after_ms=retry_after_ms):
                 if isinstance(run.replay, str):
--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -313,7 +313,7 @@
             return Ok(b"".join(reading.parts)) if reading.size else _EMPTY
         finally:
             if not is_kept:
-                self.budget.give_back(reading.size)
+                self.budget.release(reading.size)
 
 
 class _BodyReading:
@@ -331,7 +331,7 @@
         """Add a part, or say why the body is refused."""
         if self.size + len(part) > self.limit:
             return _BODY_TOO_LARGE
-        if not self.budget.take(len(part)):
+        if not self.budget.reserve(len(part)):
             return Refusal.not_run(NotRunReason.OVERLOADED)
         self.parts.append(part)
         self.size += len(part)
--- a/packages/bendwind-node/src/bendwind_node/calls/call_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_task.py
@@ -44,7 +44,7 @@
             return
         finally:
             self.intake.in_flight -= 1
-            self.intake.budget.give_back(body_bytes)
+            self.intake.budget.release(body_bytes)
 
     def _make_call_id(self) -> str:
         own = self.entry.own
--- a/packages/bendwind-node/src/bendwind_node/calls/dialect.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/dialect.py
@@ -8,8 +8,8 @@
 # RFC 9110, section 15.5.20: the request was directed at a server that is not the one meant.
 MISDIRECTED = 421
 # Running, waiting, slots, and how long work takes in percent of the usual time.
-_SLOTS_FIGURE = 2
-_PACE_FIGURE = 3
+_SLOTS_FIELD = 2
+_SLOW_FACTOR_FIELD = 3
 _PERCENT = 100
 
 
@@ -106,7 +106,7 @@
     >>> read_slow_factor(b"3,0,8,400")
     4.0
     """
-    percentage = _read_load_figure(load, _PACE_FIGURE)
+    percentage = _read_load_field(load, _SLOW_FACTOR_FIELD)
     return None if percentage is None else percentage / _PERCENT
 
 
@@ -126,11 +126,11 @@
     >>> read_slots(b"3,0,8")
     8
     """
-    return _read_load_figure(load, _SLOTS_FIGURE)
+    return _read_load_field(load, _SLOTS_FIELD)
 
 
-def _read_load_figure(load: bytes | None, position: int) -> int | None:
-    figures = (load or b"").split(b",")
-    if len(figures) <= position or not figures[position].strip().isdigit():
+def _read_load_field(load: bytes | None, position: int) -> int | None:
+    fields = (load or b"").split(b",")
+    if len(fields) <= position or not fields[position].strip().isdigit():
         return None
-    return int(figures[position])
+    return int(fields[position])
--- a/packages/bendwind-node/src/bendwind_node/calls/dispatch.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/dispatch.py
@@ -44,7 +44,7 @@
 Send = Callable[[PeerMessage], bool]
 Feed = Callable[[OwnerEvent], None]
 ReadLoad = Callable[[], LoadSample]
-HearNotice = Callable[[UpstreamNotice, Seconds], None]
+HandleNotice = Callable[[UpstreamNotice, Seconds], None]
 
 _CANCEL_TIMEOUT_S = 0.5
 
@@ -57,7 +57,7 @@
         *hand_over.headers,
         *(((names.CONTENT_LENGTH, length),) if has_length else ()),
         (dialect.timeout_ms, str(max(1, int(hand_over.remaining_ms))).encode()),
-        *_name_attempt(hand_over, dialect),
+        *_make_attempt_headers(hand_over, dialect),
     )
     return UpstreamRequest(
         hand_over.method.encode(),
@@ -68,7 +68,7 @@
     )
 
 
-def _name_attempt(hand_over: HandOver, dialect: Dialect) -> tuple[Header, ...]:
+def _make_attempt_headers(hand_over: HandOver, dialect: Dialect) -> tuple[Header, ...]:
     named = (
         (dialect.attempt, format_attempt(hand_over.attempt)),
         (dialect.upstream, hand_over.upstream),
@@ -93,7 +93,7 @@
             await answer.aclose()
 
 
-def _is_short(answer: UpstreamAnswer) -> bool:
+def _fits_one_part(answer: UpstreamAnswer) -> bool:
     length = names.find_header(answer.headers, names.CONTENT_LENGTH)
     return length is not None and int(length) <= PART_BYTES
 
@@ -112,7 +112,7 @@
     feed: Feed
     read_load: ReadLoad
     dialect: Dialect = BENDWIND_DIALECT
-    hear_notice: HearNotice = lambda notice, sent_at: None
+    handle_notice: HandleNotice = lambda notice, sent_at: None
     started_at: Seconds = 0.0
     sent_at: Seconds = 0.0
     upstream_ms: Milliseconds = 0.0
@@ -141,7 +141,7 @@
     async def _exchange(self) -> DispatchEnd:
         self.started_at = trio.current_time()
         request = create_upstream_request(self.hand_over, self.dialect)
-        match await self.pool.start(request, self._note_sent):
+        match await self.pool.start(request, self._record_sent):
             case Result(tag="error", error=RequestNotSent(reason, is_timed_out)):
                 return DispatchNotRun(self.attempt, reason, is_timed_out)
             case Result(tag="error", error=AnswerCut(reason=cut)):
@@ -153,42 +153,42 @@
                     await answer.aclose()
         raise AssertionError("a result is ok or an error")
 
-    def _note_sent(self) -> None:
+    def _record_sent(self) -> None:
         self.sent_at = trio.current_time()
         self.feed(DispatchSent(self.attempt))
 
     async def _relay(self, answer: UpstreamAnswer) -> DispatchEnd:
         elapsed = trio.current_time() - self.started_at
         self.upstream_ms = elapsed * MILLISECONDS_PER_SECOND
-        self._note_load(answer)
-        if self._names_another(answer):
+        self._record_load(answer)
+        if self._names_other_request(answer):
             return DispatchUnknown(self.attempt, CutReason.FOREIGN_ANSWER)
         if answer.status != MISDIRECTED:
-            self.hear_notice(read_notice(answer.headers, self.dialect), self.sent_at)
+            self.handle_notice(read_notice(answer.headers, self.dialect), self.sent_at)
         not_run = find_not_run_proof(self.dialect, answer.status, answer.headers)
         if not_run is not None:
             return await self._discard_refusal(answer, not_run)
-        if self._is_of_another(answer):
+        if self._answers_other_request(answer):
             return DispatchUnknown(self.attempt, CutReason.FOREIGN_ANSWER)
         self.feed(DispatchHead(self.attempt, answer.status, self.upstream_ms))
-        if _is_short(answer):
+        if _fits_one_part(answer):
             return await self._send_whole(answer)
         return await self._send_parts(answer)
 
-    def _note_load(self, answer: UpstreamAnswer) -> None:
+    def _record_load(self, answer: UpstreamAnswer) -> None:
         if self.dialect.load is None:
             return
         slow_factor = read_slow_factor(names.find_header(answer.headers, self.dialect.load))
         if slow_factor is not None:
             self.feed(LoadReported(slow_factor))
 
-    def _names_another(self, answer: UpstreamAnswer) -> bool:
+    def _names_other_request(self, answer: UpstreamAnswer) -> bool:
         """Tell whether an answer names another request; a refusal may name none."""
         name = self.dialect.request_id
         named = None if name is None else names.find_header(answer.headers, name)
-        return named is not None and self._is_of_another(answer)
+        return named is not None and self._answers_other_request(answer)
 
-    def _is_of_another(self, answer: UpstreamAnswer) -> bool:
+    def _answers_other_request(self, answer: UpstreamAnswer) -> bool:
         name = self.dialect.request_id
         if name is None:
             return False
@@ -238,7 +238,7 @@
                     break
                 case Result(tag="ok", ok=data):
                     await self._send_split(data)
-        index = await self.outflow.take(0)
+        index = await self.outflow.consume_credit(0)
         self.feed(DispatchDone(self.attempt))
         self.send(BodyPart(self.attempt, index, b"", False))
         return DispatchDone(self.attempt)
@@ -246,5 +246,5 @@
     async def _send_split(self, data: bytes) -> None:
         for start in range(0, len(data), PART_BYTES):
             part = data[start : start + PART_BYTES]
-            index = await self.outflow.take(len(part))
+            index = await self.outflow.consume_credit(len(part))
             self.send(BodyPart(self.attempt, index, part, True))
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -42,7 +42,7 @@
 from bendwind_core.suspicion import SuspectReport, compute_signature, find_report, merge_report
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_core.world import Instance, Service, Upstream, combine_ranks
-from bendwind_node.calls.body_flow import Outflow, cut_body, split_body
+from bendwind_node.calls.body_flow import Outflow, split_first_part, split_into_parts
 from bendwind_node.calls.call_run import CallRun
 from bendwind_node.calls.dialect import BENDWIND_DIALECT, Dialect
 from bendwind_node.calls.dispatch import format_attempt
@@ -311,7 +311,7 @@
         upstream = effect.upstream
         owner = upstream.owner
         is_asked = self._asks_first(run, effect)
-        first, rest = (b"", cut_body(run.body)) if is_asked else split_body(run.body)
+        first, rest = (b"", split_into_parts(run.body)) if is_asked else split_first_part(run.body)
         hand_over = HandOver(
             effect.attempt,
             owner.incarnation,
@@ -384,7 +384,7 @@
     ) -> None:
         outflow = run.outflows[attempt]
         for number, part in enumerate(parts, start=1):
-            index = await outflow.take(len(part))
+            index = await outflow.consume_credit(len(part))
             if attempt.sequence not in self.runs:
                 return
             self.send(owner, BodyPart(attempt, index, part, number < len(parts)))
@@ -403,7 +403,7 @@
             record_attempt_cancelled(table, attempt.upstream.name, attempt.id, now)
             outflow = run.outflows.get(attempt.id)
             if outflow is not None:
-                outflow.lose()
+                outflow.mark_lost()
 
 
 def _describe_claim(
--- a/packages/bendwind-node/src/bendwind_node/calls/health_check.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/health_check.py
@@ -27,16 +27,16 @@
     """
 
     name: str
-    is_well: bool
+    is_healthy: bool
     slots: int | None = None
     slow_factor: float | None = None
     warm_up_left_ms: Milliseconds | None = None
     notice: UpstreamNotice = UpstreamNotice()
 
 
-async def ask_health(pool: UpstreamPool, path: str, dialect: Dialect) -> HealthAnswer | None:
+async def query_health(pool: UpstreamPool, path: str, dialect: Dialect) -> HealthAnswer | None:
     """Return what the upstream says of itself, None without an answer."""
-    answer = await _ask(pool, path) if path else None
+    answer = await _send_query(pool, path) if path else None
     if answer is None:
         return None
     name = None
@@ -59,7 +59,7 @@
     return read_warm_up_ms(names.find_header(answer.headers, dialect.warm_up))
 
 
-async def _ask(pool: UpstreamPool, path: str) -> UpstreamAnswer | None:
+async def _send_query(pool: UpstreamPool, path: str) -> UpstreamAnswer | None:
     host = ((names.HOST, f"{pool.host}:{pool.port}".encode()),)
     match await pool.start(UpstreamRequest(b"GET", path.encode(), host, b"")):
         case Result(tag="ok", ok=answer):
--- a/packages/bendwind-node/src/bendwind_node/calls/owned_upstream.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owned_upstream.py
@@ -25,17 +25,17 @@
     pool: UpstreamPool
     lease_until: Seconds
     scopes: dict[AttemptId, trio.CancelScope] = msgspec.field(default_factory=dict)
-    is_marked: bool = False
+    is_drain_marked: bool = False
     last_sequence: int = 0
     has_left: bool = False
     is_verified: bool = True
     is_unreachable: bool = False
-    said: UpstreamState = UpstreamState.GONE
+    announced_state: UpstreamState = UpstreamState.GONE
     born_ms: int = 0
-    is_being_asked: bool = False
+    is_being_queried: bool = False
 
 
-class UpstreamPlace(msgspec.Struct, frozen=True):
+class UpstreamAddress(msgspec.Struct, frozen=True):
     """Say where the upstream beside this process is, whichever that is at present."""
 
     service: str
@@ -65,20 +65,20 @@
     born_ms: int = 0
 
 
-def is_earlier_run(owned: OwnedUpstream, news: Announcement) -> bool:
+def is_earlier_run(owned: OwnedUpstream, announcement: Announcement) -> bool:
     """Tell whether an announcement is that of a run before the one that is registered."""
-    return 0 < news.born_ms < owned.born_ms
+    return 0 < announcement.born_ms < owned.born_ms
 
 
-def is_later_run(owned: OwnedUpstream, news: Announcement) -> bool:
+def is_later_run(owned: OwnedUpstream, announcement: Announcement) -> bool:
     """Tell whether an announcement is that of a run after the one that is registered."""
-    return 0 < owned.born_ms < news.born_ms
+    return 0 < owned.born_ms < announcement.born_ms
 
 
-def claims_other_service(owned: OwnedUpstream, news: Announcement) -> bool:
+def names_other_service(owned: OwnedUpstream, announcement: Announcement) -> bool:
     """Tell whether an announcement names another service than the one that is served there.
 
     An upstream keeps its service for life, so that such an announcement is not its own.
     """
-    is_there = owned.said is not UpstreamState.GONE
-    return is_there and news.service != owned.upstream.service
+    is_registered = owned.announced_state is not UpstreamState.GONE
+    return is_registered and announcement.service != owned.upstream.service
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -43,18 +43,18 @@
 from bendwind_node.calls.dialect import BENDWIND_DIALECT, Dialect
 from bendwind_node.calls.dispatch import DispatchEnd, UpstreamDispatch, format_attempt
 from bendwind_node.calls.failure import describe_failure
-from bendwind_node.calls.health_check import ask_health
+from bendwind_node.calls.health_check import query_health
 from bendwind_node.calls.notice_log import NoticeLog
 from bendwind_node.calls.owned_upstream import OwnedUpstream
-from bendwind_node.calls.pause_watch import PauseWatch
+from bendwind_node.calls.pause_detector import PauseDetector
 from bendwind_node.calls.reply_path import ReplyLink, ReplyPath
-from bendwind_node.calls.suspect_teller import SuspectTeller, TellSuspects
+from bendwind_node.calls.suspect_reporter import SendSuspects, SuspectReporter
 from bendwind_node.calls.upstream_notice import UpstreamNotice
-from bendwind_node.calls.upstream_register import VERIFY_TIMEOUT, UpstreamRegister
+from bendwind_node.calls.upstream_register import HEALTH_QUERY_TIMEOUT, UpstreamRegister
 
-REPORT_BYTES = 80
+LOAD_REPORT_BYTES = 80
 # Leases of announcements are looked at this often; queued attempts expire on time.
-LEASE_CHECK: Seconds = 0.5
+LEASE_CHECK_INTERVAL: Seconds = 0.5
 
 
 class OwnerNode(msgspec.Struct, eq=False):
@@ -67,21 +67,21 @@
     assemblies: AssemblyTable
     probe_budget: ProbeBudget
     dialect: Dialect = BENDWIND_DIALECT
-    tell_suspects: TellSuspects = lambda told: False
+    send_suspects: SendSuspects = lambda reports: False
     replies: ReplyPath = msgspec.field(default_factory=ReplyPath)
     outflows: dict[AttemptId, Outflow] = msgspec.field(default_factory=dict)
     probes_answered: int = 0
-    loads_asked: int = 0
-    clock_moved: trio.Event = msgspec.field(default_factory=trio.Event)
-    wakes_at: Seconds = math.inf
-    pauses: PauseWatch = msgspec.field(default_factory=PauseWatch)
-    teller: SuspectTeller | None = None
+    load_queries_sent: int = 0
+    due_time_changed: trio.Event = msgspec.field(default_factory=trio.Event)
+    next_wake_at: Seconds = math.inf
+    pause_detector: PauseDetector = msgspec.field(default_factory=PauseDetector)
+    suspect_reporter: SuspectReporter | None = None
     notices: NoticeLog | None = None
 
     def __post_init__(self):
         self.register.feed = self._feed
         self.notices = NoticeLog(self.recorder)
-        self.teller = SuspectTeller(self.register.suspects, self.tell_suspects)
+        self.suspect_reporter = SuspectReporter(self.register.suspects, self.send_suspects)
         self.register.list_links = self.replies.links.values
 
     def link_opened(self, link: ReplyLink) -> None:
@@ -97,14 +97,14 @@
         self.assemblies.drop_all_of(link.peer.name)
         for attempt, outflow in self.outflows.items():
             if attempt.entry == link.peer.name:
-                outflow.lose()
+                outflow.mark_lost()
         self._feed_all(ev.LinkLost(link.peer.name, link.peer.incarnation, link.epoch))
 
     def receive(self, link: ReplyLink, message: PeerMessage) -> None:
         """Hear a message of an entry node."""
         match message:
             case HandOver(more=False):
-                self._hand_over(message, link.epoch)
+                self._handle_hand_over(message, link.epoch)
             case HandOver():
                 self._start_assembly(link, message)
             case BodyPart():
@@ -114,16 +114,18 @@
                 if outflow is not None:
                     outflow.add_credit(credit)
             case Cancel(attempt=attempt, upstream=name):
-                self._cancel(name, attempt, link.epoch)
+                self._handle_cancel(name, attempt, link.epoch)
             case LoadProbe(upstream=name):
                 self._answer_probe(link, name)
             case Fence():
-                self._fence(message, link.epoch)
+                self._handle_fence(message, link.epoch)
 
-    def _hand_over(self, hand_over: HandOver, epoch: int) -> None:
-        self._take(self.pauses.allow(hand_over, trio.current_time()), epoch)
+    def _handle_hand_over(self, hand_over: HandOver, epoch: int) -> None:
+        self._submit_hand_over(
+            self.pause_detector.deduct_pause(hand_over, trio.current_time()), epoch
+        )
 
-    def _take(self, hand_over: HandOver, epoch: int) -> None:
+    def _submit_hand_over(self, hand_over: HandOver, epoch: int) -> None:
         owned = self.register.owned.get(hand_over.upstream)
         if owned is None:
             self._refuse(hand_over.attempt, epoch, NotRunReason.WRONG_OWNER)
@@ -133,14 +135,14 @@
     def _refuse(self, attempt: AttemptId, epoch: int, reason: NotRunReason) -> None:
         self.replies.send(attempt, epoch, NotRun(attempt, reason))
 
-    def _start_assembly(self, link: ReplyLink, came: HandOver) -> None:
+    def _start_assembly(self, link: ReplyLink, received: HandOver) -> None:
         now = trio.current_time()
-        hand_over = self.pauses.allow(came, now)
+        hand_over = self.pause_detector.deduct_pause(received, now)
         owned = self.register.owned.get(hand_over.upstream)
         if owned is None:
             self._refuse(hand_over.attempt, link.epoch, NotRunReason.WRONG_OWNER)
             return
-        if self._is_refused_early(owned, hand_over, link.epoch):
+        if self._refuse_early(owned, hand_over, link.epoch):
             return
         started = self.assemblies.start(hand_over, link.epoch, now)
         if started.is_error():
@@ -148,7 +150,7 @@
         elif not hand_over.body:
             link.send(BodyCredit(hand_over.attempt, WINDOW_BYTES))
 
-    def _is_refused_early(self, owned: OwnedUpstream, hand_over: HandOver, epoch: int) -> bool:
+    def _refuse_early(self, owned: OwnedUpstream, hand_over: HandOver, epoch: int) -> bool:
         """Refuse what would be refused once its body is there; the body need not come."""
         reason = owner.find_early_refusal(owned.owner_state, hand_over, trio.current_time())
         if reason is None:
@@ -164,17 +166,17 @@
                 link.send(BodyCredit(part.attempt, len(part.data)))
             case Result(tag="ok", ok=hand_over):
                 # The time deducted since the first part includes any pause.
-                self._take(hand_over, link.epoch)
+                self._submit_hand_over(hand_over, link.epoch)
             case Result(tag="error", error=reason):
                 self._refuse(part.attempt, link.epoch, reason)
 
-    def _cancel(self, name: str, attempt: AttemptId, epoch: int) -> None:
+    def _handle_cancel(self, name: str, attempt: AttemptId, epoch: int) -> None:
         self.assemblies.drop(attempt)
         owned = self.register.owned.get(name)
         if owned is not None:
             self._feed(owned, ev.CancelArrived(attempt, epoch))
 
-    def _fence(self, fence: Fence, epoch: int) -> None:
+    def _handle_fence(self, fence: Fence, epoch: int) -> None:
         # A body that is still coming belongs to an attempt that has not started.
         self.assemblies.drop(fence.attempt)
         owned = self.register.owned.get(fence.upstream)
@@ -184,7 +186,7 @@
         # An owner's state lives as long as the process: without one, this run never held the
         # upstream, and the hand-over, if it still came, would be refused as one to the wrong owner.
         is_own_run = fence.owner_incarnation == self.own.incarnation
-        has_all = is_own_run and not self.register.has_dropped
+        has_all = is_own_run and not self.register.has_evicted
         verdict = FenceVerdict.NEVER_STARTED if has_all else FenceVerdict.FORGOTTEN
         self.replies.send(fence.attempt, epoch, Fenced(fence.attempt, verdict))
 
@@ -206,7 +208,7 @@
     def _answer_probe(self, link: ReplyLink, name: str) -> None:
         owned = self.register.owned.get(name)
         now = trio.current_time()
-        if owned is not None and spend_probe(self.probe_budget, 1, REPORT_BYTES, now):
+        if owned is not None and spend_probe(self.probe_budget, 1, LOAD_REPORT_BYTES, now):
             self.probes_answered += 1
             link.send(LoadReport(name, owned.upstream.service, self.read_load(name)))
 
@@ -221,20 +223,20 @@
     async def run_clock(self) -> None:
         """Let queued attempts and announcements expire."""
         while True:
-            self.clock_moved = trio.Event()
-            self.wakes_at = self._find_next_due()
-            with trio.move_on_at(self.wakes_at):
-                await self.clock_moved.wait()
+            self.due_time_changed = trio.Event()
+            self.next_wake_at = self._find_next_due()
+            with trio.move_on_at(self.next_wake_at):
+                await self.due_time_changed.wait()
             self._expire(trio.current_time())
 
     def _find_next_due(self) -> Seconds:
         now = trio.current_time()
         dues = [owner.next_due(owned.owner_state, now) for owned in self.register.owned.values()]
         soonest = min((due for due in dues if due is not None), default=math.inf)
-        return min(soonest, now + LEASE_CHECK)
+        return min(soonest, now + LEASE_CHECK_INTERVAL)
 
     def _expire(self, now: Seconds) -> None:
-        self.pauses.tick(now)
+        self.pause_detector.tick(now)
         for owned in tuple(self.register.owned.values()):
             due = owner.next_due(owned.owner_state, now)
             if due is not None and due <= now:
@@ -242,7 +244,7 @@
         self.register.end_expired(now)
         if self.register.suspects.suspects:
             services = frozenset(owned.upstream.service for owned in self.register.owned.values())
-            self.teller.repeat(services, now)
+            self.suspect_reporter.resend_restricted(services, now)
 
     def _feed_all(self, event: ev.OwnerEvent) -> None:
         for owned in tuple(self.register.owned.values()):
@@ -252,10 +254,10 @@
         for effect in owner.step(owned.owner_state, event, trio.current_time()):
             self._carry_out(owned, effect)
         if self.register.suspects.unreported:
-            self.teller.tell_news(trio.current_time())
+            self.suspect_reporter.report_new(trio.current_time())
         due = owner.next_due(owned.owner_state, trio.current_time())
-        if due is not None and due < self.wakes_at:
-            self.clock_moved.set()
+        if due is not None and due < self.next_wake_at:
+            self.due_time_changed.set()
 
     def _carry_out(self, owned: OwnedUpstream, effect: ev.OwnerEffect) -> None:
         match effect:
@@ -264,7 +266,7 @@
                 owned.scopes[hand_over.attempt] = scope
                 self.nursery.start_soon(self._dispatch, owned, hand_over, scope)
             case ev.QueryLoad():
-                self.nursery.start_soon(self._ask_load, owned)
+                self.nursery.start_soon(self._query_load, owned)
             case ev.CheckUpstream():
                 self.nursery.start_soon(self._check_upstream, owned)
             case ev.CancelDispatch(attempt=attempt):
@@ -279,25 +281,25 @@
                 self.replies.send(attempt, epoch, Unknown(attempt, reason, load))
             case ev.ReplyFenced(attempt=attempt, epoch=epoch, verdict=verdict):
                 self.replies.send(attempt, epoch, Fenced(attempt, verdict))
-            case ev.UpstreamEnded(unanswered=under):
-                self._record_end(owned, under)
+            case ev.UpstreamEnded(unanswered=unanswered):
+                self._record_end(owned, unanswered)
             case ev.UpstreamUnreachable():
-                self.register.hold_down(owned)
+                self.register.mark_unreachable(owned)
             case ev.RateLimitChanged(change=change, per_second=per_second):
                 detail = change if per_second is None else f"{change}: {per_second:g} a second"
                 self._log_notice(owned, EventKind.UPSTREAM_LIMIT, detail)
             case ev.Drained():
                 self.recorder.record(EventKind.UPSTREAM_DRAINED, upstream=owned.upstream.name)
 
-    def _record_end(self, owned: OwnedUpstream, under: tuple[UnansweredAttempt, ...]) -> None:
+    def _record_end(self, owned: OwnedUpstream, unanswered: tuple[UnansweredAttempt, ...]) -> None:
         self.recorder.record(
             EventKind.UPSTREAM_ENDED,
             upstream=owned.upstream.name,
-            detail=f"{len(under)} unanswered",
-            facts=make_end_facts(under, self.dialect),
+            detail=f"{len(unanswered)} unanswered",
+            facts=make_end_facts(unanswered, self.dialect),
         )
         suspects = self.register.suspects
-        for signature in {ended.signature for ended in under}:
+        for signature in {ended.signature for ended in unanswered}:
             suspect = suspects.suspects.get(signature)
             if suspect is not None and is_quarantined(suspects, suspect):
                 detail = f"{signature.hex()}: {suspect.count} upstreams ended"
@@ -309,7 +311,7 @@
         hand_over = reply.hand_over
         return hand_over is not None and is_inner_call(owned.owner_state.origins, hand_over.route)
 
-    def note_call_refused(self) -> None:
+    def record_inner_call_refused(self) -> None:
         """Hear that a call was refused which an upstream beside this process made."""
         self._feed_all(ev.UpstreamCallRefused())
 
@@ -330,21 +332,21 @@
             ),
         )
 
-    async def _ask_load(self, owned: OwnedUpstream) -> None:
+    async def _query_load(self, owned: OwnedUpstream) -> None:
         """Ask an upstream for its load, within the budget of what measuring may cost."""
         path = self.register.find_health_path(owned.upstream.service)
         if not path or self.dialect.load is None:
             self._feed(owned, ev.LoadNotReported(has_load_endpoint=False))
             return
         answer = None
-        asked_at = trio.current_time()
-        if spend_probe(self.probe_budget, 1, REPORT_BYTES, asked_at):
-            self.loads_asked += 1
-            with trio.move_on_after(VERIFY_TIMEOUT):
-                answer = await ask_health(owned.pool, path, self.dialect)
+        queried_at = trio.current_time()
+        if spend_probe(self.probe_budget, 1, LOAD_REPORT_BYTES, queried_at):
+            self.load_queries_sent += 1
+            with trio.move_on_after(HEALTH_QUERY_TIMEOUT):
+                answer = await query_health(owned.pool, path, self.dialect)
         if answer is None or answer.slow_factor is None:
             self._feed(owned, ev.LoadNotReported())
-        self.register.note_answer(owned, answer, asked_at)
+        self.register.record_health_answer(owned, answer, queried_at)
 
     async def _check_upstream(self, owned: OwnedUpstream) -> None:
         is_refused = await owned.pool.refuses_connections()
@@ -362,16 +364,16 @@
         outflow = Outflow()
         self.outflows[attempt] = outflow
         # Its time in the queue is deducted for its upstream too.
-        left_ms = (scope.deadline - started_at) * MILLISECONDS_PER_SECOND
+        remaining_ms = (scope.deadline - started_at) * MILLISECONDS_PER_SECOND
         dispatch = UpstreamDispatch(
             owned.pool,
-            replace(hand_over, remaining_ms=left_ms),
+            replace(hand_over, remaining_ms=remaining_ms),
             outflow,
             send=lambda message: self.replies.send(attempt, epoch, message),
             feed=lambda event: self._feed(owned, event),
             read_load=lambda: self.read_load(owned.upstream.name),
             dialect=self.dialect,
-            hear_notice=lambda notice, sent_at: self.hear_notice(owned, notice, sent_at),
+            handle_notice=lambda notice, sent_at: self.handle_notice(owned, notice, sent_at),
         )
         try:
             end = await dispatch.run(scope)
@@ -382,10 +384,10 @@
         finally:
             del owned.scopes[attempt]
             del self.outflows[attempt]
-        took_ms = round((trio.current_time() - started_at) * MILLISECONDS_PER_SECOND, 1)
-        self._finish_dispatch(owned, hand_over, end, replace(facts, ms=took_ms))
+        duration_ms = round((trio.current_time() - started_at) * MILLISECONDS_PER_SECOND, 1)
+        self._finish_dispatch(owned, hand_over, end, replace(facts, ms=duration_ms))
 
-    def hear_notice(self, owned: OwnedUpstream, notice: UpstreamNotice, sent_at: Seconds) -> None:
+    def handle_notice(self, owned: OwnedUpstream, notice: UpstreamNotice, sent_at: Seconds) -> None:
         """Hear what an answer of an upstream says of it."""
         limit = owned.owner_state.rate_limit
         if notice.limit_per_s is not None:
@@ -395,7 +397,7 @@
         if notice.malformed:
             self._log_notice(owned, EventKind.NOTICE_MALFORMED, repr(notice.malformed))
         if notice.is_leaving:
-            self.register.hear_leaving(owned)
+            self.register.handle_leaving(owned)
 
     def _log_notice(self, owned: OwnedUpstream, kind: EventKind, detail: str) -> None:
         self.notices.write(kind, owned.upstream.name, detail, trio.current_time())
@@ -414,7 +416,7 @@
         if not isinstance(end, ev.DispatchDone):
             self._feed(owned, end)
         if isinstance(end, ev.DispatchNotRun) and end.reason is NotRunReason.MISDIRECTED:
-            self.register.misdirected(owned.upstream.name)
+            self.register.handle_misdirected(owned.upstream.name)
 
 
 def _describe_end(end: DispatchEnd) -> str:
--- a/packages/bendwind-node/src/bendwind_node/calls/pause_watch.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/pause_detector.py
@@ -10,34 +10,34 @@
 
 # Whoever keeps the watch looks at the clock twice a second: if it is so much later, the process
 # stood still meanwhile.
-LONGEST_PAUSE: Seconds = 1.0
+PAUSE_THRESHOLD: Seconds = 1.0
 # What came in during a pause is read within this time. Without it a request that was handed over
 # in a pause of four seconds ran after its caller had gone.
-CATCH_UP: Seconds = 0.1
+DEDUCTION_PERIOD: Seconds = 0.1
 
 
-class PauseWatch(msgspec.Struct):
+class PauseDetector(msgspec.Struct):
     """Hold when the process was last seen to run, and how long it had stood still before."""
 
-    seen_at: Seconds = math.inf
-    stood_still: Seconds = 0.0
-    catches_up_until: Seconds = 0.0
+    last_tick_at: Seconds = math.inf
+    last_pause: Seconds = 0.0
+    deducts_until: Seconds = 0.0
 
     def tick(self, now: Seconds) -> None:
         """Note that the process runs."""
-        self._look(now)
-        self.seen_at = now
+        self._detect_pause(now)
+        self.last_tick_at = now
 
-    def _look(self, now: Seconds) -> None:
-        pause = now - self.seen_at
-        if pause > LONGEST_PAUSE:
-            self.seen_at = now
-            self.stood_still = pause
-            self.catches_up_until = now + CATCH_UP
+    def _detect_pause(self, now: Seconds) -> None:
+        pause = now - self.last_tick_at
+        if pause > PAUSE_THRESHOLD:
+            self.last_tick_at = now
+            self.last_pause = pause
+            self.deducts_until = now + DEDUCTION_PERIOD
 
-    def allow(self, hand_over: HandOver, now: Seconds) -> HandOver:
+    def deduct_pause(self, hand_over: HandOver, now: Seconds) -> HandOver:
         """Take from a hand-over's time what it may have waited while the process stood still."""
-        self._look(now)
-        if now >= self.catches_up_until:
+        self._detect_pause(now)
+        if now >= self.deducts_until:
             return hand_over
-        return deduct_time(hand_over, self.stood_still)
+        return deduct_time(hand_over, self.last_pause)
--- a/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
@@ -10,10 +10,10 @@
 from bendwind_node.calls.owner_node import OwnerNode
 from bendwind_node.calls.service_choice import ServiceChoice
 
-PROBE_EVERY: Seconds = 0.25
-IDLE_SLEEP: Seconds = 1.0
+PROBE_INTERVAL: Seconds = 0.25
+IDLE_CHECK_INTERVAL: Seconds = 1.0
 # A service that nobody calls here needs no fresh load.
-IDLE_AFTER: Seconds = 5.0
+SERVICE_IDLE_AFTER: Seconds = 5.0
 
 
 class ProbeTask(msgspec.Struct, eq=False):
@@ -28,16 +28,16 @@
         """Probe until cancelled."""
         while True:
             is_active = self.probe_all(trio.current_time())
-            await trio.sleep(PROBE_EVERY if is_active else IDLE_SLEEP)
+            await trio.sleep(PROBE_INTERVAL if is_active else IDLE_CHECK_INTERVAL)
 
     def probe_all(self, now: Seconds) -> bool:
         """Probe for every service in use and tell whether there is one."""
-        active = [one for one in self.entry.choices.values() if self._is_probed(one, now)]
+        active = [one for one in self.entry.choices.values() if self._needs_probes(one, now)]
         for choice in active:
             self._probe(choice, now)
         return bool(active)
 
-    def _is_probed(self, choice: ServiceChoice, now: Seconds) -> bool:
+    def _needs_probes(self, choice: ServiceChoice, now: Seconds) -> bool:
         """Tell whether a service is in use and chosen by load.
 
         Owners of a service that is called near first refuse what they would answer late, and need
@@ -45,7 +45,7 @@
         """
         service = self.entry.membership.services.get(choice.table.service)
         is_near_first = service is not None and service.near_first
-        return not is_near_first and now - choice.called_at < IDLE_AFTER
+        return not is_near_first and now - choice.called_at < SERVICE_IDLE_AFTER
 
     def _probe(self, choice: ServiceChoice, now: Seconds) -> None:
         for name in plan_probes(choice.table, self.budget, now):
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
@@ -110,12 +110,12 @@
         owner = self.owners[name]
         self.epoch += 1
         here = FakeLink(owner.own, self.epoch, None, [] if self.hold else None)
-        there = FakeLink(self.own, self.epoch, lambda m: self._hear(here, m))
+        there = FakeLink(self.own, self.epoch, lambda m: self._receive(here, m))
         here.deliver = lambda m: (self.sent.append(m), owner.receive(there, m))
         self.links[name] = (here, there)
         owner.link_opened(there)
 
-    def _hear(self, link, message):
+    def _receive(self, link, message):
         if isinstance(message, LoadReport):
             self.reports(message)
         else:
@@ -175,12 +175,12 @@
 
 
 def announce(owner, port, name="svc-1"):
-    owner.register.announced(
+    owner.register.handle_announcement(
         Announcement(name, "svc", "127.0.0.1", port, 2, 4, UpstreamState.READY)
     )
 
 
-class CallBench:
+class CallTestCluster:
     """Wire one entry node with its own owner node and any number of others."""
 
     def __init__(self, nursery, service=None):
@@ -213,7 +213,7 @@
         self.hub.owners[name] = owner
         return owner
 
-    def stale_upstream(self, owner, incarnation):
+    def set_stale_upstream(self, owner, incarnation):
         """Make the entry node believe in an older run of an owner."""
         old = Instance(owner.own.name, "dc", "127.0.0.1", 1, incarnation)
         self.membership.known["svc"]["svc-1"] = Upstream(
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_assembly.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_assembly.py
@@ -76,7 +76,7 @@
 
     def test_a_pause_of_the_process_while_a_body_comes_counts_once(self):
         def check():
-            self.owner.pauses.tick(trio.current_time())
+            self.owner.pause_detector.tick(trio.current_time())
             self.begin()
             self.clock.jump(1.25)
             self.end()
@@ -86,7 +86,7 @@
 
     def test_a_pause_before_the_first_part_was_read_counts_too(self):
         def check():
-            self.owner.pauses.tick(trio.current_time())
+            self.owner.pause_detector.tick(trio.current_time())
             self.clock.jump(1.25)
             self.begin()
             self.clock.jump(0.25)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_authentication.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_authentication.py
@@ -17,7 +17,7 @@
 )
 from bendwind_node.calls.authentication import authenticate
 from bendwind_node.calls.dialect import BENDWIND_DIALECT
-from bendwind_node.calls.tests.fakes import CallBench, announce, make_exchange
+from bendwind_node.calls.tests.fakes import CallTestCluster, announce, make_exchange
 from bendwind_node.calls.tests.scripted_server import OK, read_request, run_server
 
 KEY = b"bendwind-key"
@@ -60,7 +60,7 @@
         async def main():
             with trio.fail_after(20):
                 async with run_server(handler) as port, trio.open_nursery() as nursery:
-                    bench = CallBench(nursery)
+                    bench = CallTestCluster(nursery)
                     bench.membership.customers = create_customer_table((NORTE, SUL))
                     await check(bench, port)
                     nursery.cancel_scope.cancel()
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_dialect.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_dialect.py
@@ -11,8 +11,8 @@
     find_not_run_proof,
     read_slow_factor,
 )
-from bendwind_node.calls.owned_upstream import Announcement, UpstreamPlace
-from bendwind_node.calls.tests.fakes import CallBench, make_exchange
+from bendwind_node.calls.owned_upstream import Announcement, UpstreamAddress
+from bendwind_node.calls.tests.fakes import CallTestCluster, make_exchange
 from bendwind_node.calls.tests.scripted_server import read_request, run_server
 
 DIALECT = Dialect(
@@ -60,34 +60,34 @@
             with trio.fail_after(20):
                 async with run_server(handler) as port, trio.open_nursery() as nursery:
                     service = Service("svc", ("*",), health_path="/well")
-                    bench = CallBench(nursery, service)
-                    bench.entry.dialect = bench.owner.dialect = DIALECT
-                    bench.owner.register.dialect = DIALECT
-                    bench.owner.register.find_health_path = lambda name: "/well"
-                    await check(bench, port)
+                    cluster = CallTestCluster(nursery, service)
+                    cluster.entry.dialect = cluster.owner.dialect = DIALECT
+                    cluster.owner.register.dialect = DIALECT
+                    cluster.owner.register.find_health_path = lambda name: "/well"
+                    await check(cluster, port)
                     nursery.cancel_scope.cancel()
 
         trio.run(main)
 
-    def announce(self, bench, port, **changes):
+    def announce(self, cluster, port, **changes):
         fields = {"name": "u1", "sequence": 1, "state": UpstreamState.READY} | changes
-        bench.owner.register.announced(
+        cluster.owner.register.handle_announcement(
             Announcement(
                 fields["name"], "svc", "127.0.0.1", port, 4, 4, fields["state"], fields["sequence"]
             )
         )
 
-    async def call(self, bench, method=b"GET"):
-        return await bench.call(make_exchange(method, service="svc", id="q1"))
+    async def call(self, cluster, method=b"GET"):
+        return await cluster.call(make_exchange(method, service="svc", id="q1"))
 
     def test_answer_under_another_id_is_not_delivered(self):
         def answer(data):
             return b"HTTP/1.1 200 OK\r\nid: q9\r\ncontent-length: 2\r\n\r\nzz"
 
-        async def check(bench, port):
-            self.announce(bench, port)
-            self.announce(bench, port, sequence=2)
-            done = await self.call(bench, b"POST")
+        async def check(cluster, port):
+            self.announce(cluster, port)
+            self.announce(cluster, port, sequence=2)
+            done = await self.call(cluster, b"POST")
             self.assertEqual(done.status, 502)
             self.assertNotIn(b"zz", done.body)
 
@@ -98,15 +98,15 @@
             whole = b"HTTP/1.1 200 OK\r\nid: q1\r\ncontent-length: 2\r\n\r\nok"
             return whole + b"HTTP/1.1 200 OK\r\nid: q0\r\ncontent-length: 2\r\n\r\nzz"
 
-        async def check(bench, port):
-            self.announce(bench, port)
-            self.announce(bench, port, sequence=2)
+        async def check(cluster, port):
+            self.announce(cluster, port)
+            self.announce(cluster, port, sequence=2)
             for _ in range(3):
-                self.assertEqual((await self.call(bench, b"POST")).body, b"ok")
+                self.assertEqual((await self.call(cluster, b"POST")).body, b"ok")
 
         self.run_with(answer, check)
 
-    def answer_well(self, name=b"u1", status=b"200 OK"):
+    def answer_health(self, name=b"u1", status=b"200 OK"):
         def answer(data):
             is_health = data.startswith(b"GET /well")
             own = b"me: " + name + b"\r\nload: 0,0,4,100" if is_health else b"id: q1"
@@ -116,85 +116,85 @@
         return answer
 
     def test_first_announcement_counts_once_the_upstream_says_it_is_the_one(self):
-        async def check(bench, port):
-            self.announce(bench, port)
+        async def check(cluster, port):
+            self.announce(cluster, port)
             while not self.seen:
                 await trio.sleep(0.01)
             with trio.fail_after(5):
-                while (await self.call(bench)).status != 200:
+                while (await self.call(cluster)).status != 200:
                     await trio.sleep(0.01)
                     # What a voter's push does in a daemon: the service was used before its upstream
                     # was known whenever the call came before the answer of the health path.
-                    bench.entry.refresh_upstreams("svc")
+                    cluster.entry.refresh_upstreams("svc")
 
-        self.run_with(self.answer_well(), check)
+        self.run_with(self.answer_health(), check)
 
     def test_another_upstream_at_the_address_gets_no_request(self):
-        async def check(bench, port):
-            self.announce(bench, port)
+        async def check(cluster, port):
+            self.announce(cluster, port)
             while not self.seen:
                 await trio.sleep(0.01)
             await trio.sleep(0.1)
-            self.assertEqual((await self.call(bench)).status, 503)
+            self.assertEqual((await self.call(cluster)).status, 503)
 
-        self.run_with(self.answer_well(b"u2"), check)
+        self.run_with(self.answer_health(b"u2"), check)
 
     def test_upstream_whose_health_lies_is_used_after_a_second_announcement(self):
-        async def check(bench, port):
-            self.announce(bench, port)
+        async def check(cluster, port):
+            self.announce(cluster, port)
             while not self.seen:
                 await trio.sleep(0.01)
-            self.announce(bench, port, sequence=2)
-            self.assertEqual((await self.call(bench)).status, 200)
+            self.announce(cluster, port, sequence=2)
+            self.assertEqual((await self.call(cluster)).status, 200)
 
-        self.run_with(self.answer_well(status=b"503 Service Unavailable"), check)
+        self.run_with(self.answer_health(status=b"503 Service Unavailable"), check)
 
     def test_older_announcement_verifies_nothing(self):
-        async def check(bench, port):
+        async def check(cluster, port):
             # The older one comes while the question to the upstream is still under way.
-            self.announce(bench, port, sequence=5)
-            self.announce(bench, port, sequence=4)
+            self.announce(cluster, port, sequence=5)
+            self.announce(cluster, port, sequence=4)
             while not self.seen:
                 await trio.sleep(0.01)
             await trio.sleep(0.1)
-            self.assertEqual((await self.call(bench)).status, 503)
+            self.assertEqual((await self.call(cluster)).status, 503)
 
-        self.run_with(self.answer_well(status=b"503 Service Unavailable"), check)
+        self.run_with(self.answer_health(status=b"503 Service Unavailable"), check)
 
-    async def wait_for_states(self, bench, **expected):
+    async def wait_for_states(self, cluster, **expected):
         with trio.fail_after(5):
-            while self.find_states(bench) != expected:
+            while self.find_states(cluster) != expected:
                 await trio.sleep(0.01)
 
-    def find_states(self, bench):
-        owned = bench.owner.register.owned
+    def find_states(self, cluster):
+        owned = cluster.owner.register.owned
         return {name: each.upstream.state for name, each in owned.items()}
 
     def test_address_given_to_another_upstream_ends_the_former(self):
-        async def check(bench, port):
+        async def check(cluster, port):
             for sequence in (1, 2):
-                self.announce(bench, port, sequence=sequence)
+                self.announce(cluster, port, sequence=sequence)
             for sequence in (1, 2):
-                self.announce(bench, port, name="u2", sequence=sequence)
-            await self.wait_for_states(bench, u1=UpstreamState.GONE, u2=UpstreamState.READY)
+                self.announce(cluster, port, name="u2", sequence=sequence)
+            await self.wait_for_states(cluster, u1=UpstreamState.GONE, u2=UpstreamState.READY)
 
-        self.run_with(self.answer_well(b"u2"), check)
+        self.run_with(self.answer_health(b"u2"), check)
 
     def test_late_announcements_of_a_former_upstream_end_not_the_one_that_replaced_it(self):
         # Two of them verified each other, and the living upstream was taken for gone for good.
-        async def check(bench, port):
-            self.announce(bench, port)
-            await self.wait_for_states(bench, u1=UpstreamState.READY)
+        async def check(cluster, port):
+            self.announce(cluster, port)
+            await self.wait_for_states(cluster, u1=UpstreamState.READY)
             for sequence in (7, 8):
-                self.announce(bench, port, name="u0", sequence=sequence)
-            await self.wait_for_questions(3)
-            self.assertEqual(self.find_states(bench)["u1"], UpstreamState.READY)
-            self.announce(bench, port, sequence=2)
-            self.assertEqual((await self.call(bench)).status, 200)
+                self.announce(cluster, port, name="u0", sequence=sequence)
+            await self.wait_for_health_queries(3)
+            self.assertEqual(self.find_states(cluster)["u1"], UpstreamState.READY)
+            self.announce(cluster, port, sequence=2)
+            self.assertEqual((await self.call(cluster)).status, 200)
 
-        self.run_with(self.answer_well(b"u1"), check)
+        self.run_with(self.answer_health(b"u1"), check)
 
-    async def wait_for_questions(self, number):
+    async def wait_for_health_queries(self, number):
         with trio.fail_after(5):
             while sum(data.startswith(b"GET /well") for data in self.seen) < number:
                 await trio.sleep(0.01)
@@ -202,42 +202,42 @@
         await trio.testing.wait_all_tasks_blocked(0.05)
 
     def test_upstream_at_a_known_place_serves_before_it_announced_itself(self):
-        async def check(bench, port):
-            place = UpstreamPlace("svc", "127.0.0.1", port)
-            bench.nursery.start_soon(bench.owner.register.introduce, place)
-            await self.wait_for_states(bench, u1=UpstreamState.READY)
-            self.assertEqual((await self.call(bench)).status, 200)
-            self.announce(bench, port, state=UpstreamState.DRAINING)
-            self.assertEqual((await self.call(bench)).status, 503)
+        async def check(cluster, port):
+            address = UpstreamAddress("svc", "127.0.0.1", port)
+            cluster.nursery.start_soon(cluster.owner.register.register_by_health_path, address)
+            await self.wait_for_states(cluster, u1=UpstreamState.READY)
+            self.assertEqual((await self.call(cluster)).status, 200)
+            self.announce(cluster, port, state=UpstreamState.DRAINING)
+            self.assertEqual((await self.call(cluster)).status, 503)
 
-        self.run_with(self.answer_well(b"u1"), check)
+        self.run_with(self.answer_health(b"u1"), check)
 
     def test_upstream_that_leaves_is_not_introduced_by_its_health_path(self):
         for status, leaves_by_name in ((b"503 Service Unavailable", False), (b"200 OK", True)):
 
-            async def check(bench, port, leaves_by_name=leaves_by_name):
-                register = bench.owner.register
+            async def check(cluster, port, leaves_by_name=leaves_by_name):
+                register = cluster.owner.register
                 if leaves_by_name:
-                    register.left("u1")
-                place = UpstreamPlace("svc", "127.0.0.1", port)
-                bench.nursery.start_soon(register.introduce, place)
-                await self.wait_for_questions(2)
-                self.assertEqual(self.find_states(bench), {})
+                    register.handle_departure("u1")
+                address = UpstreamAddress("svc", "127.0.0.1", port)
+                cluster.nursery.start_soon(register.register_by_health_path, address)
+                await self.wait_for_health_queries(2)
+                self.assertEqual(self.find_states(cluster), {})
 
-            self.run_with(self.answer_well(b"u1", status), check)
+            self.run_with(self.answer_health(b"u1", status), check)
 
     def test_upstream_that_says_it_is_another_is_replaced_by_that_one(self):
-        async def check(bench, port):
+        async def check(cluster, port):
             for sequence in (1, 2):
-                self.announce(bench, port, sequence=sequence)
-            await self.call(bench)
-            await self.wait_for_states(bench, u1=UpstreamState.GONE, u2=UpstreamState.READY)
-            bench.entry.refresh_upstreams("svc")
-            self.assertEqual((await self.call(bench)).status, 200)
+                self.announce(cluster, port, sequence=sequence)
+            await self.call(cluster)
+            await self.wait_for_states(cluster, u1=UpstreamState.GONE, u2=UpstreamState.READY)
+            cluster.entry.refresh_upstreams("svc")
+            self.assertEqual((await self.call(cluster)).status, 200)
 
         def answer(data):
             if data.startswith(b"GET /well"):
-                return self.answer_well(b"u2")(data)
+                return self.answer_health(b"u2")(data)
             is_meant = b"meant: u2" in data.lower()
             line = b"200 OK" if is_meant else b"421 Misdirected Request"
             return b"HTTP/1.1 " + line + b"\r\nid: q1\r\ncontent-length: 2\r\n\r\nok"
@@ -245,15 +245,15 @@
         self.run_with(answer, check)
 
     def test_gone_upstreams_make_room_for_new_ones(self):
-        async def check(bench, port):
+        async def check(cluster, port):
             for number in range(20):
                 name = f"u{number}"
                 for sequence in (1, 2):
-                    self.announce(bench, port, name=name, sequence=sequence)
-                self.assertIn(name, bench.owner.register.owned)
-                bench.owner.register.left(name)
+                    self.announce(cluster, port, name=name, sequence=sequence)
+                self.assertIn(name, cluster.owner.register.owned)
+                cluster.owner.register.handle_departure(name)
 
-        self.run_with(self.answer_well(), check)
+        self.run_with(self.answer_health(), check)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_http_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_http_path.py
@@ -3,7 +3,7 @@
 import trio
 
 from bendwind_node.calls.caller_h11 import H11Server
-from bendwind_node.calls.tests.fakes import CallBench, announce
+from bendwind_node.calls.tests.fakes import CallTestCluster, announce
 from bendwind_node.calls.tests.scripted_server import read_request, run_server
 
 GET = b"GET /x HTTP/1.1\r\nhost: svc\r\n\r\n"
@@ -22,10 +22,10 @@
 
         async def main():
             async with run_server(upstream) as port, trio.open_nursery() as nursery:
-                bench = CallBench(nursery)
-                announce(bench.owner, port)
+                cluster = CallTestCluster(nursery)
+                announce(cluster.owner, port)
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-                server = H11Server(bench.task.handle, 5.0, 4096, 8)
+                server = H11Server(cluster.task.handle, 5.0, 4096, 8)
                 nursery.start_soon(server.run, listeners, trio.Event())
                 async with await trio.open_tcp_stream(*listeners[0].socket.getsockname()) as caller:
                     await caller.send_all(request)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_notices_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_notices_path.py
@@ -8,7 +8,7 @@
 from bendwind_node.calls.dialect import BENDWIND_DIALECT
 from bendwind_node.calls.owned_upstream import Announcement
 from bendwind_node.calls.tests import test_dialect
-from bendwind_node.calls.tests.fakes import CallBench, make_exchange
+from bendwind_node.calls.tests.fakes import CallTestCluster, make_exchange
 from bendwind_node.calls.tests.scripted_server import read_request, run_server
 from bendwind_node.calls.upstream_notice import UpstreamNotice, read_notice
 
@@ -59,24 +59,24 @@
         async def main():
             with trio.fail_after(20):
                 async with run_server(handler) as port, trio.open_nursery() as nursery:
-                    bench = CallBench(nursery, Service("svc", ("*",), health_path="/well"))
-                    bench.entry.dialect = bench.owner.dialect = DIALECT
-                    bench.owner.register.dialect = DIALECT
-                    bench.owner.register.find_health_path = lambda name: "/well"
+                    cluster = CallTestCluster(nursery, Service("svc", ("*",), health_path="/well"))
+                    cluster.entry.dialect = cluster.owner.dialect = DIALECT
+                    cluster.owner.register.dialect = DIALECT
+                    cluster.owner.register.find_health_path = lambda name: "/well"
                     for sequence in (1, 2):
-                        announce(bench, port, sequence)
-                    await check(bench, port)
+                        announce(cluster, port, sequence)
+                    await check(cluster, port)
                     nursery.cancel_scope.cancel()
 
         trio.run(main)
 
-    async def call(self, bench):
-        return await bench.call(make_exchange(b"POST", service="svc", id="q1"))
+    async def call(self, cluster):
+        return await cluster.call(make_exchange(b"POST", service="svc", id="q1"))
 
     def check_limit(self, answer, limit):
-        async def check(bench, port):
-            await self.call(bench)
-            owned = bench.owner.register.owned["u1"]
+        async def check(cluster, port):
+            await self.call(cluster)
+            owned = cluster.owner.register.owned["u1"]
             self.assertEqual(owned.owner_state.rate_limit.per_second, limit)
 
         self.run_with(answer, check)
@@ -106,31 +106,31 @@
                 self.check_limit(answer, None)
 
     def test_many_figures_make_few_lines(self):
-        async def check(bench, port):
-            owned = bench.owner.register.owned["u1"]
+        async def check(cluster, port):
+            owned = cluster.owner.register.owned["u1"]
             for number in range(1000):
                 notice = UpstreamNotice(float(number), malformed=b"x")
-                bench.owner.hear_notice(owned, notice, trio.current_time())
-            counts = bench.owner.recorder.counts
+                cluster.owner.handle_notice(owned, notice, trio.current_time())
+            counts = cluster.owner.recorder.counts
             self.assertLessEqual(counts[EventKind.UPSTREAM_LIMIT], 2)
             self.assertLessEqual(counts[EventKind.NOTICE_MALFORMED], 2)
 
         self.run_with(make_answer(b"id: q1"), check)
 
     def test_upstream_that_leaves_is_told_to_all_and_taken_back_by_no_announcement(self):
-        async def check(bench, port):
-            await self.call(bench)
-            owned = bench.owner.register.owned["u1"]
+        async def check(cluster, port):
+            await self.call(cluster)
+            owned = cluster.owner.register.owned["u1"]
             self.assertIs(owned.upstream.state, UpstreamState.DRAINING)
-            announce(bench, port, 9)
+            announce(cluster, port, 9)
             self.assertIs(owned.upstream.state, UpstreamState.DRAINING)
-            self.assertEqual((await self.call(bench)).status, 503)
+            self.assertEqual((await self.call(cluster)).status, 503)
 
         self.run_with(make_answer(b"id: q1\r\nleaving: 1"), check)
 
     def test_refusal_of_another_request_proves_nothing_of_this_one(self):
-        async def check(bench, port):
-            self.assertEqual((await self.call(bench)).status, 502)
+        async def check(cluster, port):
+            self.assertEqual((await self.call(cluster)).status, 502)
 
         self.run_with(make_answer(b"id: q9\r\nunrun: 1", b"503 Full"), check)
 
@@ -140,8 +140,8 @@
     return head + b"\r\n\r\nok"
 
 
-def announce(bench, port, sequence):
-    bench.owner.register.announced(
+def announce(cluster, port, sequence):
+    cluster.owner.register.handle_announcement(
         Announcement("u1", "svc", "127.0.0.1", port, 4, 4, UpstreamState.READY, sequence)
     )
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_quota_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_quota_path.py
@@ -6,7 +6,7 @@
 
 from bendwind_core.timeline import CallFacts, EventKind
 from bendwind_node.calls.call_intake import CallIntake
-from bendwind_node.calls.tests.fakes import CallBench, announce, make_exchange
+from bendwind_node.calls.tests.fakes import CallTestCluster, announce, make_exchange
 from bendwind_node.calls.tests.scripted_server import read_request, run_server
 from bendwind_node.quotas.tests.fakes import QuotaBench, make_customer
 
@@ -33,7 +33,7 @@
 
         async def main():
             async with run_server(upstream) as port, trio.open_nursery() as nursery:
-                bench = CallBench(nursery)
+                bench = CallTestCluster(nursery)
                 quotas = QuotaBench(nursery, [customer], voters=1)
                 nursery.start_soon(quotas.keep_confirming)
                 bench.entry.quotas = quotas.add_node("n")
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_routed_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_routed_intake.py
@@ -5,7 +5,7 @@
 from bendwind_core.customers import create_customer_table
 from bendwind_core.routing import set_routing
 from bendwind_core.world import Customer, Repeat, Routing, SplitPart, create_route, digest_key
-from bendwind_node.calls.tests.fakes import CallBench, make_exchange
+from bendwind_node.calls.tests.fakes import CallTestCluster, make_exchange
 
 
 class RoutedIntakeTest(unittest.TestCase):
@@ -14,7 +14,7 @@
 
         async def main():
             async with trio.open_nursery() as nursery:
-                bench = CallBench(nursery)
+                bench = CallTestCluster(nursery)
                 route = create_route(
                     "a",
                     "svc",
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_run_rank.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_run_rank.py
@@ -8,7 +8,7 @@
 from bendwind_core.timeline import Recorder
 from bendwind_core.world import Instance, Repeat, UpstreamState
 from bendwind_node.calls.owner_node import OwnerNode
-from bendwind_node.calls.tests.test_upstream_runs import Register, in_trio
+from bendwind_node.calls.tests.test_upstream_runs import RegisterDriver, in_trio
 
 OWN = Instance("n1", "dc1", "127.0.0.1", 1, 5)
 
@@ -21,7 +21,7 @@
 
 class RunRankTest(unittest.TestCase):
     def start(self):
-        register = Register().register
+        register = RegisterDriver().register
         recorder = Recorder("n1", lambda: 0, 100)
         node = OwnerNode(OWN, recorder, None, register, None, ProbeBudget(1.0, 1.0))
         # What the node would carry out is of no weight here.
@@ -35,7 +35,7 @@
         return owner.step(owned.owner_state, arrived, 0.0)
 
     def announce(self, register, name):
-        harness = Register()
+        harness = RegisterDriver()
         harness.register = register
         harness.announce(name)
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_time_granted.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_time_granted.py
@@ -17,16 +17,16 @@
 REMAINING_MS = 2000.0
 
 
-class HeldPool:
+class BlockedPool:
     """Stand for the connections to an upstream that turns requests away once it is let."""
 
     def __init__(self):
         self.granted = []
-        self.is_let = trio.Event()
+        self.released = trio.Event()
 
-    async def start(self, request, note_sent):
+    async def start(self, request, on_sent):
         self.granted.append(int(find_header(request.headers, BENDWIND_DIALECT.timeout_ms)))
-        await self.is_let.wait()
+        await self.released.wait()
         return Error(RequestNotSent(NotRunReason.SHED))
 
 
@@ -36,7 +36,7 @@
             async with trio.open_nursery() as nursery:
                 owner = make_owner(nursery, "o", FakeMembership())
                 announce(owner, 80)
-                pool = owner.register.owned["svc-1"].pool = HeldPool()
+                pool = owner.register.owned["svc-1"].pool = BlockedPool()
                 link = FakeLink(Instance("e", "dc", "127.0.0.1", 1, 1), 1, lambda message: None)
                 owner.link_opened(link)
                 for sequence in range(1, SLOTS + 2):
@@ -45,7 +45,7 @@
                     owner.receive(link, message)
                 await trio.sleep(0.75)
                 self.assertEqual(pool.granted, [2000] * SLOTS)
-                pool.is_let.set()
+                pool.released.set()
                 await trio.testing.wait_all_tasks_blocked()
                 self.assertEqual(pool.granted[SLOTS:], [1250])
                 nursery.cancel_scope.cancel()
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_uploads.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_uploads.py
@@ -7,7 +7,7 @@
 
 from bendwind_core.world import Limits, Service
 from bendwind_node.calls.caller_h11 import H11Server
-from bendwind_node.calls.tests.fakes import MIB, CallBench, announce
+from bendwind_node.calls.tests.fakes import MIB, CallTestCluster, announce
 from bendwind_node.calls.tests.scripted_server import OK, read_request, run_server
 
 CALLERS = 200
@@ -31,14 +31,14 @@
         async def main():
             with trio.fail_after(20):
                 async with run_server(upstream) as port, trio.open_nursery() as nursery:
-                    bench = CallBench(nursery, service)
-                    bench.intake.max_in_flight = CONNECTIONS
-                    bench.entry.share.capacity = CONNECTIONS
-                    announce(bench.owner, port)
+                    cluster = CallTestCluster(nursery, service)
+                    cluster.intake.max_in_flight = CONNECTIONS
+                    cluster.entry.share.capacity = CONNECTIONS
+                    announce(cluster.owner, port)
                     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-                    server = H11Server(bench.task.handle, 5.0, 4096, CONNECTIONS)
+                    server = H11Server(cluster.task.handle, 5.0, 4096, CONNECTIONS)
                     nursery.start_soon(server.run, listeners, trio.Event())
-                    await check(bench, listeners[0].socket.getsockname())
+                    await check(cluster, listeners[0].socket.getsockname())
                     nursery.cancel_scope.cancel()
 
         trio.run(main)
@@ -48,21 +48,21 @@
             await trio.sleep(0.001)
 
     def test_caller_that_stops_in_mid_body_frees_its_place_and_runs_nowhere(self):
-        async def check(bench, address):
+        async def check(cluster, address):
             async with await trio.open_tcp_stream(*address) as caller:
                 await caller.send_all(make_head(MIB) + b"q" * SENT)
-                await self.wait_until(lambda: bench.intake.budget.used == SENT)
-                self.assertEqual(bench.intake.in_flight, 1)
-            await self.wait_until(lambda: bench.intake.in_flight == 0)
-            self.assertEqual(bench.intake.budget.used, 0)
-            self.assertEqual(set(bench.entry.share.in_flight.values()), {0})
+                await self.wait_until(lambda: cluster.intake.budget.used == SENT)
+                self.assertEqual(cluster.intake.in_flight, 1)
+            await self.wait_until(lambda: cluster.intake.in_flight == 0)
+            self.assertEqual(cluster.intake.budget.used, 0)
+            self.assertEqual(set(cluster.entry.share.in_flight.values()), {0})
             self.assertEqual(self.runs, 0)
 
         self.run_with(check)
 
     def test_bodies_of_many_slow_callers_stay_within_the_budget_and_the_rest_is_refused(self):
-        async def check(bench, address):
-            budget = bench.intake.budget
+        async def check(cluster, address):
+            budget = cluster.intake.budget
             answers = []
 
             async def send_slowly(go_on):
@@ -82,7 +82,7 @@
                 self.assertLessEqual(budget.used, budget.limit)
                 self.assertTrue(all(b" 503 " in answer for answer in answers))
                 go_on.set()
-            await self.wait_until(lambda: bench.intake.in_flight == 0)
+            await self.wait_until(lambda: cluster.intake.in_flight == 0)
             self.assertEqual((budget.used, self.runs), (0, 0))
 
         limits = Limits(in_flight_per_entry=CONNECTIONS)
@@ -93,11 +93,11 @@
         scope.cancel()
 
     def test_length_over_the_limit_is_refused_before_the_body_comes(self):
-        async def check(bench, address):
+        async def check(cluster, address):
             async with await trio.open_tcp_stream(*address) as caller:
                 await caller.send_all(make_head(9 * MIB))
                 self.assertIn(b" 413 ", await caller.receive_some(4096))
-            self.assertEqual((bench.intake.budget.used, self.runs), (0, 0))
+            self.assertEqual((cluster.intake.budget.used, self.runs), (0, 0))
 
         self.run_with(check)
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_h11.py
@@ -10,9 +10,9 @@
 HOST = (b"host", b"upstream")
 
 
-def make_request(method=b"GET", *, is_marked=False, body=b""):
+def make_request(method=b"GET", *, is_non_idempotent=False, body=b""):
     headers = (HOST, (b"content-length", str(len(body)).encode()))
-    return UpstreamRequest(method, b"/", headers, body, is_marked)
+    return UpstreamRequest(method, b"/", headers, body, is_non_idempotent)
 
 
 async def read_body(answer):
@@ -27,11 +27,11 @@
 
 
 class TestUpstreamPool(unittest.TestCase):
-    def run_with(self, handler, check, resend_within=60.0):
+    def run_with(self, handler, check, resend_window=60.0):
         async def main():
             with trio.fail_after(20):
                 async with run_server(handler) as port:
-                    pool = UpstreamPool("127.0.0.1", port, 4, resend_within)
+                    pool = UpstreamPool("127.0.0.1", port, 4, resend_window)
                     await check(pool)
                     await pool.aclose()
 
@@ -84,12 +84,12 @@
             reset(stream)
 
         async def check(pool):
-            started = await pool.start(make_request(b"POST", is_marked=True, body=b"x"))
+            started = await pool.start(make_request(b"POST", is_non_idempotent=True, body=b"x"))
             self.assertEqual(started.error, AnswerCut(CutReason.UPSTREAM_RESET))
 
         self.run_with(handler, check)
 
-    def check_stale(self, request, resend_within=60.0):
+    def check_closed_connection(self, request, resend_window=60.0):
         """Let the upstream close the kept connection as the second request goes out."""
         served = []
 
@@ -109,22 +109,24 @@
             await answer.aclose()
             outcomes.append(await pool.start(request))
 
-        self.run_with(handler, check, resend_within)
+        self.run_with(handler, check, resend_window)
         return outcomes[0], served
 
     def test_idempotent_request_survives_the_close_of_a_kept_connection(self):
-        outcome, served = self.check_stale(make_request())
+        outcome, served = self.check_closed_connection(make_request())
         self.assertTrue(outcome.is_ok())
         self.assertEqual(served, [1, 2])
 
     def test_request_that_the_upstream_had_time_to_read_is_not_sent_a_second_time(self):
         # It may have ended the upstream, and would end the next run of it too.
-        outcome, served = self.check_stale(make_request(), resend_within=-1.0)
+        outcome, served = self.check_closed_connection(make_request(), resend_window=-1.0)
         self.assertEqual(outcome.error, AnswerCut(CutReason.UPSTREAM_RESET))
         self.assertEqual(served, [1])
 
     def test_marked_request_is_never_sent_a_second_time(self):
-        outcome, served = self.check_stale(make_request(b"POST", is_marked=True))
+        outcome, served = self.check_closed_connection(
+            make_request(b"POST", is_non_idempotent=True)
+        )
         self.assertEqual(outcome.error, AnswerCut(CutReason.UPSTREAM_RESET))
         self.assertEqual(served, [1])
 
@@ -139,7 +141,7 @@
 
         async def check(pool):
             for _ in range(2):
-                answer = (await pool.start(make_request(b"POST", is_marked=True))).ok
+                answer = (await pool.start(make_request(b"POST", is_non_idempotent=True))).ok
                 self.assertEqual(await read_body(answer), b"ok")
                 await answer.aclose()
                 while not all(kept.stream.socket.is_readable() for kept in pool.idle):
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_scene.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/ways_out_scene.py
@@ -9,7 +9,7 @@
 from bendwind_core.world import Customer, digest_key
 from bendwind_node.calls.caller_h11 import H11Server
 from bendwind_node.calls.request_account import RequestAccount
-from bendwind_node.calls.tests.fakes import CallBench, announce
+from bendwind_node.calls.tests.fakes import CallTestCluster, announce
 from bendwind_node.calls.tests.ways_out import Event, Held
 from bendwind_node.calls.tests.ways_out_parts import (
     BODY,
@@ -41,7 +41,7 @@
     def __init__(self, nursery, held, upstream, *, has_fault):
         self.held = held
         self.upstream = upstream
-        self.bench = CallBench(nursery)
+        self.bench = CallTestCluster(nursery)
         self.has_fault = has_fault
         self.fault = trio.Event()
         self.shutdown = trio.Event()
@@ -183,7 +183,7 @@
             case Event.UPSTREAM_LEAVES:
                 for owner in self.owners:
                     for name in tuple(owner.register.owned):
-                        owner.register.left(name)
+                        owner.register.handle_departure(name)
                 self.bench.membership.known.clear()
                 self.bench.entry.refresh_upstreams("svc")
             case Event.CUSTOMER_LEAVES:
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_h11.py
@@ -13,23 +13,23 @@
 from bendwind_node.calls.upstream_request import AnswerCut, RequestNotSent, UpstreamRequest
 from bendwind_node.streams import PromptStream, open_prompt_stream
 
-KEEP_ALIVE: Seconds = 30.0
+KEEP_ALIVE_TIMEOUT: Seconds = 30.0
 # A request that must not be repeated goes over a connection that the upstream has not had time to
 # tire of: one closed at the same moment would leave its outcome unknown.
-FRESH_FOR_MARKED: Seconds = 1.0
+NON_IDEMPOTENT_MAX_IDLE: Seconds = 1.0
 CONNECT_TIMEOUT: Seconds = 1.0
 # An upstream that refuses connections is tried twice a second, which costs it next to nothing; a
 # new run of it announces itself anyway.
-RETRY_PAUSE: Seconds = 0.5
-RETRY_SPREAD = 0.2
+CONNECT_RETRY_INTERVAL: Seconds = 0.5
+CONNECT_RETRY_JITTER = 0.2
 # A connection that was closed while the request was on its way fails within a round trip inside the
 # instance. What fails later was read, and may have ended the upstream: under one such request 15
 # upstreams ended, each 30 to 90 ms after it had reached them.
-RESEND_WITHIN: Seconds = 0.02
+RESEND_WINDOW: Seconds = 0.02
 RECEIVE_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 64 * 1024
 
-_BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError)
+_CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError)
 _CUT = AnswerCut(CutReason.UPSTREAM_RESET)
 
 
@@ -60,33 +60,33 @@
 class UpstreamAnswer:
     """Hold an answer's head and give its body in parts."""
 
-    __slots__ = ("connection", "headers", "is_whole", "pool", "status")
+    __slots__ = ("connection", "headers", "is_complete", "pool", "status")
 
     def __init__(self, pool: "UpstreamPool", connection: UpstreamConnection, head: h11.Response):
         self.pool = pool
         self.connection = connection
         self.status = head.status_code
         self.headers: tuple[Header, ...] = tuple(head.headers)
-        self.is_whole = False
+        self.is_complete = False
 
     async def next_part(self) -> Result[bytes, AnswerCut]:
         """Return the next part of the body, empty at its end."""
-        if self.is_whole:
+        if self.is_complete:
             return _END
         try:
             event = await self.connection.next_event()
-        except _BROKEN:
+        except _CONNECTION_ERRORS:
             return Error(_CUT)
         if isinstance(event, h11.Data):
             return Ok(bytes(event.data))
         if isinstance(event, h11.EndOfMessage):
-            self.is_whole = True
+            self.is_complete = True
             return _END
         return Error(_CUT)
 
     async def aclose(self) -> None:
         """Give the connection back, or close it if the body was not read to its end."""
-        await self.pool.put_back(self.connection, is_whole=self.is_whole)
+        await self.pool.release(self.connection, is_complete=self.is_complete)
 
 
 _END: Result[bytes, AnswerCut] = Ok(b"")
@@ -101,33 +101,35 @@
     host: str
     port: int
     connections: int
-    resend_within: Seconds = RESEND_WITHIN
+    resend_window: Seconds = RESEND_WINDOW
     idle: list[UpstreamConnection] = msgspec.field(default_factory=list)
     is_closed: bool = False
 
     async def start(
-        self, request: UpstreamRequest, note_sent: Callable[[], None] = lambda: None
+        self, request: UpstreamRequest, on_sent: Callable[[], None] = lambda: None
     ) -> Result[UpstreamAnswer, RequestNotSent | AnswerCut]:
         """Send a request and return its answer as soon as the head is there.
 
         `note_sent` is called once the request went out whole.
         """
-        taken = await self._take(FRESH_FOR_MARKED if request.is_marked else KEEP_ALIVE)
-        if taken.is_error():
-            return taken
-        connection = taken.ok
-        begun_at = trio.current_time()
-        answer = await self._exchange(connection, request, note_sent)
-        if answer.is_ok() or not connection.is_reused or request.is_marked:
+        acquired = await self._acquire(
+            NON_IDEMPOTENT_MAX_IDLE if request.is_non_idempotent else KEEP_ALIVE_TIMEOUT
+        )
+        if acquired.is_error():
+            return acquired
+        connection = acquired.ok
+        started_at = trio.current_time()
+        answer = await self._exchange(connection, request, on_sent)
+        if answer.is_ok() or not connection.is_reused or request.is_non_idempotent:
             return answer
-        if trio.current_time() - begun_at > self.resend_within:
+        if trio.current_time() - started_at > self.resend_window:
             # Whatever ended it ran it first; another send is for the entry node to decide and pay.
             return answer
         # The upstream may have closed the kept connection just as the request went out.
         fresh = await self._connect()
-        return answer if fresh.is_error() else await self._exchange(fresh.ok, request, note_sent)
+        return answer if fresh.is_error() else await self._exchange(fresh.ok, request, on_sent)
 
-    async def _take(self, max_idle: Seconds) -> Result[UpstreamConnection, RequestNotSent]:
+    async def _acquire(self, max_idle: Seconds) -> Result[UpstreamConnection, RequestNotSent]:
         now = trio.current_time()
         while self.idle:
             connection = self.idle.pop()
@@ -149,8 +151,8 @@
 
     async def refuses_connections(self) -> bool:
         """Find out by a connection, which is kept if the upstream takes it."""
-        made = await self._connect()
-        match made:
+        connected = await self._connect()
+        match connected:
             case Result(tag="ok", ok=connection) if self.is_closed:
                 await trio.aclose_forcefully(connection.stream)
                 return False
@@ -166,15 +168,15 @@
         self,
         connection: UpstreamConnection,
         request: UpstreamRequest,
-        note_sent: Callable[[], None],
+        on_sent: Callable[[], None],
     ) -> Result[UpstreamAnswer, AnswerCut]:
         try:
             await connection.stream.send_all(_encode(connection.protocol, request))
-            note_sent()
+            on_sent()
             head = await connection.next_event()
             while isinstance(head, h11.InformationalResponse):
                 head = await connection.next_event()
-        except _BROKEN:
+        except _CONNECTION_ERRORS:
             head = None
         except trio.Cancelled:
             await trio.aclose_forcefully(connection.stream)
@@ -184,13 +186,13 @@
         await trio.aclose_forcefully(connection.stream)
         return Error(_CUT)
 
-    async def put_back(self, connection: UpstreamConnection, *, is_whole: bool) -> None:
+    async def release(self, connection: UpstreamConnection, *, is_complete: bool) -> None:
         """Keep a connection whose answer was read to its end, close any other."""
         protocol = connection.protocol
         is_done = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
         # Bytes beyond the answer belong to no request, and would be read as the next answer.
         has_surplus = bool(protocol.trailing_data[0])
-        if is_whole and is_done and not has_surplus and not self.is_closed:
+        if is_complete and is_done and not has_surplus and not self.is_closed:
             protocol.start_next_cycle()
             connection.idle_since = trio.current_time()
             self.idle.append(connection)
@@ -204,17 +206,20 @@
             await trio.aclose_forcefully(self.idle.pop().stream)
 
 
-async def wait_until_accepting(host: str, port: int, is_wanted: Callable[[], bool]) -> bool:
+async def wait_until_accepting(host: str, port: int, should_continue: Callable[[], bool]) -> bool:
     """Try an address that refuses connections until it takes one; False once that is not wanted."""
-    while is_wanted():
-        await trio.sleep(RETRY_PAUSE * random.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD))
+    while should_continue():
+        await trio.sleep(
+            CONNECT_RETRY_INTERVAL
+            * random.uniform(1 - CONNECT_RETRY_JITTER, 1 + CONNECT_RETRY_JITTER)
+        )
         with trio.move_on_after(CONNECT_TIMEOUT):
             try:
                 stream = await open_prompt_stream(host, port)
             except OSError:
                 continue
             await trio.aclose_forcefully(stream)
-            return is_wanted()
+            return should_continue()
     return False
 
 
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_notice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_notice.py
@@ -8,10 +8,10 @@
 from bendwind_node.calls.dialect import Dialect
 
 # Enough for any decimal number that a program writes; what is longer comes from a faulty one.
-_MOST_DIGITS = 32
-_DECIMAL = re.compile(rb"\d{1,%d}(\.\d{1,%d})?" % (_MOST_DIGITS, _MOST_DIGITS))
-_LEAVES = b"1"
-_STAYS = b"0"
+_MAX_DIGITS = 32
+_DECIMAL = re.compile(rb"\d{1,%d}(\.\d{1,%d})?" % (_MAX_DIGITS, _MAX_DIGITS))
+_LEAVING = b"1"
+_NOT_LEAVING = b"0"
 
 
 class UpstreamNotice(msgspec.Struct, frozen=True):
@@ -25,7 +25,7 @@
     malformed: bytes = b""
 
 
-_NOTHING = UpstreamNotice()
+_EMPTY_NOTICE = UpstreamNotice()
 
 
 def read_notice(headers: tuple[Header, ...], dialect: Dialect) -> UpstreamNotice:
@@ -35,15 +35,15 @@
     >>> read_notice(((b"bendwind-rate-limit", b"6.2"),), BENDWIND_DIALECT).limit_per_s
     6.2
     """
-    said = [header for header in headers if header[0] in dialect.notices]
-    if not said:
-        return _NOTHING
-    limits = [value.strip() for name, value in said if name == dialect.rate_limit]
-    leaving = [value.strip() for name, value in said if name == dialect.leaving]
+    notice_headers = [header for header in headers if header[0] in dialect.notices]
+    if not notice_headers:
+        return _EMPTY_NOTICE
+    limits = [value.strip() for name, value in notice_headers if name == dialect.rate_limit]
+    leaving = [value.strip() for name, value in notice_headers if name == dialect.leaving]
     malformed = _find_malformed(limits, leaving)
     is_limited = len(limits) == 1 and _DECIMAL.fullmatch(limits[0]) is not None
     return UpstreamNotice(
-        float(limits[0]) if is_limited else None, _LEAVES in leaving, malformed[:_MOST_DIGITS]
+        float(limits[0]) if is_limited else None, _LEAVING in leaving, malformed[:_MAX_DIGITS]
     )
 
 
@@ -52,4 +52,6 @@
         return b", ".join(limits)
     if limits and _DECIMAL.fullmatch(limits[0]) is None:
         return limits[0] or b"(empty)"
-    return next((value or b"(empty)" for value in leaving if value not in (_LEAVES, _STAYS)), b"")
+    return next(
+        (value or b"(empty)" for value in leaving if value not in (_LEAVING, _NOT_LEAVING)), b""
+    )
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_request.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_request.py
@@ -12,7 +12,7 @@
     target: bytes
     headers: tuple[Header, ...]
     body: bytes
-    is_marked: bool = False
+    is_non_idempotent: bool = False
 
 
 class RequestNotSent(msgspec.Struct, frozen=True):
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -326,14 +326,14 @@
         case UpstreamsChanged(service=service):
             for upstream in dispatcher.membership.upstreams(service):
                 _learn_instance(dispatcher.hub, upstream.owner)
-                dispatcher.owner.register.hear_pushed(upstream)
+                dispatcher.owner.register.handle_pushed_upstream(upstream)
             dispatcher.entry.refresh_upstreams(service)
         case SuspectsLearned(suspects=suspects):
             dispatcher.entry.hear_suspects(suspects)
         case VotersLearned(voters=voters):
             learn_places(dispatcher.hub, voters)
         case ConfigurationApplied():
-            dispatcher.owner.register.hear_configuration(dispatcher.membership.evacuated)
+            dispatcher.owner.register.handle_configuration(dispatcher.membership.evacuated)
             dispatcher.entry.refresh_routing()
             for service in tuple(dispatcher.entry.choices):
                 dispatcher.entry.refresh_upstreams(service)
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -8,7 +8,7 @@
 
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Seconds
 from bendwind_core.timeline import EventKind
-from bendwind_node.calls.owned_upstream import UpstreamPlace
+from bendwind_node.calls.owned_upstream import UpstreamAddress
 from bendwind_node.claims.task import LeaseProven
 from bendwind_node.daemon.build import build_daemon, choose_incarnation, prepare_daemon
 from bendwind_node.daemon.dispatcher import Dispatcher
@@ -76,8 +76,8 @@
     nursery.start_soon(dispatcher.probes.run)
     if daemon.settings.beside is not None:
         beside = daemon.settings.beside
-        place = UpstreamPlace(beside.service, beside.host, beside.port)
-        nursery.start_soon(dispatcher.owner.register.introduce, place)
+        place = UpstreamAddress(beside.service, beside.host, beside.port)
+        nursery.start_soon(dispatcher.owner.register.register_by_health_path, place)
     nursery.start_soon(_prove_lease, dispatcher)
     nursery.start_soon(_watch_signals, daemon)
     if daemon.keys is not None:
@@ -147,7 +147,7 @@
         with trio.move_on_after(LEAD_TIMEOUT):
             await dispatcher.control.voter.hand_over()
     for name in tuple(dispatcher.owner.register.owned):
-        dispatcher.owner.register.left(name)
+        dispatcher.owner.register.handle_departure(name)
     await trio.sleep(IDLE_POLL)
     # Answers for other nodes' callers may be on their way.
     await dispatcher.hub.flush()
