--- a/packages/bendwind-node/src/bendwind_node/calls/announce_asgi.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/announce_asgi.py
@@ -1,4 +1,4 @@
-"""Hear the announcements of the upstreams beside this process, over HTTP."""
+"""Receive the announcements of the upstreams beside this process over HTTP."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class LeaseReply(msgspec.Struct, frozen=True):
-    """Tell an upstream how long its announcement lasts.
+    """Report to an upstream how long its announcement is valid.
 
     Units: milliseconds.
     """
@@ -26,13 +26,13 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """Tell an upstream what was wrong with its request."""
+    """Report to an upstream why its request was rejected."""
 
     error: str
 
 
 class AnnounceApp:
-    """Serve the upstreams' side of docs/UPSTREAMS.md as an ASGI application."""
+    """Serve the interface for upstreams (docs/UPSTREAMS.md) as an ASGI application."""
 
     __slots__ = ("lease_ms", "register")
 
--- a/packages/bendwind-node/src/bendwind_node/calls/body_flow.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/body_flow.py
@@ -1,4 +1,4 @@
-"""Bound the bodies that travel in parts: credit for the sender, order for the receiver."""
+"""Control the flow of bodies in parts: credit at the sender, order at the receiver."""
 
 import msgspec
 import trio
@@ -8,25 +8,25 @@
 
 
 class ByteBudget(msgspec.Struct):
-    """Bound the bytes of bodies that a process holds at a time."""
+    """Limit the bytes of bodies that a process holds at a time."""
 
     limit: int
     used: int = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve bytes; False, and none reserved, where they do not fit."""
+        """Reserve bytes; return False, without reserving any, if they exceed the limit."""
         if self.used + size > self.limit:
             return False
         self.used += size
         return True
 
     def release(self, size: int) -> None:
-        """Free reserved bytes."""
+        """Release reserved bytes."""
         self.used -= size
 
 
 class Outflow(msgspec.Struct, eq=False):
-    """Hold the credit of a body this process sends; a lost receiver takes any amount."""
+    """Hold the credit of a body that this process sends; a lost receiver needs no credit."""
 
     credit: int = WINDOW_BYTES
     next_index: int = 1
@@ -34,12 +34,12 @@
     changed: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def add_credit(self, credit: int) -> None:
-        """Let the sender go on."""
+        """Add credit and wake the sender."""
         self.credit += credit
         self._wake()
 
     def mark_lost(self) -> None:
-        """Stop holding back: the link to the receiver is gone."""
+        """Stop waiting for credit, since the link to the receiver is gone."""
         self.is_lost = True
         self._wake()
 
@@ -48,7 +48,7 @@
         self.changed = trio.Event()
 
     async def consume_credit(self, size: int) -> int:
-        """Wait for credit, spend it and return the index of the part it pays for."""
+        """Wait for credit, consume it and return the index of the part to send."""
         while self.credit <= 0 and not self.is_lost:
             await self.changed.wait()
         self.credit -= size
@@ -58,7 +58,7 @@
 
 
 class Inflow(msgspec.Struct, eq=False):
-    """Gather the parts of a body until it is complete."""
+    """Collect the parts of a body until it is complete."""
 
     limit: int
     budget: ByteBudget
@@ -67,7 +67,7 @@
     next_index: int = 0
 
     def append(self, index: int, data: bytes) -> bool:
-        """Add the next part; False if it is another, too long, or over the process's budget."""
+        """Add a part; return False if it is not the next one, too long or over the byte budget."""
         is_next = index == self.next_index and self.size + len(data) <= self.limit
         if not is_next or not self.budget.reserve(len(data)):
             return False
@@ -77,7 +77,7 @@
         return True
 
     def release(self) -> None:
-        """Give the body's bytes back to the budget."""
+        """Release the bytes of the body from the budget."""
         self.budget.release(self.size)
         self.size = 0
 
@@ -87,12 +87,12 @@
 
 
 def split_into_parts(body: bytes) -> tuple[bytes, ...]:
-    """Cut a body into parts."""
+    """Split a body into parts of at most PART_BYTES."""
     return tuple(body[start : start + PART_BYTES] for start in range(0, len(body), PART_BYTES))
 
 
 def split_first_part(body: bytes) -> tuple[bytes, tuple[bytes, ...]]:
-    """Split a body into the part that goes with its head and those that follow.
+    """Split a body into the part that is sent with the head and the parts that follow.
 
     >>> split_body(b"ab")
     (b'ab', ())
--- a/packages/bendwind-node/src/bendwind_node/calls/dialect.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/dialect.py
@@ -1,13 +1,14 @@
-"""Describe the HTTP headers by which callers, nodes and upstreams understand each other."""
+"""Define the HTTP headers that callers, nodes and upstreams exchange."""
 
 from dataclasses import dataclass, field
 
 from bendwind_core.attempts import Header, NotRunReason
 
 _SERVICE_UNAVAILABLE = 503
-# RFC 9110, section 15.5.20: the request was directed at a server that is not the one meant.
+# RFC 9110, section 15.5.20: the request was directed at another server than the intended one.
 MISDIRECTED = 421
-# Running, waiting, slots, and how long work takes in percent of the usual time.
+# Positions in the load header: running requests, waiting requests, slots, and the time that work
+# takes in percent of its usual time.
 _SLOTS_FIELD = 2
 _SLOW_FACTOR_FIELD = 3
 _PERCENT = 100
@@ -15,20 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Dialect:
-    """Name the headers of one kind of deployment; None where there is no such header.
-
-    `service` names a service directly, `timeout_ms` says how long the sender waits, `request_id`
-    is the sender's own id, which an upstream repeats in its answer. Towards upstreams, `attempt`
-    carries the attempt's id, `upstream` the name of the upstream that is meant, and
-    `origin_service` the service beside the entry node. `not_run` marks an answer whose request did
-    not run; where `not_run_value` is None its presence is enough, whatever the status.
-    `answering_upstream` is the name that an upstream gives itself on its health path, and
-    `warm_up` how many milliseconds longer it stays cold. `key` carries a caller's key, which
-    goes no further, and `customer` tells the upstream whose request it is. In its answers an
-    upstream names by `rate_limit` how many requests a second it takes from all nodes together, and
-    says by `leaving` that it is to get no more.
+    """Hold the header names of one kind of deployment; None stands for a header that is not used.
+
+    In requests, `service` names a service directly, `timeout_ms` is the time for which the sender
+    waits, and `request_id` is the sender's own id, which an upstream repeats in its answer. In
+    requests to upstreams, `attempt` carries the id of the attempt, `upstream` the name of the
+    intended upstream, and `origin_service` the service beside the entry node. `not_run` marks an
+    answer whose request did not run; if `not_run_value` is None, its presence is enough, whatever
+    the status. On the health path, `answering_upstream` is the upstream's own name and `warm_up`
+    its remaining warm-up time in milliseconds. `key` carries a caller's key, which is not
+    forwarded, and `customer` names to the upstream the customer of the request. In answers of an
+    upstream, `rate_limit` is the number of requests per second that it accepts from all nodes
+    together, and `leaving` says that it must get no more requests.
     `has_outcomes` adds Bendwind's outcome headers to answers, `has_fractions` permits fractions of
-    seconds in Retry-After, `has_cancel_path` says that upstreams take cancellations as requests.
+    seconds in Retry-After, `has_cancel_path` says that upstreams accept cancellations as requests.
     """
 
     timeout_ms: bytes
@@ -88,7 +89,7 @@
 def find_not_run_proof(
     dialect: Dialect, status: int, headers: tuple[Header, ...]
 ) -> NotRunReason | None:
-    """Return why an upstream's answer proves that it did not run the request, or None."""
+    """Return the reason if an answer proves that the upstream did not run the request, or None."""
     if dialect.upstream is not None and status == MISDIRECTED:
         return NotRunReason.MISDIRECTED
     marks = [value for name, value in headers if name == dialect.not_run]
@@ -101,7 +102,7 @@
 
 
 def read_slow_factor(load: bytes | None) -> float | None:
-    """Return how much longer than usual work takes at an upstream, by its own word, or None.
+    """Return the slow factor in a load header (duration of work / usual duration), or None.
 
     >>> read_slow_factor(b"3,0,8,400")
     4.0
@@ -111,7 +112,7 @@
 
 
 def read_warm_up_ms(value: bytes | None) -> float:
-    """Return how much longer an upstream stays cold, by its own word; one that is silent is warm.
+    """Return the warm-up time that an upstream reports as remaining; none means that it is warm.
 
     >>> read_warm_up_ms(b"1200")
     1200.0
@@ -121,7 +122,7 @@
 
 
 def read_slots(load: bytes | None) -> int | None:
-    """Return how many requests an upstream works on at once, by its own word, or None.
+    """Return the number of slots (concurrent requests) in a load header, or None.
 
     >>> read_slots(b"3,0,8")
     8
--- a/packages/bendwind-node/src/bendwind_node/calls/dispatch.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/dispatch.py
@@ -1,4 +1,4 @@
-"""Carry one dispatched attempt to its upstream and its answer back to the entry node."""
+"""Send one dispatched attempt to its upstream and relay the answer to the entry node."""
 
 from collections.abc import Callable
 
@@ -50,7 +50,7 @@
 
 
 def create_upstream_request(hand_over: HandOver, dialect: Dialect) -> UpstreamRequest:
-    """Build the request that the upstream sees."""
+    """Build the HTTP request that is sent to the upstream."""
     length = str(len(hand_over.body)).encode()
     has_length = hand_over.body or hand_over.method in ("POST", "PUT", "PATCH")
     headers = (
@@ -77,7 +77,7 @@
 
 
 def format_attempt(attempt: AttemptId) -> str:
-    """Write an attempt id as a path.
+    """Format an attempt id as a path.
 
     >>> format_attempt(AttemptId("sala-norte-1", 7, 3))
     'sala-norte-1/7/3'
@@ -101,7 +101,7 @@
 class UpstreamDispatch(msgspec.Struct, eq=False):
     """Send one attempt's request to its upstream and relay the answer to its entry node.
 
-    `hear_notice` is called with what the answer says of the upstream and when its request was sent.
+    `handle_notice` is called with the notice in the answer and the time when the request was sent.
     Units: `upstream_ms` is the time to the answer's head, in milliseconds.
     """
 
@@ -123,7 +123,7 @@
         return self.hand_over.attempt
 
     async def run(self, scope: trio.CancelScope) -> DispatchEnd:
-        """Go on until the scope ends and return how it ended; DispatchDone was fed already."""
+        """Run until done or cancelled by the scope; return the end. DispatchDone is fed already."""
         end: DispatchEnd = DispatchUnknown(self.attempt, CutReason.UPSTREAM_TIMEOUT)
         with scope:
             end = await self._exchange()
@@ -183,7 +183,7 @@
             self.feed(LoadReported(slow_factor))
 
     def _names_other_request(self, answer: UpstreamAnswer) -> bool:
-        """Tell whether an answer names another request; a refusal may name none."""
+        """Return whether an answer names another request; a refusal need not name any."""
         name = self.dialect.request_id
         named = None if name is None else names.find_header(answer.headers, name)
         return named is not None and self._answers_other_request(answer)
--- a/packages/bendwind-node/src/bendwind_node/calls/health_check.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/health_check.py
@@ -1,4 +1,4 @@
-"""Ask an upstream, on its health path, who it is, whether it stays and how it fares."""
+"""Query the health path of an upstream for its name, health, load and notices."""
 
 import msgspec
 from expression import Result
@@ -19,11 +19,11 @@
 
 
 class HealthAnswer(msgspec.Struct, frozen=True):
-    """Hold what an upstream says on its health path; None, or no name, is what it does not tell.
+    """Hold an answer on the health path; None, or an empty name, stands for an absent value.
 
-    `slow_factor` is how much longer than usual work takes there.
-    `notice` is what it says of itself as in any answer.
-    Units: `warm_up_left_ms` is how much longer it stays cold, None where upstreams never tell.
+    `slow_factor` is the time that work takes there, divided by its usual time.
+    `notice` is the notice that any answer may carry.
+    Units: `warm_up_left_ms` is the remaining warm-up time, None if upstreams never report it.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 
 async def query_health(pool: UpstreamPool, path: str, dialect: Dialect) -> HealthAnswer | None:
-    """Return what the upstream says of itself, None without an answer."""
+    """Return the answer on an upstream's health path, None if there is no path or no answer."""
     answer = await _send_query(pool, path) if path else None
     if answer is None:
         return None
--- a/packages/bendwind-node/src/bendwind_node/calls/notice_log.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/notice_log.py
@@ -1,11 +1,11 @@
-"""Record what upstreams say of themselves in answers, in a bounded number of lines."""
+"""Record the notices of upstreams with a bounded number of log lines."""
 
 import msgspec
 
 from bendwind_core.core import Seconds
 from bendwind_core.timeline import EventKind, Recorder
 
-# An upstream may say something else in each of ten thousand answers a second.
+# An upstream may send a different notice in each of ten thousand answers per second.
 MIN_LINE_INTERVAL: Seconds = 1.0
 MAX_TRACKED_LINES = 64
 
@@ -16,13 +16,13 @@
 
 
 class NoticeLog(msgspec.Struct, eq=False):
-    """Hold when each kind of line was last written for each upstream."""
+    """Limit the rate of log lines of each kind for each upstream."""
 
     recorder: Recorder
     lines: dict[tuple[EventKind, str], _Line] = msgspec.field(default_factory=dict)
 
     def write(self, kind: EventKind, upstream: str, detail: str, now: Seconds) -> None:
-        """Record an event, or count it if the last of its kind was recorded a moment ago."""
+        """Record an event, or only count it if one of its kind was recorded within the interval."""
         line = self.lines.get((kind, upstream))
         if line is not None and now < line.written_at + MIN_LINE_INTERVAL:
             line.left_out += 1
--- a/packages/bendwind-node/src/bendwind_node/calls/owned_upstream.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owned_upstream.py
@@ -1,4 +1,4 @@
-"""Describe an upstream beside this process and what it says of itself."""
+"""Describe an upstream beside this process and its announcements."""
 
 import msgspec
 import trio
@@ -12,12 +12,12 @@
 class OwnedUpstream(msgspec.Struct, eq=False):
     """Hold one upstream beside this process.
 
-    One that is not verified was announced once, perhaps by a message from before an earlier run of
-    this process heard it leave; it takes requests once its health path or a second announcement
-    has shown that it stays. `said` is the state that it announced last and `born_ms` its newest
-    known run. `is_being_asked` says that its health path is being asked how cold it is,
-    `is_marked` that operators want nothing sent to it, `is_unreachable` that it refused the last
-    connection.
+    An upstream that is not verified was announced once, perhaps by a late message: an earlier run
+    of this process may have handled its departure since. It gets requests once its health path or
+    a second announcement has shown that it stays. `announced_state` is the state that it announced
+    last, and `born_ms` is the start time of its newest known run. `is_being_queried` says that its
+    health path is being queried for the remaining warm-up, `is_drain_marked` that operators want no
+    requests sent to it, `is_unreachable` that it refused the last connection.
     """
 
     upstream: Upstream
@@ -36,7 +36,7 @@
 
 
 class UpstreamAddress(msgspec.Struct, frozen=True):
-    """Say where the upstream beside this process is, whichever that is at present."""
+    """Hold the service and address of the upstream beside this process, whichever runs there."""
 
     service: str
     host: str
@@ -44,13 +44,13 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """Hold what an upstream says of itself.
+    """Hold what an upstream announces about itself.
 
-    `sequence` grows with every announcement of one upstream, so that a late one is known; 0 where
-    upstreams do not number them.
-    Units: `warm_up_left_ms` is how much longer it stays cold; `born_ms` is when it started, in
-    milliseconds since 1970 on its own clock, 0 where it does not tell. `sequence` starts anew with
-    each run, which `name` and `born_ms` tell apart.
+    `sequence` grows with every announcement of one run, so that late announcements are detected;
+    it is 0 if the upstream does not number them. It restarts with each run; `name` and `born_ms`
+    identify the run.
+    Units: `warm_up_left_ms` is the remaining warm-up time; `born_ms` is the start time of the
+    upstream in milliseconds since 1970 on its own clock, 0 if it does not report one.
     """
 
     name: str
@@ -66,19 +66,19 @@
 
 
 def is_earlier_run(owned: OwnedUpstream, announcement: Announcement) -> bool:
-    """Tell whether an announcement is that of a run before the one that is registered."""
+    """Return whether an announcement comes from a run before the registered one."""
     return 0 < announcement.born_ms < owned.born_ms
 
 
 def is_later_run(owned: OwnedUpstream, announcement: Announcement) -> bool:
-    """Tell whether an announcement is that of a run after the one that is registered."""
+    """Return whether an announcement comes from a run after the registered one."""
     return 0 < owned.born_ms < announcement.born_ms
 
 
 def names_other_service(owned: OwnedUpstream, announcement: Announcement) -> bool:
-    """Tell whether an announcement names another service than the one that is served there.
+    """Return whether an announcement names another service than the registered one.
 
-    An upstream keeps its service for life, so that such an announcement is not its own.
+    An upstream never changes its service while it runs, so such an announcement is not its own.
     """
     is_registered = owned.announced_state is not UpstreamState.GONE
     return is_registered and announcement.service != owned.upstream.service
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -1,4 +1,4 @@
-"""Own the upstreams beside this process: decide by their states and carry out the effects."""
+"""Run the owner node: step the state of each local upstream and execute the effects."""
 
 import math
 
@@ -53,12 +53,13 @@
 from bendwind_node.calls.upstream_register import HEALTH_QUERY_TIMEOUT, UpstreamRegister
 
 LOAD_REPORT_BYTES = 80
-# Leases of announcements are looked at this often; queued attempts expire on time.
+# Interval of checks for expired announcement leases. The expiry of queued attempts does not wait
+# for this check.
 LEASE_CHECK_INTERVAL: Seconds = 0.5
 
 
 class OwnerNode(msgspec.Struct, eq=False):
-    """Hold the states of the upstreams beside this process."""
+    """Own the upstreams that run beside this process, with their states and links."""
 
     own: Instance
     recorder: Recorder
@@ -85,13 +86,13 @@
         self.register.list_links = self.replies.links.values
 
     def link_opened(self, link: ReplyLink) -> None:
-        """Hear that an entry node opened a link."""
+        """Register a link that an entry node opened."""
         self.replies.open(link)
         event = ev.LinkOpened(link.peer.name, link.peer.incarnation, link.epoch)
         self._feed_all(event)
 
     def link_closed(self, link: ReplyLink) -> None:
-        """Hear that an entry node's link broke."""
+        """Drop the link of an entry node that broke, and the state that depends on it."""
         if not self.replies.close(link):
             return
         self.assemblies.drop_all_of(link.peer.name)
@@ -101,7 +102,7 @@
         self._feed_all(ev.LinkLost(link.peer.name, link.peer.incarnation, link.epoch))
 
     def receive(self, link: ReplyLink, message: PeerMessage) -> None:
-        """Hear a message of an entry node."""
+        """Handle a message from an entry node."""
         match message:
             case HandOver(more=False):
                 self._handle_hand_over(message, link.epoch)
@@ -151,7 +152,7 @@
             link.send(BodyCredit(hand_over.attempt, WINDOW_BYTES))
 
     def _refuse_early(self, owned: OwnedUpstream, hand_over: HandOver, epoch: int) -> bool:
-        """Refuse what would be refused once its body is there; the body need not come."""
+        """Refuse a hand-over that would be refused anyway, before its body is transferred."""
         reason = owner.find_early_refusal(owned.owner_state, hand_over, trio.current_time())
         if reason is None:
             return False
@@ -165,7 +166,7 @@
             case Result(tag="ok", ok=None):
                 link.send(BodyCredit(part.attempt, len(part.data)))
             case Result(tag="ok", ok=hand_over):
-                # The time deducted since the first part includes any pause.
+                # The time already deducted since the first part includes any pause of this process.
                 self._submit_hand_over(hand_over, link.epoch)
             case Result(tag="error", error=reason):
                 self._refuse(part.attempt, link.epoch, reason)
@@ -177,25 +178,26 @@
             self._feed(owned, ev.CancelArrived(attempt, epoch))
 
     def _handle_fence(self, fence: Fence, epoch: int) -> None:
-        # A body that is still coming belongs to an attempt that has not started.
+        # An attempt whose body is still incomplete has not started, so it can be dropped.
         self.assemblies.drop(fence.attempt)
         owned = self.register.owned.get(fence.upstream)
         if owned is not None:
             self._feed(owned, ev.FenceArrived(fence, epoch))
             return
-        # An owner's state lives as long as the process: without one, this run never held the
-        # upstream, and the hand-over, if it still came, would be refused as one to the wrong owner.
+        # The state of an upstream is kept for the lifetime of the process. If there is none, this
+        # run never owned the upstream, and a hand-over that still arrives is refused with
+        # WRONG_OWNER.
         is_own_run = fence.owner_incarnation == self.own.incarnation
         has_all = is_own_run and not self.register.has_evicted
         verdict = FenceVerdict.NEVER_STARTED if has_all else FenceVerdict.FORGOTTEN
         self.replies.send(fence.attempt, epoch, Fenced(fence.attempt, verdict))
 
     def read_load(self, name: str) -> LoadSample:
-        """Return the load of an upstream beside this process."""
+        """Return the load of an owned upstream."""
         return owner.load_sample(self.register.owned[name].owner_state, trio.current_time())
 
     def find_run_rank(self) -> float | None:
-        """Return the most urgent rank of what runs beside this process, None where nothing does."""
+        """Return the most urgent rank among the running attempts, None if no attempt runs."""
         return min(
             (
                 running.effective_rank
@@ -213,7 +215,7 @@
             link.send(LoadReport(name, owned.upstream.service, self.read_load(name)))
 
     def is_idle(self) -> bool:
-        """Tell whether no attempt runs, waits or is still coming in."""
+        """Return whether no attempt runs, waits or is being received."""
         has_work = any(
             owned.owner_state.running or owned.owner_state.waiting
             for owned in self.register.owned.values()
@@ -221,7 +223,7 @@
         return not has_work and not self.assemblies.open and not self.outflows
 
     async def run_clock(self) -> None:
-        """Let queued attempts and announcements expire."""
+        """Expire queued attempts and announcements until cancelled."""
         while True:
             self.due_time_changed = trio.Event()
             self.next_wake_at = self._find_next_due()
@@ -312,13 +314,13 @@
         return hand_over is not None and is_inner_call(owned.owner_state.origins, hand_over.route)
 
     def record_inner_call_refused(self) -> None:
-        """Hear that a call was refused which an upstream beside this process made."""
+        """Record that a call made by an owned upstream (an inner call) was refused."""
         self._feed_all(ev.UpstreamCallRefused())
 
     def _record_refusal(self, owned: OwnedUpstream, reply: ev.ReplyNotRun) -> None:
         hand_over = reply.hand_over
         if hand_over is None:
-            # It was dispatched, and the end of that has a line of its own.
+            # The attempt was dispatched, and the end of the dispatch is recorded separately.
             return
         now = trio.current_time()
         self.recorder.record(
@@ -333,7 +335,7 @@
         )
 
     async def _query_load(self, owned: OwnedUpstream) -> None:
-        """Ask an upstream for its load, within the budget of what measuring may cost."""
+        """Query an upstream for its load if the probe budget permits it."""
         path = self.register.find_health_path(owned.upstream.service)
         if not path or self.dialect.load is None:
             self._feed(owned, ev.LoadNotReported(has_load_endpoint=False))
@@ -363,7 +365,7 @@
         facts = make_dispatch_facts(owned.owner_state, hand_over, scope.deadline, started_at)
         outflow = Outflow()
         self.outflows[attempt] = outflow
-        # Its time in the queue is deducted for its upstream too.
+        # The upstream is told the time that is left after the wait in the queue.
         remaining_ms = (scope.deadline - started_at) * MILLISECONDS_PER_SECOND
         dispatch = UpstreamDispatch(
             owned.pool,
@@ -378,7 +380,8 @@
         try:
             end = await dispatch.run(scope)
         except Exception as error:
-            # A request that ends the process ends the next owner node with its next try.
+            # If the exception ended this process, the retry of the request would end the next owner
+            # node too.
             self.recorder.record(EventKind.TASK_FAILED, call=call, detail=describe_failure(error))
             end = ev.DispatchUnknown(attempt, CutReason.BODY_CUT)
         finally:
@@ -388,7 +391,7 @@
         self._finish_dispatch(owned, hand_over, end, replace(facts, ms=duration_ms))
 
     def handle_notice(self, owned: OwnedUpstream, notice: UpstreamNotice, sent_at: Seconds) -> None:
-        """Hear what an answer of an upstream says of it."""
+        """Apply the rate limit and the leaving flag that an answer of an upstream reports."""
         limit = owned.owner_state.rate_limit
         if notice.limit_per_s is not None:
             self._feed(owned, ev.RateLimitReported(notice.limit_per_s, sent_at))
--- a/packages/bendwind-node/src/bendwind_node/calls/pause_detector.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/pause_detector.py
@@ -1,4 +1,4 @@
-"""Notice that a process stood still, and allow for it in what it reads next."""
+"""Detect that the process was suspended, and deduct the pause from the hand-overs read next."""
 
 import math
 
@@ -8,23 +8,23 @@
 from bendwind_core.core import Seconds
 from bendwind_node.calls.time_left import deduct_time
 
-# Whoever keeps the watch looks at the clock twice a second: if it is so much later, the process
-# stood still meanwhile.
+# The detector reads the clock twice a second. If more time than this has passed in between, the
+# process was suspended.
 PAUSE_THRESHOLD: Seconds = 1.0
-# What came in during a pause is read within this time. Without it a request that was handed over
-# in a pause of four seconds ran after its caller had gone.
+# Messages that arrived during a pause are read within this time after it. Without the deduction, a
+# request that was handed over in a pause of four seconds ran after its caller had gone.
 DEDUCTION_PERIOD: Seconds = 0.1
 
 
 class PauseDetector(msgspec.Struct):
-    """Hold when the process was last seen to run, and how long it had stood still before."""
+    """Hold when the process last ran, and the length of its last pause."""
 
     last_tick_at: Seconds = math.inf
     last_pause: Seconds = 0.0
     deducts_until: Seconds = 0.0
 
     def tick(self, now: Seconds) -> None:
-        """Note that the process runs."""
+        """Record that the process runs."""
         self._detect_pause(now)
         self.last_tick_at = now
 
@@ -36,7 +36,7 @@
             self.deducts_until = now + DEDUCTION_PERIOD
 
     def deduct_pause(self, hand_over: HandOver, now: Seconds) -> HandOver:
-        """Take from a hand-over's time what it may have waited while the process stood still."""
+        """Deduct from a hand-over's remaining time what it may have waited during a pause."""
         self._detect_pause(now)
         if now >= self.deducts_until:
             return hand_over
--- a/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/probe_task.py
@@ -1,4 +1,4 @@
-"""Ask owner nodes for the load of upstreams that this node's calls have not reached lately."""
+"""Probe owner nodes for the load of upstreams that got no recent calls from this node."""
 
 import msgspec
 import trio
@@ -12,12 +12,12 @@
 
 PROBE_INTERVAL: Seconds = 0.25
 IDLE_CHECK_INTERVAL: Seconds = 1.0
-# A service that nobody calls here needs no fresh load.
+# A service that gets no calls on this node needs no current load.
 SERVICE_IDLE_AFTER: Seconds = 5.0
 
 
 class ProbeTask(msgspec.Struct, eq=False):
-    """Own the probes of one process; both what it asks and what it answers draw on the budget."""
+    """Send the probes of one process; sent and answered probes share one budget."""
 
     entry: EntryNode
     owner: OwnerNode
@@ -31,17 +31,19 @@
             await trio.sleep(PROBE_INTERVAL if is_active else IDLE_CHECK_INTERVAL)
 
     def probe_all(self, now: Seconds) -> bool:
-        """Probe for every service in use and tell whether there is one."""
-        active = [one for one in self.entry.choices.values() if self._needs_probes(one, now)]
+        """Probe for every service in use and return whether there is one."""
+        active = [
+            choice for choice in self.entry.choices.values() if self._needs_probes(choice, now)
+        ]
         for choice in active:
             self._probe(choice, now)
         return bool(active)
 
     def _needs_probes(self, choice: ServiceChoice, now: Seconds) -> bool:
-        """Tell whether a service is in use and chosen by load.
+        """Return whether a service is in use and its upstreams are chosen by load.
 
-        Owners of a service that is called near first refuse what they would answer late, and need
-        not be asked beforehand.
+        Owners of a service with `near_first` refuse the attempts that they would answer late, so
+        they need not be probed beforehand.
         """
         service = self.entry.membership.services.get(choice.table.service)
         is_near_first = service is not None and service.near_first
@@ -50,13 +52,13 @@
     def _probe(self, choice: ServiceChoice, now: Seconds) -> None:
         for name in plan_probes(choice.table, self.budget, now):
             owner = choice.table.upstreams[name].upstream.owner.name
-            # A probe is no reason to open a link.
+            # A probe does not justify opening a link.
             if owner in self.entry.hub.dialed:
                 self.entry.send(owner, LoadProbe(name))
                 self.sent += 1
 
     def receive(self, report: LoadReport) -> None:
-        """Hear the load of an upstream."""
+        """Record the reported load of an upstream."""
         choice = self.entry.choices.get(report.service)
         if choice is not None:
             record_load(choice.table, report.upstream, report.load, trio.current_time())
--- a/packages/bendwind-node/src/bendwind_node/calls/reply_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/reply_path.py
@@ -1,4 +1,4 @@
-"""Send an owner's replies back over the link that the attempt came in on."""
+"""Send the replies of an owner over the link on which the attempt arrived."""
 
 from typing import Protocol
 
@@ -10,33 +10,33 @@
 
 
 class ReplyLink(Protocol):
-    """Send to one entry node, in this process or another."""
+    """Link to one entry node, in this process or in another."""
 
     peer: Instance
     epoch: int
 
     def send(self, message: PeerMessage) -> bool:
-        """Queue a message and tell whether the link took it."""
+        """Queue a message and return whether the link accepted it."""
 
 
 class ReplyPath(msgspec.Struct):
-    """Hold the newest link of each entry node."""
+    """Hold the newest link to each entry node."""
 
     links: dict[str, ReplyLink] = msgspec.field(default_factory=dict)
 
     def open(self, link: ReplyLink) -> None:
-        """Use this link for the replies to its peer."""
+        """Use a link for the replies to its peer."""
         self.links[link.peer.name] = link
 
     def close(self, link: ReplyLink) -> bool:
-        """Forget a link; False if a newer one has replaced it."""
+        """Remove a link; return False if a newer one has replaced it."""
         if self.links.get(link.peer.name) is not link:
             return False
         del self.links[link.peer.name]
         return True
 
     def send(self, attempt: AttemptId, epoch: int, message: PeerMessage) -> bool:
-        """Send to the attempt's entry node unless the link it came in on is gone."""
+        """Send to the entry node of an attempt unless the link on which it arrived is gone."""
         link = self.links.get(attempt.entry)
         is_same = link is not None and link.epoch == epoch
         if not is_same or link.peer.incarnation != attempt.incarnation:
--- a/packages/bendwind-node/src/bendwind_node/calls/suspect_reporter.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/suspect_reporter.py
@@ -1,4 +1,4 @@
-"""Tell a voter what an owner node knows against requests."""
+"""Send the suspect reports of an owner node to a voter."""
 
 from collections.abc import Callable
 
@@ -14,26 +14,26 @@
     remove_expired,
 )
 
-# Returns False if there is no way to the voter now.
+# Returns False if no voter is reachable at present.
 SendSuspects = Callable[[tuple[SuspectReport, ...]], bool]
 
 
 class SuspectReporter(msgspec.Struct):
-    """Hold what is to be reported, and when the rest was reported last."""
+    """Hold the suspects to report, and when the restricted ones were last resent."""
 
     table: SuspectTable
     send: SendSuspects = lambda reports: False
     resent_at: Seconds = 0.0
 
     def report_new(self, now: Seconds) -> None:
-        """Tell what is new; it stays to be reported while no voter is reached."""
+        """Send the new reports; they stay queued while no voter is reachable."""
         if self.send(list_unreported(self.table, now)):
             self.table.unreported.clear()
 
     def resend_restricted(self, services: frozenset[str], now: Seconds) -> None:
-        """Tell again what has a consequence for these services, once in a while.
+        """Resend the reports that restrict requests of these services, at a fixed interval.
 
-        The voter may have missed it, or be another one.
+        The voter may have missed them, or another voter may have taken its place.
         """
         if now - self.resent_at < REPEAT_EVERY:
             return
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_h11.py
@@ -14,17 +14,18 @@
 from bendwind_node.streams import PromptStream, open_prompt_stream
 
 KEEP_ALIVE_TIMEOUT: Seconds = 30.0
-# A request that must not be repeated goes over a connection that the upstream has not had time to
-# tire of: one closed at the same moment would leave its outcome unknown.
+# A request that must not run twice is sent only over a connection that was idle for less than this
+# time. The upstream could close an older one at the same moment, which would leave the outcome of
+# the request unknown.
 NON_IDEMPOTENT_MAX_IDLE: Seconds = 1.0
 CONNECT_TIMEOUT: Seconds = 1.0
-# An upstream that refuses connections is tried twice a second, which costs it next to nothing; a
+# An upstream that refuses connections is tried twice a second. The cost for it is negligible, and a
 # new run of it announces itself anyway.
 CONNECT_RETRY_INTERVAL: Seconds = 0.5
 CONNECT_RETRY_JITTER = 0.2
-# A connection that was closed while the request was on its way fails within a round trip inside the
-# instance. What fails later was read, and may have ended the upstream: under one such request 15
-# upstreams ended, each 30 to 90 ms after it had reached them.
+# If the upstream closed a connection while the request was in transit, the failure shows within one
+# round trip inside the instance. A request that fails later was read, and may have ended the
+# upstream: one such request ended 15 upstreams, each 30 to 90 ms after it had reached them.
 RESEND_WINDOW: Seconds = 0.02
 RECEIVE_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 64 * 1024
@@ -34,7 +35,7 @@
 
 
 class UpstreamConnection(msgspec.Struct, eq=False):
-    """Hold one connection to the upstream."""
+    """Hold one HTTP/1.1 connection to the upstream."""
 
     stream: PromptStream
     protocol: h11.Connection
@@ -42,7 +43,7 @@
     is_reused: bool = False
 
     def is_usable(self, now: Seconds, max_idle: Seconds) -> bool:
-        """Tell whether the connection is young enough and the upstream has not closed it."""
+        """Return whether the connection was idle for less than `max_idle` and is still open."""
         return now - self.idle_since < max_idle and not self.stream.socket.is_readable()
 
     async def next_event(self) -> object:
@@ -58,7 +59,7 @@
 
 
 class UpstreamAnswer:
-    """Hold an answer's head and give its body in parts."""
+    """Hold the head of an answer and read its body in parts."""
 
     __slots__ = ("connection", "headers", "is_complete", "pool", "status")
 
@@ -85,7 +86,7 @@
         return Error(_CUT)
 
     async def aclose(self) -> None:
-        """Give the connection back, or close it if the body was not read to its end."""
+        """Release the connection, which closes it if the body was not read to its end."""
         await self.pool.release(self.connection, is_complete=self.is_complete)
 
 
@@ -93,9 +94,10 @@
 
 
 class UpstreamPool(msgspec.Struct, eq=False):
-    """Own the connections to one upstream; the newest idle one is used first.
+    """Own the connections to one upstream; the most recently used idle one is reused first.
 
-    Units: within `resend_within` seconds a kept connection that failed is taken for closed before.
+    Units: if a reused connection fails within `resend_window` seconds, the upstream is assumed to
+    have closed it before it read the request.
     """
 
     host: str
@@ -108,9 +110,9 @@
     async def start(
         self, request: UpstreamRequest, on_sent: Callable[[], None] = lambda: None
     ) -> Result[UpstreamAnswer, RequestNotSent | AnswerCut]:
-        """Send a request and return its answer as soon as the head is there.
+        """Send a request and return its answer as soon as the head is received.
 
-        `note_sent` is called once the request went out whole.
+        `on_sent` is called once the complete request was sent.
         """
         acquired = await self._acquire(
             NON_IDEMPOTENT_MAX_IDLE if request.is_non_idempotent else KEEP_ALIVE_TIMEOUT
@@ -123,9 +125,10 @@
         if answer.is_ok() or not connection.is_reused or request.is_non_idempotent:
             return answer
         if trio.current_time() - started_at > self.resend_window:
-            # Whatever ended it ran it first; another send is for the entry node to decide and pay.
+            # The upstream had time to read the request and may have run it. The entry node decides
+            # whether to send it again, at the expense of its retry budget.
             return answer
-        # The upstream may have closed the kept connection just as the request went out.
+        # The upstream may have closed the idle connection just as the request was sent.
         fresh = await self._connect()
         return answer if fresh.is_error() else await self._exchange(fresh.ok, request, on_sent)
 
@@ -150,7 +153,7 @@
         return Error(RequestNotSent(NotRunReason.CONNECT_FAILED, is_timed_out=True))
 
     async def refuses_connections(self) -> bool:
-        """Find out by a connection, which is kept if the upstream takes it."""
+        """Return whether the upstream refuses a new connection; an accepted one is kept as idle."""
         connected = await self._connect()
         match connected:
             case Result(tag="ok", ok=connection) if self.is_closed:
@@ -187,10 +190,10 @@
         return Error(_CUT)
 
     async def release(self, connection: UpstreamConnection, *, is_complete: bool) -> None:
-        """Keep a connection whose answer was read to its end, close any other."""
+        """Keep a connection whose answer was read to its end; close any other."""
         protocol = connection.protocol
         is_done = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
-        # Bytes beyond the answer belong to no request, and would be read as the next answer.
+        # Bytes after the answer belong to no request and would be read as the next answer.
         has_surplus = bool(protocol.trailing_data[0])
         if is_complete and is_done and not has_surplus and not self.is_closed:
             protocol.start_next_cycle()
@@ -200,14 +203,14 @@
             await trio.aclose_forcefully(connection.stream)
 
     async def aclose(self) -> None:
-        """Close every idle connection; those in use are closed when they are given back."""
+        """Close the idle connections; connections in use are closed when they are released."""
         self.is_closed = True
         while self.idle:
             await trio.aclose_forcefully(self.idle.pop().stream)
 
 
 async def wait_until_accepting(host: str, port: int, should_continue: Callable[[], bool]) -> bool:
-    """Try an address that refuses connections until it takes one; False once that is not wanted."""
+    """Retry an address until it accepts a connection; return False if should_continue stops it."""
     while should_continue():
         await trio.sleep(
             CONNECT_RETRY_INTERVAL
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_notice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_notice.py
@@ -1,4 +1,4 @@
-"""Read what an upstream says of itself in its answers: its rate limit, and that it leaves."""
+"""Parse the notice headers of an upstream's answers: its rate limit and whether it leaves."""
 
 import re
 
@@ -7,7 +7,7 @@
 from bendwind_core.attempts import Header
 from bendwind_node.calls.dialect import Dialect
 
-# Enough for any decimal number that a program writes; what is longer comes from a faulty one.
+# Long enough for any number that a correct program writes; a longer one comes from a faulty one.
 _MAX_DIGITS = 32
 _DECIMAL = re.compile(rb"\d{1,%d}(\.\d{1,%d})?" % (_MAX_DIGITS, _MAX_DIGITS))
 _LEAVING = b"1"
@@ -15,9 +15,9 @@
 
 
 class UpstreamNotice(msgspec.Struct, frozen=True):
-    """Hold what an answer says of its upstream; `malformed` is a value that says nothing.
+    """Hold the notice in an answer; `malformed` is the first value that could not be parsed.
 
-    Units: `limit_per_s` is the rate limit in requests a second, None where none is named.
+    Units: `limit_per_s` is the rate limit in requests per second, None if none is named.
     """
 
     limit_per_s: float | None = None
@@ -29,7 +29,7 @@
 
 
 def read_notice(headers: tuple[Header, ...], dialect: Dialect) -> UpstreamNotice:
-    """Read an answer's headers; what is malformed neither sets a limit nor ends one.
+    """Parse the headers of an answer; a malformed value neither sets nor lifts a limit.
 
     >>> from bendwind_node.calls.dialect import BENDWIND_DIALECT
     >>> read_notice(((b"bendwind-rate-limit", b"6.2"),), BENDWIND_DIALECT).limit_per_s
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
@@ -1,4 +1,4 @@
-"""Keep the upstreams beside this process: which there are, whether they stay, until when."""
+"""Register the upstreams beside this process, verify them and expire their leases."""
 
 from collections.abc import Callable, Iterable
 
@@ -30,9 +30,10 @@
 
 QUEUE_LIMIT = 16
 MAX_OWNED_UPSTREAMS = 8
-# A health answer is a round trip within the instance; a stalled upstream answers none.
+# An answer takes one round trip within the instance; a stalled upstream does not answer at all.
 HEALTH_QUERY_TIMEOUT: Seconds = 0.5
-# Until the configuration names the health path, and after an answer that introduced nobody.
+# Interval of polls for a health path that the configuration does not name yet, and wait after a
+# health query that did not lead to a registration or to a known warm-up state.
 HEALTH_PATH_POLL_INTERVAL: Seconds = 0.02
 HEALTH_QUERY_INTERVAL: Seconds = 0.2
 
@@ -42,11 +43,13 @@
 class UpstreamRegister(msgspec.Struct, eq=False):
     """Hold the upstreams beside this process by name.
 
-    `feed` and `list_links` lead to the owner node: to an upstream's state, and to the links
-    that a new one has to hear of. `started_at` is when this process started, `suspects` are the
-    requests that may end upstreams. `is_evacuated` says that operators want nothing sent to the
-    upstreams of this data centre. `place` is where the settings say that the one upstream beside
-    this process is, which no other process reaches, None where they do not say.
+    `feed` and `list_links` are set by the owner node: `feed` applies an event to the state of an
+    upstream, and `list_links` returns the open links, which a new upstream's state has to know.
+    `started_at` is when this process started. `suspects` holds the requests that may end
+    upstreams. `has_evicted` says that a gone upstream was removed to make room for another.
+    `is_evacuated` says that operators withdrew this data centre, so that its upstreams get no
+    requests. `configured_address` is the address of the only upstream beside this process
+    according to the settings, None if they name none; no other process reaches that upstream.
     """
 
     own: Instance
@@ -71,7 +74,7 @@
     configured_address: UpstreamAddress | None = None
 
     def handle_announcement(self, announcement: Announcement) -> bool:
-        """Register or renew an upstream; False if this process holds too many."""
+        """Register an upstream or renew its lease; return False if too many are registered."""
         owned = self.owned.get(announcement.name)
         is_first = owned is None
         if owned is None:
@@ -87,7 +90,8 @@
         elif is_later_run(owned, announcement):
             self._begin_run(owned, announcement)
         elif owned.has_left and not announcement.sequence:
-            # It has said goodbye and tells no birth: that of its next run is when it is heard of.
+            # It has left, and its announcements carry no start time. The arrival of the first
+            # announcement after that counts as the start of its next run.
             self._begin_run(owned, announcement)
             owned.born_ms = max(owned.born_ms + 1, self.recorder.clock.wall_ms())
         elif names_other_service(owned, announcement):
@@ -100,7 +104,7 @@
         if announcement.sequence and (
             owned.has_left or announcement.sequence <= owned.last_sequence
         ):
-            # A late announcement of one that has said more since; what it said then stands.
+            # The announcement is late: the upstream has sent newer ones or has left since.
             return True
         owned.last_sequence = max(owned.last_sequence, announcement.sequence)
         owned.born_ms = max(owned.born_ms, announcement.born_ms)
@@ -115,7 +119,7 @@
         return True
 
     def _begin_run(self, owned: OwnedUpstream, announcement: Announcement) -> None:
-        """Turn to the next run of an upstream, which knows nothing of the earlier one."""
+        """Reset the state for the next run of an upstream, which knows nothing of the last one."""
         self.recorder.record(
             EventKind.UPSTREAM_RESTARTED,
             upstream=announcement.name,
@@ -138,7 +142,8 @@
             return True
         if self._find_previous(announcement) is None:
             return False
-        # Announcements that a cut held up may come after those of the one that replaced it.
+        # Announcements that a network partition delayed may arrive after those of the upstream that
+        # replaced this one.
         can_query = self.dialect.answering_upstream is not None
         return can_query and bool(self.find_health_path(announcement.service))
 
@@ -156,13 +161,15 @@
         queried_at = trio.current_time()
         answer = await self._query_owned(owned, announcement.service)
         if owned.born_ms != announcement.born_ms:
-            # The answer may be that of the run which has begun since.
+            # Another run has begun since, and the answer may be from that run.
             return
         if answer is not None and answer.name == announcement.name:
             self._end_previous(announcement)
-            # One that leaves may say that it is not well, so that nothing else is believed.
+            # A leaving upstream may report that it is unhealthy, and then the rest of its answer is
+            # not used. Its notice is therefore applied first.
             self._record_notice(owned, answer.notice, queried_at)
-            # An upstream that is well may say otherwise, but not that it announces itself twice.
+            # A healthy upstream may report itself as unhealthy. A second announcement therefore
+            # verifies it without a healthy answer.
             owned.is_verified = owned.is_verified or answer.is_healthy or not is_first
         if (
             owned.is_verified
@@ -175,11 +182,12 @@
     def record_health_answer(
         self, owned: OwnedUpstream, answer: HealthAnswer | None, queried_at: Seconds
     ) -> None:
-        """Note what an upstream said of its pace and of how cold it is."""
+        """Record the pace, warm-up and notice that an upstream reports on its health path."""
         if answer is None or answer.name not in ("", owned.upstream.name):
-            # What another upstream says of itself is no sign of life of this one.
+            # An answer from another upstream does not show that this one is alive.
             return
-        # One that has just started is slow: its first answers would be taken for its usual pace.
+        # An upstream that has just started is slow. Without its slow factor, the times of its first
+        # answers would count as its usual pace.
         if answer.slow_factor is not None:
             self.feed(owned, ev.LoadReported(answer.slow_factor))
         if answer.warm_up_left_ms is not None and answer.name:
@@ -190,14 +198,14 @@
     def _record_notice(
         self, owned: OwnedUpstream, notice: UpstreamNotice, queried_at: Seconds
     ) -> None:
-        # An answer on the health path that names no limit ends none: it need not repeat it.
+        # Health answers need not repeat the rate limit, so one without a limit does not lift it.
         if notice.limit_per_s is not None:
             self.feed(owned, ev.RateLimitReported(notice.limit_per_s, queried_at))
         if notice.is_leaving:
             self.handle_leaving(owned)
 
     def handle_leaving(self, owned: OwnedUpstream) -> None:
-        """Hear from an upstream itself that it leaves, and tell all; it may never announce it."""
+        """Publish an upstream as draining that reports that it leaves; it may never announce it."""
         if owned.owner_state.is_leaving:
             return
         self.feed(owned, ev.LeavingReported())
@@ -214,10 +222,11 @@
         return None
 
     async def register_by_health_path(self, address: UpstreamAddress) -> None:
-        """Register the upstream at a place by its own word, without waiting to be told of it.
+        """Register the upstream at an address by its health answer, without an announcement.
 
         A process that has just started would otherwise refuse every request until the next
-        announcement. It stops asking once one was heard or a lease has passed.
+        announcement. The queries end once an upstream is registered at the address, or after the
+        length of a lease.
         """
         self.configured_address = address
         pool = UpstreamPool(address.host, address.port, 1)
@@ -261,7 +270,7 @@
         return bool(self._list_at(address.host, address.port))
 
     def _list_at(self, host: str, port: int) -> list[OwnedUpstream]:
-        """List the upstreams that are registered at an address and have not ended."""
+        """Return the upstreams that are registered at an address and have not ended."""
         return [
             owned
             for owned in self.owned.values()
@@ -287,14 +296,14 @@
         self._start_warm_up_queries(owned)
 
     def _find_state(self, owned: OwnedUpstream) -> UpstreamState:
-        """Return the state that others are told: one that refuses connections serves nobody."""
+        """Return the state to publish; an upstream that refuses connections counts as gone."""
         if owned.is_unreachable or owned.announced_state is UpstreamState.GONE:
             return UpstreamState.GONE
         is_leaving = self.is_draining or owned.owner_state.is_leaving
         return UpstreamState.DRAINING if is_leaving else owned.announced_state
 
     def _evict_gone(self) -> bool:
-        """Forget an upstream that is gone and has nothing under way, to make room for another."""
+        """Evict an upstream that is gone and has no attempts, to make room for another one."""
         for name, owned in self.owned.items():
             is_idle = not owned.owner_state.running and not owned.owner_state.waiting
             if owned.announced_state is UpstreamState.GONE and is_idle:
@@ -312,13 +321,13 @@
         )
 
     def _end_previous(self, announcement: Announcement) -> None:
-        """Take an address away from the upstream that had it before."""
+        """End the upstreams that were registered at the announced address before."""
         while (previous := self._find_previous(announcement)) is not None:
             self._end_replaced(previous)
             previous.has_left = True
 
     def handle_pushed_upstream(self, pushed: Upstream) -> None:
-        """Hear what the voters push of an upstream; a drain mark shows as a state not announced."""
+        """Apply a state pushed by the voters; DRAINING without an announcement is a drain mark."""
         owned = self.owned.get(pushed.name)
         if owned is None or pushed.owner != self.own:
             return
@@ -331,7 +340,7 @@
             self._feed_state(owned)
 
     def handle_configuration(self, evacuated: frozenset[str]) -> None:
-        """Hear that a configuration came into force, and which data centres are evacuated."""
+        """Apply a new configuration and the set of evacuated data centres."""
         was_evacuated = self.is_evacuated
         self.is_evacuated = self.own.data_centre in evacuated
         for owned in self.owned.values():
@@ -345,7 +354,7 @@
         if self.is_evacuated:
             self.feed(owned, ev.QueueWithdrawn())
         else:
-            # It was sent nothing, and may have been restarted meanwhile.
+            # The upstream got no requests during the evacuation and may have been restarted.
             self.feed(owned, ev.UpstreamAssumedCold())
 
     def _feed_state(self, owned: OwnedUpstream) -> None:
@@ -387,9 +396,10 @@
         return owned
 
     def _find_alone_from(self, announcement: Announcement) -> Seconds:
-        """Return when no other process sends to an upstream any more that is new here.
+        """Return from when on no other process sends requests to a newly registered upstream.
 
-        One that was announced to another process before is that one's until its lease runs out.
+        An upstream that was announced to another process before stays with that process until the
+        lease there expires.
         """
         now = trio.current_time()
         if self.configured_address is not None and (
@@ -400,7 +410,7 @@
         return now + self.lease_ms / MILLISECONDS_PER_SECOND
 
     def _start_warm_up_queries(self, owned: OwnedUpstream) -> None:
-        """Have an upstream asked that counts as cold only since nothing is known of it."""
+        """Query an upstream that counts as cold only because its warm-up state is unknown."""
         is_assumed = is_assumed_cold(owned.owner_state.warm_up, trio.current_time())
         if is_assumed and not owned.is_being_queried and self.dialect.warm_up is not None:
             owned.is_being_queried = True
@@ -418,7 +428,7 @@
         owned.is_being_queried = False
 
     def mark_unreachable(self, owned: OwnedUpstream) -> None:
-        """Tell all that an upstream refuses connections, and try it aside until it does not."""
+        """Publish an upstream that refuses connections as gone, and retry it in the background."""
         owned.is_unreachable = True
         self._set_state(owned)
         self.nursery.start_soon(self._wait_until_reachable, owned)
@@ -431,7 +441,7 @@
         if is_reachable:
             owned.is_unreachable = False
             self.feed(owned, ev.UpstreamReachable())
-            # Whatever refuses connections and takes them again has most likely started anew.
+            # An upstream that accepts connections again has most likely been restarted.
             self.feed(owned, ev.UpstreamAssumedCold())
             self._set_state(owned)
             self._feed_state(owned)
@@ -455,13 +465,14 @@
         self.announce(owned.upstream)
 
     def handle_departure(self, name: str, born_ms: int = 0) -> bool:
-        """Hear that a run of an upstream leaves for good; False if it is unknown.
+        """Handle the final departure of an upstream's run; return False if the name is unknown.
 
-        `born_ms` 0 means whichever run is there.
+        `born_ms` is the start time of the run; 0 stands for the run that is registered now.
         """
         owned = self.owned.get(name)
         if owned is None:
-            # An earlier run of this process may have known it: a late announcement may follow.
+            # It may have been registered at an earlier run of this process, and a late announcement
+            # of it may still arrive.
             self.departures.record(name, born_ms)
             return False
         if born_ms and born_ms < owned.born_ms:
@@ -472,23 +483,23 @@
         return True
 
     def handle_misdirected(self, name: str) -> None:
-        """Hear from the upstream at an address that it is not the one registered there."""
+        """End an upstream after another one at its address has answered that it is not the one."""
         owned = self.owned.get(name)
         if owned is None or owned.announced_state is UpstreamState.GONE:
             return
         address = UpstreamAddress(owned.upstream.service, owned.pool.host, owned.pool.port)
         self._end_replaced(owned)
-        # Whoever stands there now may be taken at its own word.
+        # The upstream that now has the address can be registered by its health answer.
         self.nursery.start_soon(self.register_by_health_path, address)
 
     def end_expired(self, now: Seconds) -> None:
-        """End the upstreams that have not renewed their announcement in time."""
+        """End the upstreams whose announcement lease has expired."""
         for owned in tuple(self.owned.values()):
             if owned.lease_until < now and owned.announced_state is not UpstreamState.GONE:
                 self._end(owned)
 
     def _end_replaced(self, owned: OwnedUpstream) -> None:
-        """End an upstream at whose address another one stands."""
+        """End an upstream whose address now belongs to another one."""
         self._end(owned, is_replaced=owned.announced_state is UpstreamState.READY)
 
     def _end(self, owned: OwnedUpstream, *, is_replaced: bool = False) -> None:
@@ -501,7 +512,7 @@
         self._publish(owned, replace(owned.upstream, state=self._find_state(owned)))
 
     def drain(self) -> None:
-        """Refuse new attempts for good and tell every watcher."""
+        """Refuse new attempts from now on and publish the upstreams as draining."""
         self.is_draining = True
         for owned in self.owned.values():
             self._set_state(owned)
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_request.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_request.py
@@ -6,7 +6,7 @@
 
 
 class UpstreamRequest(msgspec.Struct):
-    """Hold one request whose body is complete; a marked one must not be repeated."""
+    """Hold one request with its complete body; a non-idempotent one must not be sent twice."""
 
     method: bytes
     target: bytes
@@ -16,9 +16,9 @@
 
 
 class RequestNotSent(msgspec.Struct, frozen=True):
-    """Tell that no byte of the request went to the upstream.
+    """Report that no byte of the request was sent to the upstream.
 
-    `is_timed_out` says that the connection was neither taken nor refused.
+    `is_timed_out` says that the connection was neither accepted nor refused in time.
     """
 
     reason: NotRunReason
@@ -26,6 +26,6 @@
 
 
 class AnswerCut(msgspec.Struct, frozen=True):
-    """Tell that the request was sent, at least in part, and its answer did not come whole."""
+    """Report that the request was sent, at least in part, and its answer is incomplete."""
 
     reason: CutReason
