--- a/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
@@ -32,7 +32,7 @@
 
 @dataclass
 class FakeMembership:
-    """Hold the services and upstreams that a test sets."""
+    """Provide the services and upstreams that a test sets."""
 
     services: dict = field(default_factory=dict)
     known: dict = field(default_factory=dict)
@@ -62,7 +62,7 @@
 
 @dataclass(eq=False)
 class FakeLink:
-    """Carry messages to one end of a link; `held` keeps them back while it is a list."""
+    """Deliver messages to one end of a link; while `held` is a list, it collects them instead."""
 
     peer: Instance
     epoch: int
@@ -81,7 +81,7 @@
 
 
 class FakeHub:
-    """Link one entry node to owner nodes in the same process."""
+    """Connect one entry node to owner nodes in the same process."""
 
     def __init__(self, own):
         self.own = own
@@ -130,7 +130,7 @@
 
 @dataclass
 class FakeExchange:
-    """Hold a caller's request and what it was answered."""
+    """Hold a caller's request and record the answer."""
 
     request: CallerRequest
     parts: list = field(default_factory=list)
@@ -181,7 +181,7 @@
 
 
 class CallTestCluster:
-    """Wire one entry node with its own owner node and any number of others."""
+    """Connect one entry node to its own owner node and any number of others."""
 
     def __init__(self, nursery, service=None):
         self.nursery = nursery
@@ -214,7 +214,7 @@
         return owner
 
     def set_stale_upstream(self, owner, incarnation):
-        """Make the entry node believe in an older run of an owner."""
+        """Make the entry node know an owner only by an older run of it."""
         old = Instance(owner.own.name, "dc", "127.0.0.1", 1, incarnation)
         self.membership.known["svc"]["svc-1"] = Upstream(
             "svc-1", "svc", old, 2, 4, UpstreamState.READY
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/scripted_server.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/scripted_server.py
@@ -1,4 +1,4 @@
-"""Serve scripted bytes on loopback in place of an upstream."""
+"""Serve scripted bytes on the loopback interface in place of an upstream."""
 
 import contextlib
 
@@ -23,7 +23,7 @@
 
 
 async def read_request(stream):
-    """Read up to the end of a request's head; empty when the client closed."""
+    """Return the bytes up to the end of a request head, empty if the client closed."""
     data = b""
     while b"\r\n\r\n" not in data:
         more = await stream.receive_some(65536)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
@@ -37,7 +37,7 @@
         trio.run(main)
 
     def make_body_reader(self):
-        """Return a buffer and the handler that reads a body of one mebibyte into it."""
+        """Return a buffer and a handler that reads a body of 1 MiB into it."""
         received = bytearray()
 
         async def read_body(stream, data):
@@ -51,7 +51,7 @@
     async def answer_ok(self, stream, data):
         await stream.send_all(OK)
 
-    def test_own_upstream_answers_whole(self):
+    def test_answer_of_an_own_upstream_is_delivered_completely(self):
         async def check(cluster, port):
             announce(cluster.owner, port)
             done = await cluster.call(make_exchange())
@@ -60,7 +60,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_a_host_names_its_service_whatever_its_case_and_port(self):
+    def test_host_selects_its_service_regardless_of_case_and_port(self):
         async def check(cluster, port):
             announce(cluster.owner, port)
             for host in (b"svc.example", b"Svc.Example:8101", b"svc", b"SVC:80"):
@@ -71,7 +71,7 @@
         service = Service("svc", ("*",), hosts=("svc.example",))
         self.run_with(self.answer_ok, check, service=service)
 
-    def test_methods_that_no_upstream_serves_end_at_the_entry_node(self):
+    def test_unsupported_methods_are_rejected_by_the_entry_node(self):
         async def check(cluster, port):
             announce(cluster.owner, port)
             for method in (b"CONNECT", b"TRACE"):
@@ -81,7 +81,7 @@
         self.run_with(self.answer_ok, check)
         self.assertEqual(self.runs, 0)
 
-    def test_long_answer_passes_a_slow_caller_within_its_window(self):
+    def test_long_answer_to_a_slow_caller_is_buffered_within_the_window(self):
         async def long_answer(stream, data):
             head = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % (2 * MIB)
             await stream.send_all(head + b"z" * 2 * MIB)
@@ -102,7 +102,7 @@
 
         self.run_with(long_answer, check)
 
-    def test_long_request_reaches_another_owner_whole(self):
+    def test_long_request_body_reaches_another_owner_completely(self):
         received, read_body = self.make_body_reader()
 
         async def check(cluster, port):
@@ -114,8 +114,9 @@
 
         self.run_with(read_body, check)
 
-    def test_long_body_goes_far_only_once_its_owner_takes_it(self):
-        # Bodies were sent whole to owners in other data centres that then refused the request.
+    def test_long_body_is_sent_to_another_data_centre_only_after_its_owner_accepted(self):
+        # Guards against sending complete bodies to owners in other data centres that then refuse
+        # the request.
         received, read_body = self.make_body_reader()
 
         async def check(cluster, port):
@@ -138,8 +139,9 @@
 
         self.run_with(read_body, check)
 
-    def test_long_body_stays_until_an_owner_takes_a_try_that_may_not_wait(self):
-        # An upstream in the same data centre got the whole body, and sent it back when busy.
+    def test_long_body_is_sent_only_after_an_owner_accepted_a_no_wait_attempt(self):
+        # Guards against sending the complete body to an owner in the same data centre that then
+        # refuses the attempt as busy.
         received, read_body = self.make_body_reader()
 
         async def check(cluster, port):
@@ -162,7 +164,7 @@
 
         self.run_with(read_body, check)
 
-    def test_answer_cut_at_the_upstream_aborts_the_caller(self):
+    def test_answer_cut_off_by_the_upstream_aborts_the_answer_to_the_caller(self):
         async def cut(stream, data):
             await stream.send_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nso")
             await stream.aclose()
@@ -174,9 +176,9 @@
 
         self.run_with(cut, check)
 
-    def test_upstream_of_an_owner_that_only_the_voters_lost_stays_in_use(self):
-        # Upstreams of instances that were cut off from the voters alone stood idle while others
-        # refused requests.
+    def test_upstream_stays_in_use_while_only_the_voters_have_lost_its_owner(self):
+        # Guards against idle upstreams: those of instances that were cut off only from the voters
+        # got no requests, while others refused requests.
         async def check(cluster, port):
             announce(cluster.add_owner("other"), port)
             self.assertEqual((await cluster.call(make_exchange())).status, 200)
@@ -190,7 +192,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_upstream_that_its_owner_sends_away_is_used_no_more(self):
+    def test_upstream_that_has_left_its_owner_is_no_longer_used(self):
         async def check(cluster, port):
             owner = cluster.add_owner("other")
             announce(owner, port)
@@ -207,7 +209,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_link_lost_before_the_hand_over_arrived_is_proven_not_run(self):
+    def test_attempt_is_proven_not_run_if_the_link_breaks_before_its_hand_over_arrives(self):
         async def check(cluster, port):
             announce(cluster.add_owner("other"), port)
             cluster.hub.hold = True
@@ -223,8 +225,11 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_hand_over_that_came_while_its_owner_stood_still_does_not_run_after_its_time(self):
-        # The process read it four seconds later, and granted it all of its time.
+    def test_hand_over_that_arrived_during_a_pause_of_its_owner_does_not_run_after_its_deadline(
+        self,
+    ):
+        # Guards against ignoring the pause: the process read the hand-over four seconds late and
+        # granted it its full time.
         async def check(cluster, port):
             other = cluster.add_owner("other")
             announce(other, port)
@@ -244,7 +249,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_quarantined_call_of_an_upstream_has_no_other_request_turned_away(self):
+    def test_quarantined_inner_call_does_not_cause_refusals_of_other_requests(self):
         async def check(cluster, port):
             announce(cluster.owner, port)
             for reason, expected in ((NotRunReason.QUEUE_FULL, 1), (NotRunReason.QUARANTINED, 0)):
@@ -258,8 +263,9 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_fence_near_the_deadline_is_no_error_of_the_upstream(self):
-        # Each fence counted as one, and an attempt whose link broke stayed outstanding for good.
+    def test_fence_near_the_deadline_does_not_count_as_an_error_of_the_upstream(self):
+        # Guards against two faults: each fence counted as an error, and an attempt whose link broke
+        # stayed outstanding for good.
         async def wait(stream, data):
             await trio.sleep_forever()
 
@@ -273,7 +279,9 @@
 
         self.run_with(wait, check)
 
-    def test_link_lost_after_the_start_is_unknown_for_a_marked_request(self):
+    def test_outcome_of_a_non_idempotent_request_is_unknown_if_the_link_breaks_after_its_start(
+        self,
+    ):
         go_on = trio.Event()
 
         async def wait(stream, data):
@@ -294,8 +302,9 @@
 
         self.run_with(wait, check)
 
-    def test_refusal_of_a_restarted_owner_is_taken_as_proof(self):
-        # It was dropped as late, because the reply's incarnation is not the one called.
+    def test_refusal_by_a_restarted_owner_proves_that_the_attempt_did_not_run(self):
+        # Guards against dropping the refusal as late, since the incarnation in the reply is not the
+        # one that the attempt was sent to.
         async def check(cluster, port):
             owner = cluster.add_owner("other", incarnation=2)
             announce(owner, port)
@@ -307,7 +316,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_stale_node_refuses_unless_the_service_serves_stale(self):
+    def test_node_with_a_stale_configuration_refuses_unless_the_service_permits_it(self):
         async def refuse(cluster, port):
             announce(cluster.owner, port)
             cluster.membership.fresh = False
@@ -323,8 +332,8 @@
         service = Service("svc", ("*",), on_stale=StaleAction.SERVE)
         self.run_with(self.answer_ok, serve, service=service)
 
-    def test_service_is_unknown_only_to_a_node_that_is_fresh(self):
-        # Nodes that had just restarted answered 404 for every service.
+    def test_only_a_node_with_a_fresh_configuration_reports_a_service_as_unknown(self):
+        # Guards against answers with 404 for every service from nodes that have just restarted.
         async def check(cluster, port):
             cluster.membership.services.clear()
             done = await cluster.call(make_exchange())
@@ -335,7 +344,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_call_right_after_the_start_waits_for_the_configuration(self):
+    def test_call_right_after_the_start_waits_for_the_first_configuration(self):
         async def check(cluster, port):
             announce(cluster.owner, port)
             services = dict(cluster.membership.services)
@@ -351,7 +360,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_bodies_over_the_limit_or_the_budget_are_refused_and_freed(self):
+    def test_bodies_over_the_limit_or_the_budget_are_refused_and_released(self):
         async def check(cluster, port):
             announce(cluster.owner, port)
             done = await cluster.call(make_exchange(POST, b"x" * 2000))
@@ -364,7 +373,7 @@
         service = Service("svc", ("*",), limits=Limits(body_bytes=1000))
         self.run_with(self.answer_ok, check, service=service)
 
-    def test_busy_service_leaves_others_their_share(self):
+    def test_busy_service_leaves_other_services_their_share(self):
         go_on = trio.Event()
 
         async def wait(stream, data):
@@ -388,7 +397,7 @@
 
         self.run_with(wait, check)
 
-    def test_probes_bring_the_load_of_an_upstream_nobody_called_lately(self):
+    def test_probe_updates_the_load_of_an_upstream_without_recent_calls(self):
         async def check(cluster, port):
             owner = cluster.add_owner("other")
             announce(owner, port)
@@ -407,7 +416,7 @@
 
         self.run_with(self.answer_ok, check)
 
-    def test_drained_owner_finishes_what_it_has_and_refuses_the_rest(self):
+    def test_drained_owner_finishes_its_attempts_and_refuses_new_ones(self):
         go_on = trio.Event()
 
         async def wait(stream, data):
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_dialect.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_dialect.py
@@ -28,7 +28,7 @@
 
 
 class ProofTest(unittest.TestCase):
-    def test_only_what_the_dialect_names_proves_that_a_request_did_not_run(self):
+    def test_only_the_marks_of_the_dialect_prove_that_a_request_did_not_run(self):
         shed = ((b"bendwind-shed", b"not-run"),)
         self.assertIs(find_not_run_proof(BENDWIND_DIALECT, 503, shed), NotRunReason.SHED)
         self.assertIsNone(find_not_run_proof(BENDWIND_DIALECT, 500, shed))
@@ -39,14 +39,14 @@
         self.assertIs(find_not_run_proof(DIALECT, 421, ()), NotRunReason.MISDIRECTED)
         self.assertIsNone(find_not_run_proof(DIALECT, 503, ()))
 
-    def test_slow_factor_is_the_fourth_figure(self):
+    def test_slow_factor_is_the_fourth_field_of_the_load_header(self):
         self.assertEqual(read_slow_factor(b"3,0,8,250"), 2.5)
         for text in (None, b"", b"3,0,8", b"3,0,8,x"):
             self.assertIsNone(read_slow_factor(text))
 
 
 class DialectPathTest(unittest.TestCase):
-    """Carry calls in a dialect of the test's own to a scripted upstream."""
+    """Send calls to a scripted upstream with a dialect that only this test uses."""
 
     def run_with(self, answer, check):
         self.seen = []
@@ -80,7 +80,7 @@
     async def call(self, cluster, method=b"GET"):
         return await cluster.call(make_exchange(method, service="svc", id="q1"))
 
-    def test_answer_under_another_id_is_not_delivered(self):
+    def test_answer_with_another_request_id_is_not_delivered(self):
         def answer(data):
             return b"HTTP/1.1 200 OK\r\nid: q9\r\ncontent-length: 2\r\n\r\nzz"
 
@@ -93,7 +93,7 @@
 
         self.run_with(answer, check)
 
-    def test_connection_with_bytes_beyond_an_answer_is_not_used_again(self):
+    def test_connection_with_bytes_after_an_answer_is_not_reused(self):
         def answer(data):
             whole = b"HTTP/1.1 200 OK\r\nid: q1\r\ncontent-length: 2\r\n\r\nok"
             return whole + b"HTTP/1.1 200 OK\r\nid: q0\r\ncontent-length: 2\r\n\r\nzz"
@@ -115,7 +115,7 @@
 
         return answer
 
-    def test_first_announcement_counts_once_the_upstream_says_it_is_the_one(self):
+    def test_first_announcement_takes_effect_after_a_health_answer_with_the_same_name(self):
         async def check(cluster, port):
             self.announce(cluster, port)
             while not self.seen:
@@ -123,8 +123,8 @@
             with trio.fail_after(5):
                 while (await self.call(cluster)).status != 200:
                     await trio.sleep(0.01)
-                    # What a voter's push does in a daemon: the service was used before its upstream
-                    # was known whenever the call came before the answer of the health path.
+                    # Stands in for a voter's push in a daemon. It is needed if the call came before
+                    # the health answer: the service was then used before its upstream was known.
                     cluster.entry.refresh_upstreams("svc")
 
         self.run_with(self.answer_health(), check)
@@ -139,7 +139,7 @@
 
         self.run_with(self.answer_health(b"u2"), check)
 
-    def test_upstream_whose_health_lies_is_used_after_a_second_announcement(self):
+    def test_upstream_that_reports_unhealthy_is_used_after_a_second_announcement(self):
         async def check(cluster, port):
             self.announce(cluster, port)
             while not self.seen:
@@ -149,9 +149,9 @@
 
         self.run_with(self.answer_health(status=b"503 Service Unavailable"), check)
 
-    def test_older_announcement_verifies_nothing(self):
+    def test_older_announcement_does_not_verify_the_upstream(self):
         async def check(cluster, port):
-            # The older one comes while the question to the upstream is still under way.
+            # The older announcement arrives while the health query is still pending.
             self.announce(cluster, port, sequence=5)
             self.announce(cluster, port, sequence=4)
             while not self.seen:
@@ -170,7 +170,7 @@
         owned = cluster.owner.register.owned
         return {name: each.upstream.state for name, each in owned.items()}
 
-    def test_address_given_to_another_upstream_ends_the_former(self):
+    def test_announcement_of_another_upstream_at_the_address_ends_the_previous_one(self):
         async def check(cluster, port):
             for sequence in (1, 2):
                 self.announce(cluster, port, sequence=sequence)
@@ -180,8 +180,9 @@
 
         self.run_with(self.answer_health(b"u2"), check)
 
-    def test_late_announcements_of_a_former_upstream_end_not_the_one_that_replaced_it(self):
-        # Two of them verified each other, and the living upstream was taken for gone for good.
+    def test_late_announcements_of_a_replaced_upstream_do_not_end_its_successor(self):
+        # Guards against two late announcements that verify each other: the running upstream then
+        # counted as gone for good.
         async def check(cluster, port):
             self.announce(cluster, port)
             await self.wait_for_states(cluster, u1=UpstreamState.READY)
@@ -198,10 +199,10 @@
         with trio.fail_after(5):
             while sum(data.startswith(b"GET /well") for data in self.seen) < number:
                 await trio.sleep(0.01)
-        # The answer to the last one is on its way.
+        # The answer to the last query is still in transit.
         await trio.testing.wait_all_tasks_blocked(0.05)
 
-    def test_upstream_at_a_known_place_serves_before_it_announced_itself(self):
+    def test_upstream_at_a_configured_address_serves_before_its_first_announcement(self):
         async def check(cluster, port):
             address = UpstreamAddress("svc", "127.0.0.1", port)
             cluster.nursery.start_soon(cluster.owner.register.register_by_health_path, address)
@@ -212,7 +213,7 @@
 
         self.run_with(self.answer_health(b"u1"), check)
 
-    def test_upstream_that_leaves_is_not_introduced_by_its_health_path(self):
+    def test_leaving_upstream_is_not_registered_by_its_health_path(self):
         for status, leaves_by_name in ((b"503 Service Unavailable", False), (b"200 OK", True)):
 
             async def check(cluster, port, leaves_by_name=leaves_by_name):
@@ -226,7 +227,7 @@
 
             self.run_with(self.answer_health(b"u1", status), check)
 
-    def test_upstream_that_says_it_is_another_is_replaced_by_that_one(self):
+    def test_upstream_that_answers_421_is_replaced_by_the_one_at_its_address(self):
         async def check(cluster, port):
             for sequence in (1, 2):
                 self.announce(cluster, port, sequence=sequence)
@@ -244,7 +245,7 @@
 
         self.run_with(answer, check)
 
-    def test_gone_upstreams_make_room_for_new_ones(self):
+    def test_gone_upstreams_are_evicted_for_new_ones(self):
         async def check(cluster, port):
             for number in range(20):
                 name = f"u{number}"
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_http_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_http_path.py
@@ -11,7 +11,7 @@
 
 
 class TestHttpPath(unittest.TestCase):
-    """Pass answers from a scripted upstream through both HTTP edges, byte for byte."""
+    """Relay answers of a scripted upstream to a caller, and compare the bytes."""
 
     def exchange(self, request, answer):
         received = bytearray()
@@ -53,12 +53,12 @@
         self.assertEqual(received.count(b"content-length: 5"), 2)
         self.assertTrue(received.endswith(b"\r\n\r\n"))
 
-    def test_chunked_answer_is_chunked_anew(self):
+    def test_chunked_answer_is_sent_as_a_chunked_answer(self):
         answer = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"
         received = self.exchange(GET, answer)
         self.assertTrue(received.endswith(b"2\r\nab\r\n0\r\n\r\n"))
 
-    def test_fields_of_one_hop_and_forged_outcomes_do_not_pass(self):
+    def test_hop_by_hop_headers_and_forged_outcome_headers_are_removed(self):
         answer = (
             b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nconnection: x-hop\r\nx-hop: 1\r\n"
             b"keep-alive: timeout=5\r\nbendwind-outcome: not-run\r\nx-end: 2\r\n\r\n"
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_notices_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_notices_path.py
@@ -25,7 +25,7 @@
         for text, figure in ((b"6.2", 6.2), (b" 60 ", 60.0), (b"0", 0.0), (b"0.01", 0.01)):
             self.assertEqual(read(text), UpstreamNotice(figure))
 
-    def test_what_is_malformed_says_nothing(self):
+    def test_malformed_limits_are_ignored_and_reported(self):
         for text in (b"", b"-1", b"nan", b"inf", b"1e400", b"5, 6", b"5;6", b"+5", LONG):
             notice = read(text)
             self.assertIsNone(notice.limit_per_s, text[:10])
@@ -33,7 +33,7 @@
             self.assertLessEqual(len(notice.malformed), 32)
         self.assertTrue(read(b"5", b"5").malformed)
 
-    def test_only_one_as_the_value_says_that_an_upstream_leaves(self):
+    def test_only_the_value_1_marks_an_upstream_as_leaving(self):
         self.assertTrue(read(b"1", name=b"bendwind-leaving").is_leaving)
         self.assertEqual(read(b"0", name=b"bendwind-leaving"), UpstreamNotice())
         for text in (b"", b"true", b"11"):
@@ -43,7 +43,7 @@
 
 
 class NoticesPathTest(unittest.TestCase):
-    """Have a scripted upstream answer a call, and look at what its owner node heard."""
+    """Let a scripted upstream answer a call, and check which notices its owner node applied."""
 
     def run_with(self, answer, check):
         async def handler(stream, number):
@@ -81,7 +81,7 @@
 
         self.run_with(answer, check)
 
-    def test_any_answer_of_the_upstream_itself_names_its_limit(self):
+    def test_limit_is_read_from_every_answer_of_the_upstream_itself(self):
         named = b"limit: 7.5\r\n"
         answers = {
             "well": make_answer(named + b"id: q1"),
@@ -94,7 +94,7 @@
             with self.subTest(name):
                 self.check_limit(answer, 7.5)
 
-    def test_no_other_answer_does(self):
+    def test_limit_is_not_read_from_other_answers(self):
         answers = {
             "of another upstream": make_answer(b"id: q1\r\nlimit: 7.5", b"421 Misdirected"),
             "to another request": make_answer(b"id: q9\r\nlimit: 7.5"),
@@ -105,7 +105,7 @@
             with self.subTest(name):
                 self.check_limit(answer, None)
 
-    def test_many_figures_make_few_lines(self):
+    def test_many_different_notices_are_logged_in_few_lines(self):
         async def check(cluster, port):
             owned = cluster.owner.register.owned["u1"]
             for number in range(1000):
@@ -117,7 +117,7 @@
 
         self.run_with(make_answer(b"id: q1"), check)
 
-    def test_upstream_that_leaves_is_told_to_all_and_taken_back_by_no_announcement(self):
+    def test_leaving_upstream_is_published_as_draining_and_stays_so_after_announcements(self):
         async def check(cluster, port):
             await self.call(cluster)
             owned = cluster.owner.register.owned["u1"]
@@ -128,7 +128,7 @@
 
         self.run_with(make_answer(b"id: q1\r\nleaving: 1"), check)
 
-    def test_refusal_of_another_request_proves_nothing_of_this_one(self):
+    def test_refusal_of_another_request_does_not_prove_that_this_one_did_not_run(self):
         async def check(cluster, port):
             self.assertEqual((await self.call(cluster)).status, 502)
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_time_granted.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_time_granted.py
@@ -1,4 +1,4 @@
-"""Check how much time an upstream is told for a request that waited at its owner."""
+"""Check the timeout that an upstream gets for a request that waited at its owner."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class BlockedPool:
-    """Stand for the connections to an upstream that turns requests away once it is let."""
+    """Stand in for the connections to an upstream that refuses requests once it is released."""
 
     def __init__(self):
         self.granted = []
@@ -31,7 +31,7 @@
 
 
 class TestTimeGranted(unittest.TestCase):
-    def test_what_a_request_waited_for_a_slot_is_not_granted_to_its_upstream(self):
+    def test_wait_for_a_slot_is_deducted_from_the_timeout_of_the_upstream(self):
         async def main():
             async with trio.open_nursery() as nursery:
                 owner = make_owner(nursery, "o", FakeMembership())
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_uploads.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_uploads.py
@@ -1,4 +1,4 @@
-"""Check what slow, broken and too long uploads take of the node that they come to."""
+"""Check which resources of a node slow, aborted and too long uploads use."""
 
 import unittest
 
@@ -47,7 +47,7 @@
         while not is_reached():
             await trio.sleep(0.001)
 
-    def test_caller_that_stops_in_mid_body_frees_its_place_and_runs_nowhere(self):
+    def test_upload_aborted_in_the_body_releases_its_capacity_and_is_not_run(self):
         async def check(cluster, address):
             async with await trio.open_tcp_stream(*address) as caller:
                 await caller.send_all(make_head(MIB) + b"q" * SENT)
@@ -60,7 +60,7 @@
 
         self.run_with(check)
 
-    def test_bodies_of_many_slow_callers_stay_within_the_budget_and_the_rest_is_refused(self):
+    def test_bodies_of_many_slow_callers_stay_within_the_budget_and_others_are_refused(self):
         async def check(cluster, address):
             budget = cluster.intake.budget
             answers = []
@@ -92,7 +92,7 @@
         await event.wait()
         scope.cancel()
 
-    def test_length_over_the_limit_is_refused_before_the_body_comes(self):
+    def test_content_length_over_the_limit_is_refused_before_the_body_is_sent(self):
         async def check(cluster, address):
             async with await trio.open_tcp_stream(*address) as caller:
                 await caller.send_all(make_head(9 * MIB))
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_h11.py
@@ -47,7 +47,7 @@
 
         trio.run(main)
 
-    def test_keeps_a_connection_whose_answer_was_read_whole(self):
+    def test_connection_is_kept_after_its_answer_was_read_to_the_end(self):
         seen = []
 
         async def handler(stream, number):
@@ -64,7 +64,7 @@
         self.run_with(handler, check)
         self.assertEqual(seen, [1, 1, 1])
 
-    def test_body_cut_before_its_length_is_an_error_and_closes_the_connection(self):
+    def test_body_shorter_than_its_length_is_an_error_and_closes_the_connection(self):
         async def handler(stream, number):
             await read_request(stream)
             await stream.send_all(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart")
@@ -90,7 +90,7 @@
         self.run_with(handler, check)
 
     def check_closed_connection(self, request, resend_window=60.0):
-        """Let the upstream close the kept connection as the second request goes out."""
+        """Let the upstream close the idle connection while the second request is sent."""
         served = []
 
         async def handler(stream, number):
@@ -112,18 +112,18 @@
         self.run_with(handler, check, resend_window)
         return outcomes[0], served
 
-    def test_idempotent_request_survives_the_close_of_a_kept_connection(self):
+    def test_idempotent_request_is_sent_again_after_an_idle_connection_was_closed(self):
         outcome, served = self.check_closed_connection(make_request())
         self.assertTrue(outcome.is_ok())
         self.assertEqual(served, [1, 2])
 
-    def test_request_that_the_upstream_had_time_to_read_is_not_sent_a_second_time(self):
-        # It may have ended the upstream, and would end the next run of it too.
+    def test_request_that_the_upstream_had_time_to_read_is_not_sent_again(self):
+        # The request may have ended the upstream, and would end its next run too.
         outcome, served = self.check_closed_connection(make_request(), resend_window=-1.0)
         self.assertEqual(outcome.error, AnswerCut(CutReason.UPSTREAM_RESET))
         self.assertEqual(served, [1])
 
-    def test_marked_request_is_never_sent_a_second_time(self):
+    def test_non_idempotent_request_is_never_sent_again(self):
         outcome, served = self.check_closed_connection(
             make_request(b"POST", is_non_idempotent=True)
         )
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_runs.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_runs.py
@@ -1,4 +1,4 @@
-"""Follow upstreams that start again under their names, refuse connections or are evacuated."""
+"""Check upstreams that restart under the same name, refuse connections or are evacuated."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 class Nursery:
-    """Take tasks without running them."""
+    """Record the started tasks without running them."""
 
     def __init__(self):
         self.started = []
@@ -36,7 +36,7 @@
 
 
 class RegisterDriver:
-    """Drive a register without sockets; `seen` are the announcements to the voters."""
+    """Drive a register without sockets; `announced` are the announcements to the voters."""
 
     def __init__(self):
         self.announced = []
@@ -78,7 +78,7 @@
 
 class RunsTest(unittest.TestCase):
     @in_trio
-    def test_upstream_that_starts_again_with_its_numbers_anew_is_used(self):
+    def test_restarted_upstream_whose_sequence_restarts_is_used(self):
         driver = RegisterDriver()
         for sequence in (7, 8):
             driver.announce(sequence=sequence, born_ms=1000)
@@ -89,7 +89,7 @@
         self.assertIn(EventKind.UPSTREAM_RESTARTED, driver.kinds())
 
     @in_trio
-    def test_words_of_an_earlier_run_bind_only_it(self):
+    def test_reports_of_an_earlier_run_do_not_affect_the_current_one(self):
         driver = RegisterDriver()
         for sequence in (1, 2):
             driver.announce(sequence=sequence, born_ms=2000)
@@ -102,7 +102,7 @@
         self.assertIs(driver.state(), GONE)
 
     @in_trio
-    def test_late_announcement_of_a_run_that_left_another_life_of_the_process_changes_nothing(self):
+    def test_late_announcement_of_a_run_that_left_an_earlier_process_is_ignored(self):
         driver = RegisterDriver()
         driver.register.handle_departure("u1", 2000)
         driver.announce(sequence=5, born_ms=2000)
@@ -112,7 +112,7 @@
         self.assertIn("u1", driver.register.owned)
 
     @in_trio
-    def test_next_run_is_cold_and_knows_no_link_to_the_earlier_pool(self):
+    def test_next_run_is_cold_and_gets_a_new_connection_pool(self):
         driver = RegisterDriver()
         for sequence in (1, 2):
             driver.announce(sequence=sequence, born_ms=1000)
@@ -124,7 +124,7 @@
         self.assertTrue(is_cold(owned.owner_state.warm_up, trio.current_time()))
 
     @in_trio
-    def test_next_run_takes_no_address_away_unproven(self):
+    def test_unverified_next_run_does_not_end_the_upstream_at_its_address(self):
         driver = RegisterDriver()
         for sequence in (1, 2):
             driver.announce("u1", sequence, 1000)
@@ -137,7 +137,7 @@
         self.assertEqual((driver.state("u1"), driver.state("u2")), (GONE, READY))
 
     @in_trio
-    def test_announcement_for_another_service_is_not_the_upstreams_own(self):
+    def test_announcement_for_another_service_is_refused(self):
         driver = RegisterDriver()
         for sequence in (1, 2):
             driver.announce(sequence=sequence)
@@ -156,8 +156,8 @@
 class ReportsTest(unittest.TestCase):
     @settings(suppress_health_check=[HealthCheck.too_slow])
     @given(st.lists(reports, max_size=30), st.randoms(use_true_random=False))
-    def test_words_in_any_order_leave_what_the_newest_run_said_last(self, sent, rng):
-        """Delay, repeat and reorder what each run says of itself."""
+    def test_last_report_of_the_newest_run_decides_in_any_order_of_arrival(self, sent, rng):
+        """Delay, repeat and reorder the reports of each run."""
         numbered = []
         counts = {}
         has_left = set()
@@ -190,7 +190,8 @@
             )[1]
             owned = driver.register.owned.get(name)
             state = GONE if owned is None else owned.upstream.state
-            # An upstream that said nothing but good-bye, or that was heard once, is not used.
+            # An upstream that only reported its departure, or whose announcement arrived once, is
+            # not used.
             wanted = {"left": {GONE}, "draining": {DRAINING}, "ready": {READY, GONE}}[last]
             self.assertIn(state, wanted, (numbered, received))
         self.assertLessEqual(len(driver.register.owned), MAX_OWNED_UPSTREAMS)
@@ -198,7 +199,7 @@
 
 class EvacuationTest(unittest.TestCase):
     @in_trio
-    def test_evacuated_data_centre_gets_nothing_and_is_cold_when_it_is_taken_back(self):
+    def test_evacuated_upstream_accepts_nothing_and_is_cold_after_the_evacuation(self):
         driver = RegisterDriver()
         for sequence in (1, 2):
             driver.announce(sequence=sequence)
@@ -214,7 +215,7 @@
         self.assertTrue(is_cold(owner_state.warm_up, trio.current_time()))
 
     @in_trio
-    def test_upstream_that_comes_during_an_evacuation_gets_nothing(self):
+    def test_upstream_registered_during_an_evacuation_accepts_nothing(self):
         driver = RegisterDriver()
         driver.register.handle_configuration(frozenset({"dc1"}))
         for sequence in (1, 2):
@@ -223,9 +224,9 @@
 
 
 class RefusedConnectionsTest(unittest.TestCase):
-    """Run the entry and owner nodes beside an upstream that comes and goes."""
+    """Run the entry and owner nodes with an upstream that stops and starts again."""
 
-    def test_upstream_that_refuses_connections_is_tried_aside_and_used_again(self):
+    def test_upstream_that_refuses_connections_is_retried_in_the_background_and_used_again(self):
         refused = []
 
         async def main():
@@ -281,7 +282,7 @@
 
 class LeavingTest(unittest.TestCase):
     @in_trio
-    def test_upstream_that_said_it_leaves_is_not_taken_back_by_its_own_announcements(self):
+    def test_leaving_upstream_stays_draining_after_its_own_announcements(self):
         driver = RegisterDriver()
         driver.announce(sequence=0)
         driver.report_leaving()
@@ -289,7 +290,7 @@
         self.assertIs(driver.state(), DRAINING)
 
     @in_trio
-    def test_one_that_is_not_numbered_begins_a_run_when_it_comes_back_after_it_has_left(self):
+    def test_upstream_without_sequence_begins_a_new_run_when_it_returns_after_leaving(self):
         driver = RegisterDriver()
         driver.announce(sequence=0)
         driver.report_leaving()
