--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -52,6 +52,7 @@
 from bendwind_node.calls.upstream_notice import UpstreamNotice
 from bendwind_node.calls.upstream_register import HEALTH_QUERY_TIMEOUT, UpstreamRegister
 
+# Size of a load report that is charged to the probe budget.
 LOAD_REPORT_BYTES = 80
 # Interval of checks for expired announcement leases. The expiry of queued attempts does not wait
 # for this check.
@@ -184,9 +185,9 @@
         if owned is not None:
             self._feed(owned, ev.FenceArrived(fence, epoch))
             return
-        # The state of an upstream is kept for the lifetime of the process. If there is none, this
-        # run never owned the upstream, and a hand-over that still arrives is refused with
-        # WRONG_OWNER.
+        # The state of an upstream is kept for the lifetime of the process unless it is evicted. If
+        # there is none and none was evicted, this run never owned the upstream, and a hand-over
+        # that still arrives is refused with WRONG_OWNER.
         is_own_run = fence.owner_incarnation == self.own.incarnation
         has_all = is_own_run and not self.register.has_evicted
         verdict = FenceVerdict.NEVER_STARTED if has_all else FenceVerdict.FORGOTTEN
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
@@ -139,7 +139,7 @@
     body: bytes = b""
     is_complete: bool = False
     is_aborted: bool = False
-    slow: float = 0.0
+    send_delay: float = 0.0
 
     async def receive_part(self):
         return self.parts.pop(0) if self.parts else None
@@ -149,7 +149,7 @@
         self.headers = dict(headers)
 
     async def send_part(self, data, *, more):
-        await trio.sleep(self.slow)
+        await trio.sleep(self.send_delay)
         self.body += data
         self.is_complete = not more
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_call_path.py
@@ -89,7 +89,7 @@
         async def check(cluster, port):
             announce(cluster.add_owner("other"), port)
             exchange = make_exchange()
-            exchange.slow = 0.002
+            exchange.send_delay = 0.002
             most = 0
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(cluster.call, exchange)
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_notice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_notice.py
@@ -15,7 +15,7 @@
 
 
 class UpstreamNotice(msgspec.Struct, frozen=True):
-    """Hold the notice in an answer; `malformed` is the first value that could not be parsed.
+    """Hold the notice in an answer; `malformed` holds a value that could not be parsed.
 
     Units: `limit_per_s` is the rate limit in requests per second, None if none is named.
     """
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
@@ -104,7 +104,8 @@
         if announcement.sequence and (
             owned.has_left or announcement.sequence <= owned.last_sequence
         ):
-            # The announcement is late: the upstream has sent newer ones or has left since.
+            # The announcement is late: the upstream has sent a newer one or has left since, which
+            # stays in force.
             return True
         owned.last_sequence = max(owned.last_sequence, announcement.sequence)
         owned.born_ms = max(owned.born_ms, announcement.born_ms)
@@ -143,7 +144,7 @@
         if self._find_previous(announcement) is None:
             return False
         # Announcements that a network partition delayed may arrive after those of the upstream that
-        # replaced this one.
+        # replaced this one, so a query decides whether this one still has the address.
         can_query = self.dialect.answering_upstream is not None
         return can_query and bool(self.find_health_path(announcement.service))
 
@@ -231,11 +232,11 @@
         self.configured_address = address
         pool = UpstreamPool(address.host, address.port, 1)
         with trio.move_on_after(self.lease_ms / MILLISECONDS_PER_SECOND):
-            while not self._is_known_at(address):
+            while not self._is_registered_at(address):
                 path = self.find_health_path(address.service)
                 queried_at = trio.current_time()
                 answer = await self._query_health(pool, address.service) if path else None
-                if answer is not None and not self._is_known_at(address):
+                if answer is not None and not self._is_registered_at(address):
                     self._register_from_answer(address, answer, queried_at)
                 await trio.sleep(HEALTH_QUERY_INTERVAL if path else HEALTH_PATH_POLL_INTERVAL)
         await pool.aclose()
@@ -266,10 +267,10 @@
         if registered is not None:
             self.record_health_answer(registered, answer, queried_at)
 
-    def _is_known_at(self, address: UpstreamAddress) -> bool:
-        return bool(self._list_at(address.host, address.port))
+    def _is_registered_at(self, address: UpstreamAddress) -> bool:
+        return bool(self._list_registered_at(address.host, address.port))
 
-    def _list_at(self, host: str, port: int) -> list[OwnedUpstream]:
+    def _list_registered_at(self, host: str, port: int) -> list[OwnedUpstream]:
         """Return the upstreams that are registered at an address and have not ended."""
         return [
             owned
@@ -315,7 +316,7 @@
 
     def _find_previous(self, announcement: Announcement) -> OwnedUpstream | None:
         """Return another upstream that is registered at the announced address, or None."""
-        registered = self._list_at(announcement.host, announcement.port)
+        registered = self._list_registered_at(announcement.host, announcement.port)
         return next(
             (owned for owned in registered if owned.upstream.name != announcement.name), None
         )
