--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
@@ -23,7 +23,7 @@
     def drain(self):
         self.drained_at = trio.current_time()
 
-    def left(self, name):
+    def handle_departure(self, name):
         self.has_left = True
         self.note_left()
 
