--- a/packages/bendwind-node/src/bendwind_node/calls/body_flow.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/body_flow.py
@@ -94,7 +94,7 @@
 def split_first_part(body: bytes) -> tuple[bytes, tuple[bytes, ...]]:
     """Split a body into the part that is sent with the head and the parts that follow.
 
-    >>> split_body(b"ab")
+    >>> split_first_part(b"ab")
     (b'ab', ())
     """
     if len(body) <= PART_BYTES:
