--- a/packages/bendwind-node/src/bendwind_node/calls/assembly.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/assembly.py
@@ -64,7 +64,7 @@
         """Remove a hand-over and free its bytes."""
         assembly = self.open.pop(attempt, None)
         if assembly is not None:
-            assembly.inflow.free()
+            assembly.inflow.release()
 
     def drop_by_entry(self, entry: str) -> None:
         """Remove all hand-overs of an entry node whose link broke."""
--- a/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
@@ -107,7 +107,7 @@
                 self._record_refused_caller()
                 if run.is_inner and reason is not NotRunReason.QUARANTINED:
                     # A quarantined request says nothing about the capacity of the called service.
-                    self.entry.owner.note_call_refused()
+                    self.entry.owner.record_inner_call_refused()
                 await self._send_outcome(status, outcomes.NOT_RUN, reason, retry_after_ms)
             case ev.FinishUnknown(reason=reason, retry_after_ms=retry_after_ms):
                 if isinstance(run.replay, str):
--- a/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_intake.py
@@ -325,7 +325,7 @@
             return Ok(b"".join(reading.parts)) if reading.size else _EMPTY
         finally:
             if not is_kept:
-                self.budget.give_back(reading.size)
+                self.budget.release(reading.size)
 
 
 class _BodyBuffer:
@@ -343,7 +343,7 @@
         """Add a part; return a refusal if the body exceeds its limit or the budget."""
         if self.size + len(part) > self.limit:
             return _BODY_TOO_LARGE
-        if not self.budget.take(len(part)):
+        if not self.budget.reserve(len(part)):
             return Refusal.not_run(NotRunReason.OVERLOADED)
         self.parts.append(part)
         self.size += len(part)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
@@ -32,7 +32,7 @@
 
 @dataclass
 class FakeMembership:
-    """Hold the services and upstreams that a test sets."""
+    """Provide the services and upstreams that a test sets."""
 
     services: dict = field(default_factory=dict)
     known: dict = field(default_factory=dict)
@@ -62,7 +62,7 @@
 
 @dataclass(eq=False)
 class FakeLink:
-    """Carry messages to one end of a link; `held` keeps them back while it is a list."""
+    """Deliver messages to one end of a link; while `held` is a list, it collects them instead."""
 
     peer: Instance
     epoch: int
@@ -81,7 +81,7 @@
 
 
 class FakeHub:
-    """Link one entry node to owner nodes in the same process."""
+    """Connect one entry node to owner nodes in the same process."""
 
     def __init__(self, own):
         self.own = own
@@ -110,12 +110,12 @@
         owner = self.owners[name]
         self.epoch += 1
         here = FakeLink(owner.own, self.epoch, None, [] if self.hold else None)
-        there = FakeLink(self.own, self.epoch, lambda m: self._hear(here, m))
+        there = FakeLink(self.own, self.epoch, lambda m: self._receive(here, m))
         here.deliver = lambda m: (self.sent.append(m), owner.receive(there, m))
         self.links[name] = (here, there)
         owner.link_opened(there)
 
-    def _hear(self, link, message):
+    def _receive(self, link, message):
         if isinstance(message, LoadReport):
             self.reports(message)
         else:
@@ -130,7 +130,7 @@
 
 @dataclass
 class FakeExchange:
-    """Hold a caller's request and what it was answered."""
+    """Hold a caller's request and record the answer."""
 
     request: CallerRequest
     parts: list = field(default_factory=list)
@@ -139,7 +139,7 @@
     body: bytes = b""
     is_complete: bool = False
     is_aborted: bool = False
-    slow: float = 0.0
+    send_delay: float = 0.0
 
     async def receive_part(self):
         return self.parts.pop(0) if self.parts else None
@@ -149,7 +149,7 @@
         self.headers = dict(headers)
 
     async def send_part(self, data, *, more):
-        await trio.sleep(self.slow)
+        await trio.sleep(self.send_delay)
         self.body += data
         self.is_complete = not more
 
@@ -175,13 +175,13 @@
 
 
 def announce(owner, port, name="svc-1"):
-    owner.register.announced(
+    owner.register.handle_announcement(
         Announcement(name, "svc", "127.0.0.1", port, 2, 4, UpstreamState.READY)
     )
 
 
-class CallBench:
-    """Wire one entry node with its own owner node and any number of others."""
+class CallTestCluster:
+    """Connect one entry node to its own owner node and any number of others."""
 
     def __init__(self, nursery, service=None):
         self.nursery = nursery
@@ -213,8 +213,8 @@
         self.hub.owners[name] = owner
         return owner
 
-    def stale_upstream(self, owner, incarnation):
-        """Make the entry node believe in an older run of an owner."""
+    def set_stale_upstream(self, owner, incarnation):
+        """Make the entry node know an owner only by an older run of it."""
         old = Instance(owner.own.name, "dc", "127.0.0.1", 1, incarnation)
         self.membership.known["svc"]["svc-1"] = Upstream(
             "svc-1", "svc", old, 2, 4, UpstreamState.READY
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_assembly.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_assembly.py
@@ -76,7 +76,7 @@
 
     def test_process_pause_during_a_body_is_deducted_once(self):
         def check():
-            self.owner.pauses.tick(trio.current_time())
+            self.owner.pause_detector.tick(trio.current_time())
             self.receive_first_part()
             self.clock.jump(1.25)
             self.receive_last_part()
@@ -86,7 +86,7 @@
 
     def test_process_pause_before_the_first_part_is_deducted(self):
         def check():
-            self.owner.pauses.tick(trio.current_time())
+            self.owner.pause_detector.tick(trio.current_time())
             self.clock.jump(1.25)
             self.receive_first_part()
             self.clock.jump(0.25)
