--- a/packages/bendwind-core/src/bendwind_core/plans/plan.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/plan.py
@@ -28,7 +28,7 @@
     version: int
 
 
-class WonBy(Record, frozen=True, array_like=True, tag="won-by"):
+class Superseded(Record, frozen=True, array_like=True, tag="won-by"):
     """Tell that another plan from the same version was confirmed first, as `version`."""
 
     plan: str
@@ -41,7 +41,7 @@
     plan: str
 
 
-PlanOutcome = Confirmed | WonBy | Expired
+PlanOutcome = Confirmed | Superseded | Expired
 
 
 class Plan(Record, frozen=True, array_like=True):
@@ -74,7 +74,7 @@
                 return PlanState.PROPOSED
             case Confirmed():
                 return PlanState.CONFIRMED
-            case WonBy():
+            case Superseded():
                 return PlanState.SUPERSEDED
             case Expired():
                 return PlanState.EXPIRED
--- a/packages/bendwind-core/src/bendwind_core/plans/plan_table.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/plan_table.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from bendwind_core.plans.changes import Changes
-from bendwind_core.plans.plan import Expired, Plan, PlanOutcome, WonBy
-from bendwind_core.plans.results import ForgottenPlan, UnknownPlan
+from bendwind_core.plans.plan import Expired, Plan, PlanOutcome, Superseded
+from bendwind_core.plans.results import EvictedPlan, UnknownPlan
 
 MAX_OPEN_PLANS = 32
 # Four whole configurations of the largest size planned for, 650 services.
@@ -39,9 +39,9 @@
         index = self.requests.get(request)
         return None if index is None else self.find(index)
 
-    def explain_absence(self, plan_id: str, index: int) -> UnknownPlan | ForgottenPlan:
+    def explain_absence(self, plan_id: str, index: int) -> UnknownPlan | EvictedPlan:
         """Tell an id too old to be remembered from one that never existed."""
-        return ForgottenPlan(plan_id) if index <= self.forgotten else UnknownPlan(plan_id)
+        return EvictedPlan(plan_id) if index <= self.forgotten else UnknownPlan(plan_id)
 
     def list_newest_first(self) -> list[Plan]:
         """Return every plan, the one created last first."""
@@ -90,7 +90,7 @@
 
     def _lose_open(self, winner: str, version: int) -> None:
         for plan in list(self.open.values()):
-            self.decide(plan.index, WonBy(winner, version))
+            self.decide(plan.index, Superseded(winner, version))
 
 
 def create_plan_table(
--- a/packages/bendwind-core/src/bendwind_core/plans/results.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/results.py
@@ -6,11 +6,11 @@
 from bendwind_core.plans.plan import Plan, PlanOutcome
 
 
-class PlanKept(Record, frozen=True, array_like=True, tag="plan-kept"):
+class PlanCreated(Record, frozen=True, array_like=True, tag="plan-kept"):
     """Give the plan that the request made; `resent` tells that it was made before."""
 
     plan: Plan
-    resent: bool = False
+    is_resent: bool = False
 
 
 class VersionMoved(Record, frozen=True, array_like=True, tag="version-moved"):
@@ -38,13 +38,13 @@
     plan: str
 
 
-class ForgottenPlan(Record, frozen=True, array_like=True, tag="forgotten-plan"):
+class EvictedPlan(Record, frozen=True, array_like=True, tag="forgotten-plan"):
     """Tell that the id is older than the oldest outcome that is remembered."""
 
     plan: str
 
 
-class Marked(Record, frozen=True, array_like=True, tag="marked"):
+class DrainMarked(Record, frozen=True, array_like=True, tag="marked"):
     """Give a drain mark as it now stands."""
 
     target: DrainTarget
@@ -70,7 +70,7 @@
     detail: str
 
 
-class RevisionHeld(Record, frozen=True, array_like=True, tag="revision-held"):
+class RevisionStatus(Record, frozen=True, array_like=True, tag="revision-held"):
     """Give the revision held after a whole configuration was put; `is_new` if this put it there."""
 
     revision: int
@@ -78,7 +78,7 @@
     is_new: bool
 
 
-class EvacuationHeld(Record, frozen=True, array_like=True, tag="evacuation-held"):
+class EvacuationStatus(Record, frozen=True, array_like=True, tag="evacuation-held"):
     """Give whether a data centre is evacuated, as of a version; `is_new` if this made it so."""
 
     data_centre: str
@@ -94,18 +94,18 @@
 
 
 CommandResult = (
-    PlanKept
+    PlanCreated
     | PlanOutcome
     | VersionMoved
     | RequestReused
     | TooManyPlans
     | UnknownPlan
-    | ForgottenPlan
-    | Marked
+    | EvictedPlan
+    | DrainMarked
     | TooManyMarks
     | GroupChanged
     | GroupRefused
-    | RevisionHeld
-    | EvacuationHeld
+    | RevisionStatus
+    | EvacuationStatus
     | TooManyEvacuated
 )
--- a/packages/bendwind-core/src/bendwind_core/plans/state.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/state.py
@@ -20,14 +20,14 @@
 from bendwind_core.plans.plan_table import PlanTable, create_plan_table
 from bendwind_core.plans.results import (
     CommandResult,
-    EvacuationHeld,
-    ForgottenPlan,
+    DrainMarked,
+    EvacuationStatus,
+    EvictedPlan,
     GroupChanged,
     GroupRefused,
-    Marked,
-    PlanKept,
+    PlanCreated,
     RequestReused,
-    RevisionHeld,
+    RevisionStatus,
     TooManyEvacuated,
     TooManyMarks,
     TooManyPlans,
@@ -100,7 +100,7 @@
             case MarkEvacuated() as mark:
                 return self._mark_evacuated(index, mark)
 
-    def find_plan(self, plan_id: str) -> Plan | UnknownPlan | ForgottenPlan:
+    def find_plan(self, plan_id: str) -> Plan | UnknownPlan | EvictedPlan:
         """Return a plan by the id that operators use."""
         index = parse_plan_id(plan_id)
         if index is None:
@@ -113,7 +113,7 @@
         if made is not None and made.digest != command.digest:
             return RequestReused(made.id)
         if made is not None:
-            return PlanKept(made, resent=True)
+            return PlanCreated(made, is_resent=True)
         if command.base_version != self.configuration.version:
             return VersionMoved(self.configuration.version, self.configuration_plan)
         self.plans.expire(command.now_ms)
@@ -129,11 +129,11 @@
             command.changes,
         )
         self.plans.add(plan)
-        return PlanKept(plan)
+        return PlanCreated(plan)
 
     def _confirm_plan(
         self, index: int, command: ConfirmPlan
-    ) -> PlanOutcome | UnknownPlan | ForgottenPlan:
+    ) -> PlanOutcome | UnknownPlan | EvictedPlan:
         self.plans.expire(command.now_ms)
         plan = self.find_plan(f"p{command.index}")
         if not isinstance(plan, Plan):
@@ -152,10 +152,10 @@
         self.plans.supersede(plan, version)
         return outcome
 
-    def _put_revision(self, index: int, command: PutRevision) -> RevisionHeld:
+    def _put_revision(self, index: int, command: PutRevision) -> RevisionStatus:
         held = self.configuration.routing.revision
         if command.routing.revision <= held:
-            return RevisionHeld(held, self.configuration.version, is_new=False)
+            return RevisionStatus(held, self.configuration.version, is_new=False)
         self.configuration = Configuration(
             index,
             command.services,
@@ -166,15 +166,15 @@
         self.configuration_plan = ""
         self.document = command.document
         self.plans.withdraw(index)
-        return RevisionHeld(command.routing.revision, index, is_new=True)
+        return RevisionStatus(command.routing.revision, index, is_new=True)
 
     def _mark_evacuated(
         self, index: int, command: MarkEvacuated
-    ) -> EvacuationHeld | TooManyEvacuated:
+    ) -> EvacuationStatus | TooManyEvacuated:
         held = self.configuration
         name = command.data_centre
         if (name in held.evacuated) == command.evacuated:
-            return EvacuationHeld(name, command.evacuated, held.version, is_new=False)
+            return EvacuationStatus(name, command.evacuated, held.version, is_new=False)
         if command.evacuated and len(held.evacuated) >= MAX_EVACUATED:
             return TooManyEvacuated(len(held.evacuated))
         changed = {*held.evacuated, name} if command.evacuated else {*held.evacuated} - {name}
@@ -182,9 +182,9 @@
         self.configuration_plan = ""
         # Open plans were worked out against the room that there was before.
         self.plans.withdraw(index)
-        return EvacuationHeld(name, command.evacuated, index, is_new=True)
+        return EvacuationStatus(name, command.evacuated, index, is_new=True)
 
-    def _mark_draining(self, command: MarkDraining) -> Marked | TooManyMarks:
+    def _mark_draining(self, command: MarkDraining) -> DrainMarked | TooManyMarks:
         marks = self._find_marks(command.target)
         if command.draining and command.name not in marks:
             if len(marks) >= MAX_DRAIN_MARKS:
@@ -192,7 +192,7 @@
             marks[command.name] = None
         if not command.draining:
             marks.pop(command.name, None)
-        return Marked(command.target, command.name, command.draining)
+        return DrainMarked(command.target, command.name, command.draining)
 
     def _change_claim_group(self, command: ChangeClaimGroup) -> GroupChanged | GroupRefused:
         # A group outlives its service: its claims must be found if the service comes back.
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_evacuation.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_evacuation.py
@@ -2,11 +2,11 @@
 
 from bendwind_core.plans import (
     ControlState,
-    EvacuationHeld,
+    EvacuationStatus,
     MarkEvacuated,
     PutRevision,
+    Superseded,
     TooManyEvacuated,
-    WonBy,
     encode_command,
     find_evacuation_warnings,
 )
@@ -30,14 +30,14 @@
         return propose(self.state, MarkEvacuated(name, evacuated))
 
     def test_evacuation_moves_the_version_and_a_repeat_changes_nothing(self):
-        self.assertEqual(self.mark("north"), EvacuationHeld("north", True, 1, True))
-        self.assertEqual(self.mark("north"), EvacuationHeld("north", True, 1, False))
+        self.assertEqual(self.mark("north"), EvacuationStatus("north", True, 1, True))
+        self.assertEqual(self.mark("north"), EvacuationStatus("north", True, 1, False))
         self.assertEqual(self.state.configuration.evacuated, ("north",))
-        self.assertEqual(self.mark("north", False), EvacuationHeld("north", False, 3, True))
+        self.assertEqual(self.mark("north", False), EvacuationStatus("north", False, 3, True))
         self.assertEqual(self.state.configuration.evacuated, ())
 
     def test_readmission_of_what_was_not_evacuated_changes_nothing(self):
-        self.assertEqual(self.mark("north", False), EvacuationHeld("north", False, 0, False))
+        self.assertEqual(self.mark("north", False), EvacuationStatus("north", False, 0, False))
 
     def test_evacuations_outlive_configurations_and_snapshots(self):
         for name in ("south", "north"):
@@ -52,7 +52,7 @@
     def test_open_plan_is_withdrawn(self):
         plan = create(self.state, 0).plan
         self.mark("north")
-        self.assertEqual(self.state.find_plan(plan.id).outcome, WonBy("", 2))
+        self.assertEqual(self.state.find_plan(plan.id).outcome, Superseded("", 2))
         # A plan made from the version with the evacuation is put in force with it.
         create(self.state, 1)
         self.assertEqual(self.state.configuration.evacuated, ("north",))
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_fuzz_plans.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_fuzz_plans.py
@@ -13,16 +13,16 @@
     ControlState,
     CreatePlan,
     DrainTarget,
+    EvictedPlan,
     Expired,
-    ForgottenPlan,
     Intent,
     MarkDraining,
-    PlanKept,
+    PlanCreated,
     RequestReused,
+    Superseded,
     TooManyPlans,
     UnknownPlan,
     VersionMoved,
-    WonBy,
     compute_changes,
     decode_command,
     encode_command,
@@ -70,10 +70,10 @@
     def judge_create(self, index: int, command: CreatePlan, result: object) -> None:
         self.latest_ms = max(self.latest_ms, command.now_ms)
         match result:
-            case PlanKept(plan, True):
+            case PlanCreated(plan, True):
                 assert self.requests[command.request] == plan.index
                 assert plan.base_version == self.plans[plan.index].base
-            case PlanKept(plan, False):
+            case PlanCreated(plan, False):
                 assert plan.index == index and command.base_version == self.version
                 assert self._is_forgotten(self.requests.get(command.request))
                 content = dict(self.versions[command.base_version])
@@ -98,7 +98,7 @@
             case UnknownPlan():
                 assert known is None
                 return
-            case ForgottenPlan():
+            case EvictedPlan():
                 assert self._is_forgotten(command.index), "forgotten before its time"
                 return
         assert known is not None
@@ -114,7 +114,7 @@
                 assert known.base == self.version and command.now_ms < known.expires_ms
                 self.winners[known.base] = result
                 self.versions[version] = known.content
-            case WonBy(plan, version):
+            case Superseded(plan, version):
                 assert self.winners[known.base] == Confirmed(plan, version)
             case Expired():
                 assert self.latest_ms >= known.expires_ms
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_revision.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_revision.py
@@ -11,8 +11,8 @@
     MarkEvacuated,
     PutRevision,
     RevisionFaultKind,
-    RevisionHeld,
-    WonBy,
+    RevisionStatus,
+    Superseded,
     encode_command,
     find_revision_fault,
 )
@@ -49,7 +49,7 @@
     def test_other_content_under_a_held_revision_takes_no_force(self):
         self.apply(make_put(5, b"first", services=("s",)))
         held = self.apply(make_put(5, b"second", services=("t",)))
-        self.assertEqual(held, RevisionHeld(5, 1, is_new=False))
+        self.assertEqual(held, RevisionStatus(5, 1, is_new=False))
         self.assertEqual(self.state.document, b"first")
         self.assertIsNotNone(self.state.configuration.find_service("s"))
 
@@ -64,7 +64,7 @@
         changes = Changes((Service("t", ("*",)),))
         self.apply(CreatePlan("k1", b"d", 0, changes, 0, 60_000))
         self.apply(make_put(5, b"text", [make_route()]))
-        self.assertIsInstance(self.apply(ConfirmPlan(1, 1)), WonBy)
+        self.assertIsInstance(self.apply(ConfirmPlan(1, 1)), Superseded)
         self.apply(CreatePlan("k2", b"d", 2, changes, 0, 60_000))
         self.apply(ConfirmPlan(4, 1))
         self.assertIsNotNone(self.state.configuration.find_service("t"))
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_state.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_state.py
@@ -9,7 +9,7 @@
     ConfirmPlan,
     ControlState,
     CreatePlan,
-    ForgottenPlan,
+    EvictedPlan,
     UnknownPlan,
     encode_command,
     plan_table,
@@ -48,7 +48,7 @@
     def test_a_forgotten_plan_is_told_from_one_that_never_was(self):
         plans = [create(self.state, now_ms, SHORT_MS).plan for now_ms in range(5)]
         self.assertEqual(
-            propose(self.state, ConfirmPlan(plans[0].index, 10)), ForgottenPlan(plans[0].id)
+            propose(self.state, ConfirmPlan(plans[0].index, 10)), EvictedPlan(plans[0].id)
         )
         self.assertEqual(propose(self.state, ConfirmPlan(99, 11)), UnknownPlan("p99"))
 
--- a/packages/bendwind-node/src/bendwind_node/operators/errors.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/errors.py
@@ -8,7 +8,7 @@
 from bendwind_core.core import TomlError
 from bendwind_core.plans import (
     CustomerFault,
-    ForgottenPlan,
+    EvictedPlan,
     GroupRefused,
     RequestReused,
     TooManyMarks,
@@ -66,7 +66,7 @@
     | RequestReused
     | TooManyPlans
     | UnknownPlan
-    | ForgottenPlan
+    | EvictedPlan
     | TooManyMarks
     | GroupRefused
 )
@@ -117,6 +117,6 @@
             return plain_error(404, ErrorKind.UNKNOWN_PLAN, f"no plan {plan!r} was ever made")
         case GroupRefused(detail):
             return plain_error(409, ErrorKind.GROUP_REFUSED, detail)
-        case ForgottenPlan(plan):
+        case EvictedPlan(plan):
             text = f"{plan} is older than the oldest outcome remembered"
             return plain_error(410, ErrorKind.FORGOTTEN_PLAN, text)
--- a/packages/bendwind-node/src/bendwind_node/operators/evacuations.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/evacuations.py
@@ -4,7 +4,7 @@
 from expression import Error, Ok, Result
 
 from bendwind_core.plans import (
-    EvacuationHeld,
+    EvacuationStatus,
     MarkEvacuated,
     PlanWarning,
     TooManyEvacuated,
@@ -31,7 +31,7 @@
 
 async def mark_evacuated(
     client: ControlClient, recorder: Recorder, data_centre: str, *, evacuated: bool
-) -> Result[EvacuationHeld, EvacuationError]:
+) -> Result[EvacuationStatus, EvacuationError]:
     """Have a data centre's upstreams get nothing new, or take it back; both may be asked again.
 
     Errors: UnknownDataCentre; TooManyEvacuated; ControlError, after which it may be asked again.
@@ -44,7 +44,7 @@
         recorder.record(EventKind.EVACUATION_NOT_MARKED, detail=f"{detail}: {unknown}")
         return Error(unknown)
     match await client.propose(encode_command(MarkEvacuated(data_centre, evacuated))):
-        case Result(tag="ok", ok=EvacuationHeld() as held):
+        case Result(tag="ok", ok=EvacuationStatus() as held):
             outcome = f"as of version {held.version}" if held.is_new else "held already"
             recorder.record(EventKind.EVACUATION_MARKED, detail=f"{detail}: {outcome}")
             return Ok(held)
--- a/packages/bendwind-node/src/bendwind_node/operators/plan_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/plan_routes.py
@@ -15,15 +15,15 @@
     ConfirmPlan,
     CreatePlan,
     CustomerFault,
+    DrainMarked,
     DrainTarget,
     Expired,
     Intent,
     MarkDraining,
-    Marked,
     Plan,
-    PlanKept,
+    PlanCreated,
+    Superseded,
     VersionMoved,
-    WonBy,
     apply_changes,
     compute_changes,
     encode_command,
@@ -89,11 +89,11 @@
         match outcome:
             case Result(tag="error", error=error):
                 return self._report_failure(error)
-            case Result(tag="ok", ok=PlanKept(plan, resent)):
-                if not resent:
+            case Result(tag="ok", ok=PlanCreated(plan, is_resent)):
+                if not is_resent:
                     detail = f"base version {plan.base_version}"
                     self.recorder.record(EventKind.PLAN_CREATED, plan=plan.id, detail=detail)
-                return await self._show(plan.id, 200 if resent else 201)
+                return await self._show(plan.id, 200 if is_resent else 201)
             case Result(tag="ok", ok=refusal):
                 self.recorder.record(EventKind.PLAN_REFUSED, detail=str(refusal))
                 return command_error(refusal)
@@ -156,7 +156,7 @@
                 detail = f"version {confirmed.version}"
                 self.recorder.record(EventKind.PLAN_CONFIRMED, plan=plan_id, detail=detail)
                 return json_response(200, show_outcome(confirmed))
-            case Result(tag="ok", ok=WonBy() as lost):
+            case Result(tag="ok", ok=Superseded() as lost):
                 detail = f"{lost.plan} is in force as version {lost.version}"
                 self.recorder.record(EventKind.PLAN_LOST, plan=plan_id, detail=detail)
                 return json_response(409, show_outcome(lost))
@@ -195,7 +195,7 @@
         match outcome:
             case Result(tag="error", error=error):
                 return self._report_failure(error)
-            case Result(tag="ok", ok=Marked()):
+            case Result(tag="ok", ok=DrainMarked()):
                 word = "set" if draining else "cleared"
                 detail = f"{word} for {target} {name}"
                 upstream = name if target is DrainTarget.UPSTREAM else ""
--- a/packages/bendwind-node/src/bendwind_node/operators/revisions.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/revisions.py
@@ -5,7 +5,7 @@
 from bendwind_core.plans import (
     PutRevision,
     RevisionFault,
-    RevisionHeld,
+    RevisionStatus,
     encode_command,
     find_revision_fault,
 )
@@ -15,7 +15,7 @@
 
 async def put_revision(
     client: ControlClient, recorder: Recorder, command: PutRevision
-) -> Result[RevisionHeld, RevisionFault | ControlError]:
+) -> Result[RevisionStatus, RevisionFault | ControlError]:
     """Put a configuration in force, unless one of its number or a higher one is.
 
     Errors: RevisionFault for an invalid one; ControlError, after which it may be put again.
@@ -26,7 +26,7 @@
         recorder.record(EventKind.REVISION_REFUSED, detail=f"{detail}: {fault}")
         return Error(fault)
     match await client.propose(encode_command(command)):
-        case Result(tag="ok", ok=RevisionHeld() as held):
+        case Result(tag="ok", ok=RevisionStatus() as held):
             outcome = f"in force as version {held.version}" if held.is_new else "not above"
             recorder.record(
                 EventKind.REVISION_HELD, detail=f"{detail}: {outcome}, held {held.revision}"
--- a/packages/bendwind-node/src/bendwind_node/operators/views.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/views.py
@@ -14,7 +14,7 @@
     PlanOutcome,
     PlanState,
     PlanWarning,
-    WonBy,
+    Superseded,
     compute_customer_differences,
     compute_differences,
     find_affected,
@@ -180,7 +180,7 @@
     match outcome:
         case Confirmed(plan, version):
             return OutcomeView("confirmed", plan, version)
-        case WonBy(plan, version):
+        case Superseded(plan, version):
             return OutcomeView("won-by", plan, version)
         case Expired(plan):
             return OutcomeView("expired", plan)
