--- a/packages/bendwind-core/src/bendwind_core/plans/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/__init__.py
@@ -1,4 +1,4 @@
-"""Offer intents, plans and the state that the control log replicates."""
+"""Provide intents, plans and the state that the control log replicates."""
 
 from bendwind_core.plans.changes import Changes, apply_changes, compute_changes
 from bendwind_core.plans.commands import (
--- a/packages/bendwind-core/src/bendwind_core/plans/changes.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/changes.py
@@ -1,4 +1,4 @@
-"""Work out and apply the changes that turn one configuration into another."""
+"""Compute and apply the changes that turn one configuration into another."""
 
 from msgspec.structs import replace
 
@@ -13,7 +13,7 @@
 
 
 class Changes(Record, frozen=True, array_like=True):
-    """Hold the services to put in place, new or changed, and the names of those to remove.
+    """Hold the services to add or replace in `put`, and the names of those to remove.
 
     `customers` holds the same for customers.
     """
@@ -24,18 +24,18 @@
 
 
 def compute_changes(configuration: Configuration, intent: Intent) -> Changes:
-    """Return what has to change for the intent to hold, in the order of service names."""
-    present = {service.name: service for service in configuration.services}
-    wanted = {service.name: service for service in intent.services}
-    put = [wanted[name] for name in sorted(wanted) if present.get(name) != wanted[name]]
-    ended = intent.remove if intent.partial else present.keys() - wanted.keys()
-    removed = tuple(sorted(name for name in ended if name in present))
+    """Return the changes that make a configuration match an intent, sorted by service name."""
+    current = {service.name: service for service in configuration.services}
+    desired = {service.name: service for service in intent.services}
+    put = [desired[name] for name in sorted(desired) if current.get(name) != desired[name]]
+    to_remove = intent.remove if intent.partial else current.keys() - desired.keys()
+    removed = tuple(sorted(name for name in to_remove if name in current))
     customers = compute_customer_changes(configuration.customers, intent)
     return Changes(tuple(put), removed, customers)
 
 
 def apply_changes(configuration: Configuration, changes: Changes, version: int) -> Configuration:
-    """Return the configuration with the changes made, as of the given version."""
+    """Return the configuration with the changes applied, as the given version."""
     services = {service.name: service for service in configuration.services}
     services |= {service.name: service for service in changes.put}
     for name in changes.removed:
--- a/packages/bendwind-core/src/bendwind_core/plans/commands.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/commands.py
@@ -1,4 +1,4 @@
-"""Define the commands that the control log carries."""
+"""Define the commands of the control log."""
 
 import enum
 
@@ -11,9 +11,10 @@
 
 
 class CreatePlan(Record, frozen=True, array_like=True, tag="create-plan"):
-    """Keep a plan made from `base_version`, unless the request already made one.
+    """Store a plan that is based on `base_version`, unless the request already created one.
 
-    Units: `now_ms` is the leader's wall clock, `ttl_ms` the time the plan may be confirmed in.
+    Units: `now_ms` is the leader's wall clock, `ttl_ms` the time within which the plan can be
+    confirmed.
     """
 
     request: str
@@ -25,7 +26,7 @@
 
 
 class ConfirmPlan(Record, frozen=True, array_like=True, tag="confirm-plan"):
-    """Put a plan's configuration in force if its base is still the version in force.
+    """Activate a plan's configuration if its base is still the active version.
 
     Units: `now_ms` is the leader's wall clock in milliseconds since 1970.
     """
@@ -35,14 +36,14 @@
 
 
 class DrainTarget(enum.StrEnum):
-    """Say what a drain mark names."""
+    """Enumerate what a drain mark can name."""
 
     INSTANCE = "instance"
     UPSTREAM = "upstream"
 
 
 class MarkDraining(Record, frozen=True, array_like=True, tag="mark-draining"):
-    """Ask for an instance or upstream to be drained, or no longer."""
+    """Set or clear the drain mark of an instance or upstream."""
 
     target: DrainTarget
     name: str
@@ -50,10 +51,10 @@
 
 
 class PutRevision(Record, frozen=True, array_like=True, tag="put-revision"):
-    """Put a whole configuration in force unless its revision is not above the one held.
+    """Activate a whole configuration if its revision is above the current revision.
 
-    `document` is what the operator sent, kept to be read back as it was. `customers` is None where
-    requests need no key.
+    `document` is the text that the operator sent, stored so that it can be read back unchanged.
+    `customers` is None if requests need no key.
     """
 
     services: tuple[Service, ...]
@@ -63,13 +64,17 @@
 
 
 class MarkEvacuated(Record, frozen=True, array_like=True, tag="mark-evacuated"):
-    """Ask that the upstreams of a data centre get nothing new, or no longer."""
+    """Set or clear the evacuation of a data centre.
+
+    While it is set, the upstreams of the data centre get no new requests.
+    """
 
     data_centre: str
     evacuated: bool
 
 
-# A voter sends another an entry of the log in one message, which may have 4 MiB with all around it.
+# A voter sends a log entry to another voter in one message. A message is limited to 4 MiB, which
+# includes everything that surrounds the entry.
 MAX_COMMAND_BYTES = 7 << 19
 
 Command = CreatePlan | ConfirmPlan | MarkDraining | ChangeClaimGroup | PutRevision | MarkEvacuated
@@ -86,7 +91,7 @@
 def decode_command(data: bytes) -> Command:
     """Decode a command of the control log.
 
-    Errors: raises msgspec.DecodeError on anything else, since every voter must understand the
-    same entries; a voter that does not must stop rather than differ from the others.
+    Errors: raises msgspec.DecodeError on anything else. Every voter must understand the same
+    entries; a voter that does not must stop, since its state would differ from the others.
     """
     return _DECODER.decode(data)
--- a/packages/bendwind-core/src/bendwind_core/plans/customer_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/customer_changes.py
@@ -1,4 +1,4 @@
-"""Work out and apply the changes that turn some customers into others."""
+"""Compute and apply the changes that turn one list of customers into another."""
 
 from bendwind_core.core import Record
 from bendwind_core.plans.intent import Intent
@@ -6,9 +6,9 @@
 
 
 class CustomerChanges(Record, frozen=True, array_like=True):
-    """Hold the customers to put in place, new or changed, and the names of those to remove.
+    """Hold the customers to add or replace in `put`, and the names of those to remove.
 
-    `are_keys_needed` says what requests need from then on, None where that stays as it is.
+    `are_keys_needed` says whether requests need a key from then on; None leaves this unchanged.
     """
 
     put: tuple[Customer, ...] = ()
@@ -16,28 +16,30 @@
     are_keys_needed: bool | None = None
 
 
-def compute_customer_changes(held: tuple[Customer, ...] | None, intent: Intent) -> CustomerChanges:
-    """Return what has to change for the intent to hold, in the order of names."""
+def compute_customer_changes(
+    current: tuple[Customer, ...] | None, intent: Intent
+) -> CustomerChanges:
+    """Return the changes that make the customers match an intent, sorted by name."""
     if intent.end_customers:
-        return CustomerChanges((), (), None if held is None else False)
+        return CustomerChanges((), (), None if current is None else False)
     if intent.customers is None and not intent.remove_customers:
         return CustomerChanges()
-    present = {customer.name: customer for customer in held or ()}
-    wanted = {customer.name: customer for customer in intent.customers or ()}
-    put = tuple(wanted[name] for name in sorted(wanted) if present.get(name) != wanted[name])
-    ended = intent.remove_customers if intent.partial else present.keys() - wanted.keys()
-    removed = tuple(sorted(name for name in ended if name in present))
-    is_first = held is None and intent.customers is not None
+    existing = {customer.name: customer for customer in current or ()}
+    desired = {customer.name: customer for customer in intent.customers or ()}
+    put = tuple(desired[name] for name in sorted(desired) if existing.get(name) != desired[name])
+    to_remove = intent.remove_customers if intent.partial else existing.keys() - desired.keys()
+    removed = tuple(sorted(name for name in to_remove if name in existing))
+    is_first = current is None and intent.customers is not None
     return CustomerChanges(put, removed, True if is_first else None)
 
 
 def apply_customer_changes(
-    held: tuple[Customer, ...] | None, changes: CustomerChanges
+    current: tuple[Customer, ...] | None, changes: CustomerChanges
 ) -> tuple[Customer, ...] | None:
-    """Return the customers with the changes made, in the order of names."""
-    if changes.are_keys_needed is False or (held is None and changes.are_keys_needed is None):
+    """Return the customers with the changes applied, sorted by name."""
+    if changes.are_keys_needed is False or (current is None and changes.are_keys_needed is None):
         return None
-    customers = {customer.name: customer for customer in held or ()}
+    customers = {customer.name: customer for customer in current or ()}
     customers |= {customer.name: customer for customer in changes.put}
     for name in changes.removed:
         customers.pop(name, None)
--- a/packages/bendwind-core/src/bendwind_core/plans/customer_differences.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/customer_differences.py
@@ -1,4 +1,4 @@
-"""Work out what changes for each customer, without showing a key."""
+"""Compute what changes for each customer, without showing a key."""
 
 from collections.abc import Iterator
 
@@ -10,21 +10,23 @@
 
 
 def compute_customer_differences(
-    held: tuple[Customer, ...] | None, changes: CustomerChanges
+    current: tuple[Customer, ...] | None, changes: CustomerChanges
 ) -> Iterator[Difference]:
-    """Yield every difference, customer by customer in the order of names."""
+    """Yield every difference, grouped by customer and sorted by name."""
     if changes.are_keys_needed is not None:
         needed, free = "needed", "not needed"
         before, after = (free, needed) if changes.are_keys_needed else (needed, free)
         yield Difference(DifferenceKind.KEYS_NEEDED, "", "keys", before, after)
-    before_by_name = {customer.name: customer for customer in held or ()}
-    after = apply_customer_changes(held, changes) or ()
+    before_by_name = {customer.name: customer for customer in current or ()}
+    after = apply_customer_changes(current, changes) or ()
     after_by_name = {customer.name: customer for customer in after}
     for name in sorted(before_by_name.keys() | after_by_name.keys()):
-        yield from _compare(name, before_by_name.get(name), after_by_name.get(name))
+        yield from _compare_customer(name, before_by_name.get(name), after_by_name.get(name))
 
 
-def _compare(name: str, before: Customer | None, after: Customer | None) -> Iterator[Difference]:
+def _compare_customer(
+    name: str, before: Customer | None, after: Customer | None
+) -> Iterator[Difference]:
     if before is None and after is not None:
         text = describe_customer(after)
         yield Difference(DifferenceKind.CUSTOMER_ADDED, "", "", "", text, name)
@@ -55,7 +57,7 @@
 
 
 def describe_customer(customer: Customer) -> str:
-    """Return what a customer has and is due.
+    """Return a text with the number of keys, the rank and the limits of a customer.
 
     >>> describe_customer(Customer("norte", (b"1", b"2"), 1, 5.0, 2.0))
     '2 keys, rank 1, 5 requests/s, burst 2'
--- a/packages/bendwind-core/src/bendwind_core/plans/customer_faults.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/customer_faults.py
@@ -1,4 +1,4 @@
-"""Find what makes customers invalid."""
+"""Find faults that make customers invalid."""
 
 import enum
 import math
@@ -8,13 +8,13 @@
 
 from bendwind_core.world import Customer, digest_key
 
-# A name stands in a header of every request, and as a label beside figures.
-MAX_NAME_CHARACTERS = 64
-# A node that has just started is sent all customers in one message: with names and rates at their
-# longest these take 2.9 of the 4 MiB that a message may have.
+# A name is sent in a header of every request, and labels figures about the customer.
+MAX_CUSTOMER_NAME_CHARACTERS = 64
+# A node that has just started receives all customers in one message, which is limited to 4 MiB.
+# With names and rates of maximum length, all customers take 2.9 MiB of it.
 MAX_CUSTOMERS = 20_000
 MAX_KEYS = 60_000
-# The least urgent rank that leaves room for every rank in use; a rank fits into one byte.
+# The least urgent valid rank. The range includes every rank in use, and a rank fits into one byte.
 MAX_RANK = 99
 
 _FIRST_VISIBLE = "!"
@@ -23,7 +23,7 @@
 
 
 class CustomerFaultKind(enum.StrEnum):
-    """Name what is wrong with a customer; none of it shows a key."""
+    """Enumerate the faults of a customer; no fault shows a key."""
 
     BAD_NAME = "bad-customer-name"
     DUPLICATE_NAME = "duplicate-customer"
@@ -38,7 +38,7 @@
 
 
 class CustomerFault(msgspec.Struct, frozen=True):
-    """Say what is wrong, and with which customer."""
+    """Hold a fault and the customer that has it."""
 
     kind: CustomerFaultKind
     name: str = ""
@@ -52,20 +52,20 @@
     return next(_find_faults(customers or ()), None)
 
 
-def order_customers(customers: tuple[Customer, ...] | None) -> tuple[Customer, ...] | None:
-    """Return customers in the order in which a configuration holds them."""
+def sort_customers(customers: tuple[Customer, ...] | None) -> tuple[Customer, ...] | None:
+    """Return customers in the order of a configuration, which is by name."""
     if customers is None:
         return None
     return tuple(sorted(customers, key=lambda customer: customer.name))
 
 
-def is_customer_name(name: str) -> bool:
-    """Tell whether a name may stand in a header: visible ASCII, not too long.
+def is_valid_customer_name(name: str) -> bool:
+    """Return whether a name can be sent in a header: visible ASCII, not too long.
 
-    >>> is_customer_name("norte-07"), is_customer_name("norte 07")
+    >>> is_valid_customer_name("norte-07"), is_valid_customer_name("norte 07")
     (True, False)
     """
-    if not 0 < len(name) <= MAX_NAME_CHARACTERS:
+    if not 0 < len(name) <= MAX_CUSTOMER_NAME_CHARACTERS:
         return False
     return all(_FIRST_VISIBLE <= character <= _LAST_VISIBLE for character in name)
 
@@ -78,9 +78,9 @@
     names: set[str] = set()
     holders: dict[bytes, str] = {}
     for customer in customers:
-        if not is_customer_name(customer.name):
+        if not is_valid_customer_name(customer.name):
             yield CustomerFault(
-                CustomerFaultKind.BAD_NAME, ascii(customer.name[:MAX_NAME_CHARACTERS])
+                CustomerFaultKind.BAD_NAME, ascii(customer.name[:MAX_CUSTOMER_NAME_CHARACTERS])
             )
         if customer.name in names:
             yield CustomerFault(CustomerFaultKind.DUPLICATE_NAME, customer.name)
@@ -103,11 +103,11 @@
 def _find_limit_faults(customer: Customer) -> Iterator[CustomerFault]:
     if customer.rank is not None and not 0 <= customer.rank <= MAX_RANK:
         yield CustomerFault(CustomerFaultKind.BAD_RANK, customer.name)
-    if not _is_amount(customer.rate_per_s):
+    if not _is_valid_amount(customer.rate_per_s):
         yield CustomerFault(CustomerFaultKind.BAD_RATE, customer.name)
-    if not _is_amount(customer.burst):
+    if not _is_valid_amount(customer.burst):
         yield CustomerFault(CustomerFaultKind.BAD_BURST, customer.name)
 
 
-def _is_amount(value: float) -> bool:
+def _is_valid_amount(value: float) -> bool:
     return math.isfinite(value) and value >= 0.0
--- a/packages/bendwind-core/src/bendwind_core/plans/customer_warnings.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/customer_warnings.py
@@ -1,4 +1,4 @@
-"""Warn operators of what a plan may take from customers."""
+"""Find warnings about what a plan can take away from customers."""
 
 from collections.abc import Iterator
 
@@ -9,26 +9,28 @@
 
 
 def find_customer_warnings(
-    held: tuple[Customer, ...] | None, changes: CustomerChanges
+    current: tuple[Customer, ...] | None, changes: CustomerChanges
 ) -> tuple[PlanWarning, ...]:
-    """List the warnings, customer by customer."""
-    return tuple(_find_warnings(held, changes))
+    """Return the warnings, grouped by customer."""
+    return tuple(_find_warnings(current, changes))
 
 
 def _find_warnings(
-    held: tuple[Customer, ...] | None, changes: CustomerChanges
+    current: tuple[Customer, ...] | None, changes: CustomerChanges
 ) -> Iterator[PlanWarning]:
     match changes.are_keys_needed:
         case True:
-            text = "requests without a known key are refused from then on, but for open ones"
+            text = (
+                "requests without a known key are refused from then on, except those of open rules"
+            )
             yield PlanWarning(WarningKind.KEYS_NEEDED, "", text)
         case False:
-            text = "requests of anybody are taken from then on, without a limit"
+            text = "requests are accepted from anybody from then on, without a rate limit"
             yield PlanWarning(WarningKind.KEYS_NOT_NEEDED, "", text)
-    before = {customer.name: customer for customer in held or ()}
-    after = apply_customer_changes(held, changes) or ()
+    before = {customer.name: customer for customer in current or ()}
+    after = apply_customer_changes(current, changes) or ()
     for customer in after:
-        yield from _check(before.get(customer.name), customer)
+        yield from _check_customer(before.get(customer.name), customer)
     if changes.are_keys_needed is not False:
         kept = {customer.name for customer in after}
         for name in sorted(before.keys() - kept):
@@ -36,7 +38,7 @@
             yield PlanWarning(WarningKind.CUSTOMER_ENDED, "", text, name)
 
 
-def _check(before: Customer | None, after: Customer) -> Iterator[PlanWarning]:
+def _check_customer(before: Customer | None, after: Customer) -> Iterator[PlanWarning]:
     if before == after:
         return
     if not after.keys:
@@ -44,12 +46,12 @@
         yield PlanWarning(WarningKind.NO_KEY, "", text, after.name)
     if before is None:
         return
-    if _is_lower(before, after):
+    if _is_limit_lowered(before, after):
         texts = [_describe_limit(customer) for customer in (before, after)]
         yield PlanWarning(WarningKind.RATE_LOWERED, "", " -> ".join(texts), after.name)
 
 
-def _is_lower(before: Customer, after: Customer) -> bool:
+def _is_limit_lowered(before: Customer, after: Customer) -> bool:
     if not after.is_limited:
         return False
     if not before.is_limited:
--- a/packages/bendwind-core/src/bendwind_core/plans/difference.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/difference.py
@@ -1,4 +1,4 @@
-"""Work out the exact differences that a plan's changes make."""
+"""Compute the exact differences that a plan's changes make."""
 
 import enum
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 
 
 class DifferenceKind(enum.StrEnum):
-    """Name what differs."""
+    """Enumerate what can differ."""
 
     SERVICE_ADDED = "service-added"
     SERVICE_REMOVED = "service-removed"
@@ -32,9 +32,9 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Name one thing that differs, with its values before and after as text.
+    """Describe one difference, with the values before and after as text.
 
-    It is of a service or of a customer; where both are empty, of all customers.
+    It belongs to a service or to a customer. If both are empty, it concerns all customers.
     """
 
     kind: DifferenceKind
@@ -45,37 +45,38 @@
     customer: str = ""
 
 
-# Compared rule by rule, or limit by limit, instead of as one value.
+# Rules are compared one by one and limits one by one, not as one value. A name never differs, since
+# services are compared by name.
 _COMPARED_IN_PARTS = frozenset({"name", "rules", "limits"})
 
 
 def compute_differences(before: Configuration, changes: Changes) -> tuple[Difference, ...]:
-    """List every difference that the changes make to services, in the order of names."""
-    present = {service.name: service for service in before.services}
-    wanted = {service.name: service for service in changes.put}
-    removed = set(changes.removed) & present.keys()
+    """Return every difference that the changes make to services, sorted by service name."""
+    current = {service.name: service for service in before.services}
+    desired = {service.name: service for service in changes.put}
+    removed = set(changes.removed) & current.keys()
     return tuple(
         difference
-        for name in sorted(wanted.keys() | removed)
-        for difference in _compare(present.get(name), wanted.get(name))
+        for name in sorted(desired.keys() | removed)
+        for difference in _compare_service(current.get(name), desired.get(name))
     )
 
 
-def _compare(before: Service | None, after: Service | None) -> Iterator[Difference]:
+def _compare_service(before: Service | None, after: Service | None) -> Iterator[Difference]:
     if before is None and after is not None:
         yield Difference(
             DifferenceKind.SERVICE_ADDED, after.name, after=format_value(after.upstreams)
         )
-        yield from _compare_services(Service(after.name, after.upstreams), after)
+        yield from _compare_service_fields(Service(after.name, after.upstreams), after)
     elif before is not None and after is None:
         upstreams = format_value(before.upstreams)
         yield Difference(DifferenceKind.SERVICE_REMOVED, before.name, before=upstreams)
     elif before is not None and after is not None:
-        yield from _compare_services(before, after)
+        yield from _compare_service_fields(before, after)
         yield from _compare_effects(before, after)
 
 
-def _compare_services(before: Service, after: Service) -> Iterator[Difference]:
+def _compare_service_fields(before: Service, after: Service) -> Iterator[Difference]:
     for field in Service.__struct_fields__:
         if field not in _COMPARED_IN_PARTS:
             yield from _compare_field(after.name, field, before, after)
@@ -100,24 +101,24 @@
 
 
 def _compare_rules(before: Service, after: Service) -> Iterator[Difference]:
-    old = {_rule_key(rule): rule for rule in before.rules}
-    new = {_rule_key(rule): rule for rule in after.rules}
+    old = {_make_rule_key(rule): rule for rule in before.rules}
+    new = {_make_rule_key(rule): rule for rule in after.rules}
     for key in [key for key in old if key not in new]:
-        yield _rule_difference(DifferenceKind.RULE_REMOVED, after.name, old[key], None)
+        yield _make_rule_difference(DifferenceKind.RULE_REMOVED, after.name, old[key], None)
     for key in [key for key in new if key not in old]:
-        yield _rule_difference(DifferenceKind.RULE_ADDED, after.name, None, new[key])
+        yield _make_rule_difference(DifferenceKind.RULE_ADDED, after.name, None, new[key])
     for key in [key for key in new if key in old and old[key] != new[key]]:
-        yield _rule_difference(DifferenceKind.RULE_CHANGED, after.name, old[key], new[key])
+        yield _make_rule_difference(DifferenceKind.RULE_CHANGED, after.name, old[key], new[key])
     if [key for key in old if key in new] != [key for key in new if key in old]:
         order = ", ".join(describe_rule(rule) for rule in after.rules)
         yield Difference(DifferenceKind.RULES_REORDERED, after.name, "rules", after=order)
 
 
-def _rule_key(rule: Rule) -> tuple[tuple[str, ...], str]:
+def _make_rule_key(rule: Rule) -> tuple[tuple[str, ...], str]:
     return tuple(sorted(rule.methods)), rule.path
 
 
-def _rule_difference(
+def _make_rule_difference(
     kind: DifferenceKind, service: str, before: Rule | None, after: Rule | None
 ) -> Difference:
     named = after or before
@@ -147,7 +148,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value of a service's field as plans show it.
+    """Return the text with which plans show the value of a field.
 
     >>> format_value(1500.0), format_value(None), format_value(("a", "b"))
     ('1500', 'none', 'a, b')
--- a/packages/bendwind-core/src/bendwind_core/plans/evacuation.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/evacuation.py
@@ -1,4 +1,4 @@
-"""Warn operators of what the evacuation of a data centre leaves too little room for."""
+"""Find services that the evacuation of a data centre leaves with too little capacity."""
 
 from collections.abc import Sequence
 
@@ -9,8 +9,8 @@
 def find_evacuation_warnings(
     configuration: Configuration, data_centre: str, upstreams: Sequence[Upstream]
 ) -> tuple[PlanWarning, ...]:
-    """List the services that an evacuation takes upstreams from, with what is left elsewhere."""
-    closed = {*configuration.evacuated, data_centre}
+    """Return a warning with the remaining capacity for each service that loses upstreams."""
+    evacuated = {*configuration.evacuated, data_centre}
     found = []
     for name in sorted({upstream.service for upstream in upstreams}):
         ready = [
@@ -18,17 +18,17 @@
             for upstream in upstreams
             if upstream.service == name and upstream.state is UpstreamState.READY
         ]
-        left = [upstream for upstream in ready if upstream.owner.data_centre not in closed]
-        if len(left) < len(ready):
-            found.append(_warn(name, ready, left))
+        remaining = [upstream for upstream in ready if upstream.owner.data_centre not in evacuated]
+        if len(remaining) < len(ready):
+            found.append(_make_warning(name, ready, remaining))
     return tuple(found)
 
 
-def _warn(service: str, ready: list[Upstream], left: list[Upstream]) -> PlanWarning:
-    if not left:
+def _make_warning(service: str, ready: list[Upstream], remaining: list[Upstream]) -> PlanWarning:
+    if not remaining:
         text = f"none of {len(ready)} upstreams is left; its requests are refused"
         return PlanWarning(WarningKind.NO_UPSTREAMS, service, text)
-    slots = sum(upstream.slots for upstream in left)
+    slots = sum(upstream.slots for upstream in remaining)
     all_slots = sum(upstream.slots for upstream in ready)
-    text = f"{len(left)} of {len(ready)} upstreams are left, with {slots} of {all_slots} slots"
+    text = f"{len(remaining)} of {len(ready)} upstreams are left, with {slots} of {all_slots} slots"
     return PlanWarning(WarningKind.FEWER_UPSTREAMS, service, text)
--- a/packages/bendwind-core/src/bendwind_core/plans/intent.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/intent.py
@@ -1,4 +1,4 @@
-"""Read an operator's intent from TOML text."""
+"""Parse an operator's intent from TOML text."""
 
 import collections
 from typing import Annotated
@@ -9,7 +9,11 @@
 
 from bendwind_core.core import TomlError, decode_toml
 from bendwind_core.plans.customer_faults import find_customer_fault
-from bendwind_core.plans.stated_customer import CustomerName, StatedCustomers, make_customers
+from bendwind_core.plans.stated_customer import (
+    CustomerName,
+    StatedCustomers,
+    convert_stated_customers,
+)
 from bendwind_core.world import Customer, Limits, Policy, Repeat, Service, StaleAction
 
 MAX_WAIT_MS = 3_600_000.0
@@ -29,11 +33,11 @@
 
 
 class _Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Hold one table of an intent; unknown keys are refused."""
+    """Hold one table of an intent; unknown keys are errors."""
 
 
 class StatedRule(_Table, frozen=True, kw_only=True):
-    """State a rule as `[[services.rules]]` does."""
+    """Hold a rule as stated in `[[services.rules]]`."""
 
     path: _Path
     methods: tuple[_Method, ...] = ()
@@ -44,7 +48,7 @@
 
 
 class StatedLimits(_Table, frozen=True, kw_only=True):
-    """State the limits of a service as `[services.limits]` does."""
+    """Hold the limits of a service as stated in `[services.limits]`."""
 
     queue: _Count = Limits().queue
     body_bytes: _BodyBytes = Limits().body_bytes
@@ -53,14 +57,14 @@
 
 
 class StatedWarmUp(_Table, frozen=True, kw_only=True):
-    """State how long upstreams are cold as `[services.warm_up]` does."""
+    """Hold how long upstreams are cold, as stated in `[services.warm_up]`."""
 
     seconds: Annotated[float, Meta(gt=0, le=3600)]
     per_second: Annotated[float, Meta(gt=0, le=1_000_000)]
 
 
 class StatedService(_Table, frozen=True, kw_only=True):
-    """State a service as `[[services]]` does."""
+    """Hold a service as stated in `[[services]]`."""
 
     name: _Name
     upstreams: Annotated[tuple[_Pattern, ...], Meta(min_length=1)]
@@ -77,10 +81,10 @@
 
 
 class StatedIntent(_Table, frozen=True, kw_only=True):
-    """State the whole content of an intent's file.
+    """Hold the whole content of an intent file.
 
-    `partial` leaves services and customers that are not named as they are; otherwise they are
-    removed. A file that states no customers leaves them all as they are.
+    `partial` leaves services and customers that are not named unchanged; otherwise they are
+    removed. A file that states no customers leaves all customers unchanged.
     """
 
     services: Annotated[tuple[StatedService, ...], Meta(max_length=MAX_SERVICES)] | None = None
@@ -92,9 +96,9 @@
 
 
 class Intent(msgspec.Struct, frozen=True):
-    """Hold a checked intent: what is wanted, and what is to end when it is partial.
+    """Hold a valid intent: what is desired and, if it is partial, what to remove.
 
-    `customers` is None where they stay as they are; `end_customers` has requests need no key.
+    `customers` is None if customers stay unchanged; with `end_customers`, requests need no key.
     """
 
     services: tuple[Service, ...]
@@ -106,19 +110,19 @@
 
 
 def parse_intent(text: str | bytes, file: str) -> Result[Intent, TomlError]:
-    """Check an intent's TOML text in full.
+    """Parse and fully check the TOML text of an intent.
 
-    Errors: the first thing that is wrong with the text.
+    Errors: the first fault of the text.
     """
     data = text.encode() if isinstance(text, str) else text
-    return decode_toml(data, file, StatedIntent).bind(lambda stated: _check(stated, file))
+    return decode_toml(data, file, StatedIntent).bind(lambda stated: _validate(stated, file))
 
 
-def _check(stated: StatedIntent, file: str) -> Result[Intent, TomlError]:
-    customers = make_customers(stated.customers)
-    clash = _find_clash(stated, file) or _find_customer_clash(stated, customers, file)
-    if clash is not None:
-        return Error(clash)
+def _validate(stated: StatedIntent, file: str) -> Result[Intent, TomlError]:
+    customers = convert_stated_customers(stated.customers)
+    conflict = _find_conflict(stated, file) or _find_customer_conflict(stated, customers, file)
+    if conflict is not None:
+        return Error(conflict)
     services = msgspec.convert(stated.services or (), tuple[Service, ...], from_attributes=True)
     return Ok(
         Intent(
@@ -132,35 +136,39 @@
     )
 
 
-def _find_clash(stated: StatedIntent, file: str) -> TomlError | None:
+def _find_conflict(stated: StatedIntent, file: str) -> TomlError | None:
     if stated.remove and not stated.partial:
-        return TomlError(file, "remove", "expected partial = true beside it")
+        return TomlError(file, "remove", "expected partial = true as well")
     if stated.services is None and not stated.partial:
-        # An empty file must not read as the wish to remove every service.
-        return TomlError(file, "services", "expected [[services]], or services = [] to end all")
+        # An empty file must not be read as a request to remove every service.
+        return TomlError(file, "services", "expected [[services]], or services = [] to remove all")
     services = stated.services or ()
     names = [service.name for service in services]
     hosts = [host for service in services for host in service.hosts]
-    twice = _find_repeated([*names, *stated.remove])
-    if twice is not None:
-        return TomlError(file, "services", f"expected each service once, {twice!r} is named twice")
-    shared = _find_repeated(hosts)
-    if shared is not None:
-        return TomlError(file, "services", f"expected each host once, {shared!r} is named twice")
-    return _find_rule_clash(stated, file)
+    duplicate = _find_duplicate([*names, *stated.remove])
+    if duplicate is not None:
+        return TomlError(
+            file, "services", f"expected each service once, {duplicate!r} is named twice"
+        )
+    duplicate_host = _find_duplicate(hosts)
+    if duplicate_host is not None:
+        return TomlError(
+            file, "services", f"expected each host once, {duplicate_host!r} is named twice"
+        )
+    return _find_rule_conflict(stated, file)
 
 
-def _find_customer_clash(
+def _find_customer_conflict(
     stated: StatedIntent, customers: tuple[Customer, ...] | None, file: str
 ) -> TomlError | None:
     if stated.remove_customers and not stated.partial:
-        return TomlError(file, "remove_customers", "expected partial = true beside it")
+        return TomlError(file, "remove_customers", "expected partial = true as well")
     if stated.end_customers and (customers is not None or stated.remove_customers):
-        return TomlError(file, "end_customers", "expected no other word on customers beside it")
+        return TomlError(file, "end_customers", "expected neither customers nor remove_customers")
     names = [customer.name for customer in customers or ()]
-    twice = _find_repeated([*names, *stated.remove_customers])
-    if twice is not None:
-        text = f"expected each customer once, {twice!r} is named twice"
+    duplicate = _find_duplicate([*names, *stated.remove_customers])
+    if duplicate is not None:
+        text = f"expected each customer once, {duplicate!r} is named twice"
         return TomlError(file, "customers", text)
     fault = find_customer_fault(customers)
     if fault is not None:
@@ -168,17 +176,17 @@
     return None
 
 
-def _find_repeated(names: list[str]) -> str | None:
+def _find_duplicate(names: list[str]) -> str | None:
     counts = collections.Counter(names)
     return next((name for name, count in counts.items() if count > 1), None)
 
 
-def _find_rule_clash(stated: StatedIntent, file: str) -> TomlError | None:
+def _find_rule_conflict(stated: StatedIntent, file: str) -> TomlError | None:
     for i, service in enumerate(stated.services or ()):
         for j, rule in enumerate(service.rules):
             key = f"services[{i}].rules[{j}]"
             if rule.key_required and rule.repeat is not Repeat.NEVER:
-                return TomlError(file, f"{key}.key_required", 'expected repeat = "never" beside it')
+                return TomlError(file, f"{key}.key_required", 'expected repeat = "never" as well')
             if rule in service.rules[:j]:
                 return TomlError(file, key, "expected each rule once")
     return None
--- a/packages/bendwind-core/src/bendwind_core/plans/plan.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/plan.py
@@ -1,4 +1,4 @@
-"""Describe a plan and how it ended."""
+"""Define a plan and its outcomes."""
 
 import enum
 
@@ -8,12 +8,12 @@
 from bendwind_core.plans.changes import Changes
 
 _ID_PREFIX = "p"
-# The index of a log entry fits in 63 bits; longer digits were never an id.
+# A log index fits into 63 bits; a text with more digits cannot be the id of a plan.
 _MAX_DIGITS = 18
 
 
 class PlanState(enum.StrEnum):
-    """Say how far a plan has come."""
+    """Enumerate the states of a plan."""
 
     PROPOSED = "proposed"
     CONFIRMED = "confirmed"
@@ -22,21 +22,24 @@
 
 
 class Confirmed(Record, frozen=True, array_like=True, tag="confirmed"):
-    """Tell that the plan was confirmed and its configuration is in force as of `version`."""
+    """Report that the plan was confirmed and its configuration became active as `version`."""
 
     plan: str
     version: int
 
 
 class Superseded(Record, frozen=True, array_like=True, tag="won-by"):
-    """Tell that another plan from the same version was confirmed first, as `version`."""
+    """Report that another plan from the same version was confirmed first, as `version`.
+
+    `plan` is that plan; it is empty if a revision or an evacuation made `version`.
+    """
 
     plan: str
     version: int
 
 
 class Expired(Record, frozen=True, array_like=True, tag="expired"):
-    """Tell that the plan was not confirmed in time."""
+    """Report that the plan was not confirmed in time."""
 
     plan: str
 
@@ -45,9 +48,9 @@
 
 
 class Plan(Record, frozen=True, array_like=True):
-    """Hold a plan: the changes it would make to the version it starts from.
+    """Hold a plan: the changes that it makes to its base version when it is confirmed.
 
-    `request` is the operator's idempotency key and `digest` the hash of what was asked under it.
+    `request` is the operator's idempotency key and `digest` the hash of the intent sent with it.
     `changes` are dropped once there is an outcome.
     Units: `created_ms` and `expires_ms` are wall-clock milliseconds since 1970.
     """
@@ -63,12 +66,12 @@
 
     @property
     def id(self) -> str:
-        """Return the name operators use, which carries the log index of the creation."""
+        """Return the id that operators use, which contains the log index of the creation."""
         return f"{_ID_PREFIX}{self.index}"
 
     @property
     def state(self) -> PlanState:
-        """Return how far the plan has come."""
+        """Return the state that follows from the outcome."""
         match self.outcome:
             case None:
                 return PlanState.PROPOSED
@@ -79,13 +82,13 @@
             case Expired():
                 return PlanState.EXPIRED
 
-    def decide(self, outcome: PlanOutcome) -> "Plan":
+    def close(self, outcome: PlanOutcome) -> "Plan":
         """Return the plan with its outcome and without its changes."""
         return msgspec.structs.replace(self, outcome=outcome, changes=Changes())
 
 
 def parse_plan_id(text: str) -> int | None:
-    """Return the creation index that a plan's id carries, or None if it is no id.
+    """Return the log index of the creation from a plan's id, or None if it is not an id.
 
     >>> parse_plan_id("p17"), parse_plan_id("17"), parse_plan_id("p017")
     (17, None, None)
--- a/packages/bendwind-core/src/bendwind_core/plans/plan_table.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/plan_table.py
@@ -1,4 +1,4 @@
-"""Keep the open plans and a bounded number of past outcomes."""
+"""Store the open plans and a bounded number of closed plans."""
 
 from collections.abc import Iterable
 
@@ -9,47 +9,47 @@
 from bendwind_core.plans.results import EvictedPlan, UnknownPlan
 
 MAX_OPEN_PLANS = 32
-# Four whole configurations of the largest size planned for, 650 services.
+# Four whole configurations of the largest planned size, which is 650 services.
 MAX_OPEN_SERVICES = 2_600
-# Two whole lists of the most customers that there may be.
+# Two whole lists of the maximum number of customers.
 MAX_OPEN_CUSTOMERS = 40_000
-# A day of changes at the largest size planned for, 6,200 a day.
-MAX_OUTCOMES = 6_200
+# The changes of one day at the largest planned size, which are 6,200.
+MAX_CLOSED_PLANS = 6_200
 
 
 class PlanTable(msgspec.Struct):
     """Hold plans by the log index of their creation.
 
-    `open` is in the order of creation, `decided` in the order of the outcomes: an outcome is
-    remembered until MAX_OUTCOMES later ones have come, however old its plan is. `forgotten` is
-    the highest index whose outcome was dropped. Every voter must use the same bounds.
+    `open` is in the order of creation, `closed` in the order of the outcomes: an outcome is kept
+    until MAX_CLOSED_PLANS later ones exist, regardless of the age of its plan. `newest_evicted`
+    is the highest index whose outcome was evicted. Every voter must use the same bounds.
     """
 
     open: dict[int, Plan] = msgspec.field(default_factory=dict)
-    decided: dict[int, Plan] = msgspec.field(default_factory=dict)
+    closed: dict[int, Plan] = msgspec.field(default_factory=dict)
     requests: dict[str, int] = msgspec.field(default_factory=dict)
-    forgotten: int = 0
+    newest_evicted: int = 0
 
     def find(self, index: int) -> Plan | None:
-        """Return the plan of a creation index, or None."""
-        return self.open.get(index) or self.decided.get(index)
+        """Return the plan created at a log index, or None."""
+        return self.open.get(index) or self.closed.get(index)
 
     def find_request(self, request: str) -> Plan | None:
-        """Return the plan that an idempotency key made, or None."""
+        """Return the plan created under an idempotency key, or None."""
         index = self.requests.get(request)
         return None if index is None else self.find(index)
 
-    def explain_absence(self, plan_id: str, index: int) -> UnknownPlan | EvictedPlan:
-        """Tell an id too old to be remembered from one that never existed."""
-        return EvictedPlan(plan_id) if index <= self.forgotten else UnknownPlan(plan_id)
+    def explain_missing(self, plan_id: str, index: int) -> UnknownPlan | EvictedPlan:
+        """Return whether a missing plan was evicted or never existed."""
+        return EvictedPlan(plan_id) if index <= self.newest_evicted else UnknownPlan(plan_id)
 
     def list_newest_first(self) -> list[Plan]:
-        """Return every plan, the one created last first."""
-        plans = [*self.open.values(), *self.decided.values()]
+        """Return every plan, newest creation first."""
+        plans = [*self.open.values(), *self.closed.values()]
         return sorted(plans, key=lambda plan: plan.index, reverse=True)
 
-    def has_room_for(self, changes: Changes) -> bool:
-        """Tell whether one more plan that makes these changes may be kept open."""
+    def has_capacity_for(self, changes: Changes) -> bool:
+        """Return whether one more plan with these changes can be kept open."""
         services = sum(len(plan.changes.put) for plan in self.open.values())
         customers = sum(len(plan.changes.customers.put) for plan in self.open.values())
         return (
@@ -59,48 +59,48 @@
         )
 
     def add(self, plan: Plan) -> None:
-        """Keep an open plan."""
+        """Add an open plan."""
         self.open[plan.index] = plan
         self.requests[plan.request] = plan.index
 
-    def decide(self, index: int, outcome: PlanOutcome) -> None:
-        """Record the outcome of an open plan, and forget the oldest beyond the bound."""
-        self.decided[index] = self.open.pop(index).decide(outcome)
-        if len(self.decided) > MAX_OUTCOMES:
-            self._forget(next(iter(self.decided.values())))
+    def close(self, index: int, outcome: PlanOutcome) -> None:
+        """Record the outcome of an open plan, and evict the oldest outcome beyond the bound."""
+        self.closed[index] = self.open.pop(index).close(outcome)
+        if len(self.closed) > MAX_CLOSED_PLANS:
+            self._evict(next(iter(self.closed.values())))
 
-    def _forget(self, plan: Plan) -> None:
-        del self.decided[plan.index]
+    def _evict(self, plan: Plan) -> None:
+        del self.closed[plan.index]
         del self.requests[plan.request]
-        self.forgotten = max(self.forgotten, plan.index)
+        self.newest_evicted = max(self.newest_evicted, plan.index)
 
     def expire(self, now_ms: int) -> None:
-        """Record as expired every open plan whose time has passed."""
+        """Close every open plan whose expiry time has passed, as expired."""
         for plan in list(self.open.values()):
             if plan.expires_ms <= now_ms:
-                self.decide(plan.index, Expired(plan.id))
+                self.close(plan.index, Expired(plan.id))
 
-    def supersede(self, winner: Plan, version: int) -> None:
-        """Record for every plan still open that another one won."""
-        self._lose_open(winner.id, version)
+    def supersede_open(self, confirmed: Plan, version: int) -> None:
+        """Close every plan that is still open, since another plan was confirmed."""
+        self._close_open(confirmed.id, version)
 
-    def withdraw(self, version: int) -> None:
-        """Record for every plan still open that a whole configuration came first."""
-        self._lose_open("", version)
+    def invalidate_open(self, version: int) -> None:
+        """Close every plan that is still open, since a revision or an evacuation came first."""
+        self._close_open("", version)
 
-    def _lose_open(self, winner: str, version: int) -> None:
+    def _close_open(self, confirmed_id: str, version: int) -> None:
         for plan in list(self.open.values()):
-            self.decide(plan.index, Superseded(winner, version))
+            self.close(plan.index, Superseded(confirmed_id, version))
 
 
 def create_plan_table(
-    open_plans: Iterable[Plan], decided: Iterable[Plan], forgotten: int
+    open_plans: Iterable[Plan], closed: Iterable[Plan], newest_evicted: int
 ) -> PlanTable:
-    """Build a table out of plans in the orders that a table keeps them in."""
+    """Create a table from plans that are in the orders of a table."""
     table = PlanTable(
         open={plan.index: plan for plan in open_plans},
-        decided={plan.index: plan for plan in decided},
-        forgotten=forgotten,
+        closed={plan.index: plan for plan in closed},
+        newest_evicted=newest_evicted,
     )
     for plan in table.list_newest_first():
         table.requests[plan.request] = plan.index
--- a/packages/bendwind-core/src/bendwind_core/plans/render.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/render.py
@@ -1,4 +1,4 @@
-"""Show a plan as lines of text that read like a diff."""
+"""Render a plan as lines of text in the style of a diff."""
 
 from collections.abc import Sequence
 
@@ -18,7 +18,7 @@
 def render_plan(
     differences: Sequence[Difference], warnings: Sequence[PlanWarning]
 ) -> tuple[str, ...]:
-    """Return the lines of a plan: what differs of each service and customer, then the warnings."""
+    """Return the lines of a plan: the differences by service and customer, then the warnings."""
     lines: list[str] = []
     subject = ("", "")
     for difference in differences:
--- a/packages/bendwind-core/src/bendwind_core/plans/results.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/results.py
@@ -1,4 +1,4 @@
-"""Define what the replicated state answers to a command."""
+"""Define the results of applying commands to the replicated state."""
 
 from bendwind_core.claims import ClaimGroup
 from bendwind_core.core import Record
@@ -7,45 +7,45 @@
 
 
 class PlanCreated(Record, frozen=True, array_like=True, tag="plan-kept"):
-    """Give the plan that the request made; `resent` tells that it was made before."""
+    """Return the plan that the request created; `is_resent` if an earlier copy created it."""
 
     plan: Plan
     is_resent: bool = False
 
 
 class VersionMoved(Record, frozen=True, array_like=True, tag="version-moved"):
-    """Refuse a plan whose base is not the version in force, which `plan` made."""
+    """Refuse a plan whose base is not the active version, which `plan` made."""
 
     version: int
     plan: str
 
 
 class RequestReused(Record, frozen=True, array_like=True, tag="request-reused"):
-    """Refuse an idempotency key that made another plan out of another intent."""
+    """Refuse an idempotency key under which another intent already created `plan`."""
 
     plan: str
 
 
 class TooManyPlans(Record, frozen=True, array_like=True, tag="too-many-plans"):
-    """Refuse a plan because too many, or too large ones, are open."""
+    """Refuse a plan because the open plans are too many or too large."""
 
     open: int
 
 
 class UnknownPlan(Record, frozen=True, array_like=True, tag="unknown-plan"):
-    """Tell that no plan of this id was ever made."""
+    """Report that no plan with this id was ever created."""
 
     plan: str
 
 
 class EvictedPlan(Record, frozen=True, array_like=True, tag="forgotten-plan"):
-    """Tell that the id is older than the oldest outcome that is remembered."""
+    """Report that the id is older than the oldest outcome that is stored."""
 
     plan: str
 
 
 class DrainMarked(Record, frozen=True, array_like=True, tag="marked"):
-    """Give a drain mark as it now stands."""
+    """Return the current state of a drain mark."""
 
     target: DrainTarget
     name: str
@@ -59,19 +59,19 @@
 
 
 class GroupChanged(Record, frozen=True, array_like=True, tag="group-changed"):
-    """Give a claim group as it now stands."""
+    """Return the current state of a claim group."""
 
     group: ClaimGroup
 
 
 class GroupRefused(Record, frozen=True, array_like=True, tag="group-refused"):
-    """Refuse a change of a claim group; `detail` names the rule that it would break."""
+    """Refuse a change of a claim group; `detail` names the rule that the change violates."""
 
     detail: str
 
 
 class RevisionStatus(Record, frozen=True, array_like=True, tag="revision-held"):
-    """Give the revision held after a whole configuration was put; `is_new` if this put it there."""
+    """Return the current revision after PutRevision; `is_new` if this command set it."""
 
     revision: int
     version: int
@@ -79,7 +79,10 @@
 
 
 class EvacuationStatus(Record, frozen=True, array_like=True, tag="evacuation-held"):
-    """Give whether a data centre is evacuated, as of a version; `is_new` if this made it so."""
+    """Return whether a data centre is evacuated; `is_new` if this command changed that.
+
+    `version` is that of the configuration which contains this state.
+    """
 
     data_centre: str
     evacuated: bool
--- a/packages/bendwind-core/src/bendwind_core/plans/revision.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/revision.py
@@ -1,4 +1,4 @@
-"""Find what makes a whole configuration invalid."""
+"""Find faults that make a whole configuration invalid."""
 
 import enum
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 class RevisionFaultKind(enum.StrEnum):
-    """Name what is wrong with a whole configuration."""
+    """Enumerate the faults of a whole configuration."""
 
     BAD_REVISION = "bad-revision"
     DUPLICATE_SERVICE = "duplicate-service"
@@ -31,7 +31,7 @@
 
 
 class RevisionFault(msgspec.Struct, frozen=True):
-    """Say what is wrong, and with which service, route or customer."""
+    """Hold a fault and the service, route or customer that has it."""
 
     kind: RevisionFaultKind | CustomerFaultKind
     name: str = ""
--- a/packages/bendwind-core/src/bendwind_core/plans/revision_file.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/revision_file.py
@@ -1,4 +1,4 @@
-"""Read a whole configuration from TOML text."""
+"""Parse a whole configuration from TOML text."""
 
 from typing import Annotated
 
@@ -9,7 +9,7 @@
 from bendwind_core.core import TomlError, decode_toml
 from bendwind_core.plans.commands import PutRevision
 from bendwind_core.plans.revision import find_revision_fault
-from bendwind_core.plans.stated_customer import StatedCustomers, make_customers
+from bendwind_core.plans.stated_customer import StatedCustomers, convert_stated_customers
 from bendwind_core.world import (
     CallerLimits,
     Repeat,
@@ -28,18 +28,18 @@
 
 
 class _Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Hold one table of the file; unknown keys are refused."""
+    """Hold one table of the file; unknown keys are errors."""
 
 
 class StatedPart(_Table, frozen=True, kw_only=True):
-    """State a part of a split as `[[routes.parts]]` does."""
+    """Hold a part of a traffic split as stated in `[[routes.parts]]`."""
 
     service: _Name
     weight: Annotated[int, Meta(ge=0, le=1_000_000)] = 1
 
 
 class StatedRoute(_Table, frozen=True, kw_only=True):
-    """State a route as `[[routes]]` does."""
+    """Hold a route as stated in `[[routes]]`."""
 
     name: _Name
     host: Annotated[str, Meta(max_length=253)]
@@ -54,7 +54,7 @@
 
 
 class StatedRoutedService(_Table, frozen=True, kw_only=True):
-    """State a service that routes lead to as `[[services]]` does."""
+    """Hold a service that routes lead to, as stated in `[[services]]`."""
 
     name: _Name
     health_path: str = ""
@@ -63,7 +63,7 @@
 
 
 class StatedCallerLimits(_Table, frozen=True, kw_only=True):
-    """State what bounds callers as `[limits]` does."""
+    """Hold the limits of callers as stated in `[limits]`."""
 
     header_bytes: _Bytes | None = None
     body_bytes: _Bytes | None = None
@@ -72,7 +72,7 @@
 
 
 class StatedRevision(_Table, frozen=True, kw_only=True):
-    """State the whole content of the file."""
+    """Hold the whole content of the file."""
 
     revision: Annotated[int, Meta(ge=1)]
     services: tuple[StatedRoutedService, ...] = ()
@@ -82,12 +82,12 @@
 
 
 def parse_revision(data: bytes, file: str) -> Result[PutRevision, TomlError]:
-    """Check a whole configuration's TOML text in full.
+    """Parse and fully check the TOML text of a whole configuration.
 
-    Errors: the first thing that is wrong with the text.
+    Errors: the first fault of the text.
     """
     return decode_toml(data, file, StatedRevision).bind(
-        lambda stated: _check(_make_command(stated, data), file)
+        lambda stated: _validate(_make_command(stated, data), file)
     )
 
 
@@ -96,7 +96,7 @@
     routes = tuple(_make_route(route) for route in stated.routes)
     services = tuple(_make_service(service) for service in stated.services)
     routing = Routing(stated.revision, routes, limits)
-    return PutRevision(services, routing, data, make_customers(stated.customers))
+    return PutRevision(services, routing, data, convert_stated_customers(stated.customers))
 
 
 def _make_service(stated: StatedRoutedService) -> Service:
@@ -120,7 +120,7 @@
     )
 
 
-def _check(command: PutRevision, file: str) -> Result[PutRevision, TomlError]:
+def _validate(command: PutRevision, file: str) -> Result[PutRevision, TomlError]:
     fault = find_revision_fault(command)
     if fault is not None:
         return Error(TomlError(file, fault.name, f"expected a valid configuration: {fault.kind}"))
--- a/packages/bendwind-core/src/bendwind_core/plans/rule_effects.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/rule_effects.py
@@ -1,7 +1,8 @@
 """Find the requests that a change of rules treats less or more strictly.
 
-Rules apply by first match, so a rule that is added, moved or removed can change what another one
-decides. Sample requests are therefore put to both lists of rules, and the answers compared.
+The first matching rule applies, so a rule that is added, moved or removed can change which requests
+another rule applies to. Sample requests are therefore matched against both lists of rules, and the
+matching rules are compared.
 """
 
 import itertools
@@ -11,14 +12,14 @@
 
 from bendwind_core.world import Repeat, Rule, Service, find_rule
 
-# The methods that a rule without methods stands for, RFC 9110 and RFC 5789.
+# The methods that a rule without methods represents, from RFC 9110 and RFC 5789.
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "TRACE")
 _WILDCARDS = ("*", "?")
-_SAMPLE_TEXT = "x"
+_WILDCARD_SAMPLE = "x"
 
 
 class RuleEffect(msgspec.Struct, frozen=True):
-    """Say how requests of a method and path are treated before and after."""
+    """Describe how requests with a method and path are treated before and after a change."""
 
     method: str
     path: str
@@ -38,30 +39,30 @@
 
 
 class _Sample(msgspec.Struct, frozen=True):
-    """Hold a path, what to show in its place, and the patterns that it was made from."""
+    """Hold a path, the label to show instead, and the patterns that it was made from."""
 
     path: str
-    shown: str
+    label: str
     patterns: tuple[str, ...]
 
 
 def find_rule_effects(before: Service, after: Service) -> Iterator[RuleEffect]:
-    """Yield how sampled requests are treated otherwise in repetition or in the keys they need.
+    """Yield each change in whether sampled requests can be repeated and which keys they need.
 
-    A path that matches two patterns is left out where one of them shows the same effect.
+    A path that matches two patterns is left out if one of them already shows the same effect.
     """
     if before.rules == after.rules:
         return
     rules = dict.fromkeys(before.rules + after.rules)
     methods = _collect_methods(tuple(rules))
-    seen: set[tuple[str, str, str, bool]] = set()
+    reported: set[tuple[str, str, str, bool]] = set()
     for sample in _sample_paths(list(dict.fromkeys(rule.path for rule in rules))):
         for method in methods:
-            for effect in _compare(before, after, method, sample):
+            for effect in _compare_matched_rules(before, after, method, sample):
                 keys = {(p, method, effect.aspect, effect.is_loosened) for p in sample.patterns}
-                if not keys & seen:
+                if not keys & reported:
                     yield effect
-                seen |= keys
+                reported |= keys
 
 
 def _collect_methods(rules: tuple[Rule, ...]) -> tuple[str, ...]:
@@ -72,30 +73,32 @@
 def _sample_paths(patterns: list[str]) -> Iterator[_Sample]:
     """Yield paths that match each pattern, and paths that match two patterns at once."""
     for pattern in patterns:
-        yield _Sample(_fill(pattern, _SAMPLE_TEXT), pattern, (pattern,))
+        yield _Sample(_replace_wildcards(pattern, _WILDCARD_SAMPLE), pattern, (pattern,))
     for pattern, other in itertools.permutations(patterns, 2):
         if "*" in pattern:
-            path = _fill(pattern, _fill(other, _SAMPLE_TEXT))
+            path = _replace_wildcards(pattern, _replace_wildcards(other, _WILDCARD_SAMPLE))
             yield _Sample(path, path, (pattern, other))
 
 
-def _fill(pattern: str, text: str) -> str:
+def _replace_wildcards(pattern: str, text: str) -> str:
     for wildcard in _WILDCARDS:
-        pattern = pattern.replace(wildcard, text if wildcard == "*" else _SAMPLE_TEXT)
+        pattern = pattern.replace(wildcard, text if wildcard == "*" else _WILDCARD_SAMPLE)
     return pattern
 
 
-def _compare(before: Service, after: Service, method: str, sample: _Sample) -> Iterator[RuleEffect]:
+def _compare_matched_rules(
+    before: Service, after: Service, method: str, sample: _Sample
+) -> Iterator[RuleEffect]:
     old = find_rule(before, method, sample.path)
     new = find_rule(after, method, sample.path)
     if old.repeat != new.repeat:
         is_loosened = new.repeat is Repeat.IDEMPOTENT
-        yield RuleEffect(method, sample.shown, "repeat", old.repeat, new.repeat, is_loosened)
+        yield RuleEffect(method, sample.label, "repeat", old.repeat, new.repeat, is_loosened)
     if old.key_required != new.key_required:
         texts = [str(rule.key_required).lower() for rule in (old, new)]
         yield RuleEffect(
-            method, sample.shown, "key_required", *texts, is_loosened=not new.key_required
+            method, sample.label, "key_required", *texts, is_loosened=not new.key_required
         )
     if old.is_open != new.is_open:
         texts = [str(rule.is_open).lower() for rule in (old, new)]
-        yield RuleEffect(method, sample.shown, "open", *texts, is_loosened=new.is_open)
+        yield RuleEffect(method, sample.label, "open", *texts, is_loosened=new.is_open)
--- a/packages/bendwind-core/src/bendwind_core/plans/state.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/state.py
@@ -1,4 +1,4 @@
-"""Apply the control log's commands to the configuration, plans and drain marks."""
+"""Apply the commands of the control log to the configuration, plans and drain marks."""
 
 import msgspec
 from msgspec.structs import replace
@@ -15,7 +15,7 @@
     PutRevision,
     decode_command,
 )
-from bendwind_core.plans.customer_faults import order_customers
+from bendwind_core.plans.customer_faults import sort_customers
 from bendwind_core.plans.plan import Confirmed, Plan, PlanOutcome, parse_plan_id
 from bendwind_core.plans.plan_table import PlanTable, create_plan_table
 from bendwind_core.plans.results import (
@@ -37,8 +37,8 @@
 from bendwind_core.world import EMPTY_CONFIGURATION, Configuration
 
 MAX_DRAIN_MARKS = 4_096
-# Several times the data centres of the largest deployment planned for, which has seven.
-MAX_EVACUATED = 64
+# Several times the number of data centres of the largest planned deployment, which has seven.
+MAX_EVACUATED_DATA_CENTRES = 64
 
 
 class _Snapshot(Record, frozen=True, array_like=True):
@@ -46,8 +46,8 @@
     configuration: Configuration
     configuration_plan: str
     open_plans: tuple[Plan, ...]
-    decided_plans: tuple[Plan, ...]
-    forgotten: int
+    closed_plans: tuple[Plan, ...]
+    newest_evicted: int
     claim_groups: tuple[ClaimGroup, ...]
     draining_instances: tuple[str, ...]
     draining_upstreams: tuple[str, ...]
@@ -59,10 +59,10 @@
 
 
 class ControlState(msgspec.Struct):
-    """Hold what the control log decides; equal logs give equal states on every voter.
+    """Hold the state that the control log determines; equal logs give equal states on all voters.
 
-    The version of a configuration is the log index of its confirmation. Nothing here reads a
-    clock: times come in the commands, set by the leader that proposed them.
+    The version of a configuration is the log index of its confirmation. No method reads a clock:
+    times are part of the commands, set by the leader that proposed them.
     """
 
     applied: int = 0
@@ -75,17 +75,17 @@
     document: bytes = b""
 
     def apply(self, index: int, command: bytes) -> CommandResult | None:
-        """Apply the log entry at an index; an empty command only moves the index on.
+        """Apply the log entry at an index; an empty command only advances the index.
 
         Errors: raises on an index out of order and on a command that cannot be decoded.
         """
         if index <= self.applied:
             raise ValueError(f"entry {index} applied after entry {self.applied}")
-        result = self._carry_out(index, command) if command else None
+        result = self._apply_command(index, command) if command else None
         self.applied = index
         return result
 
-    def _carry_out(self, index: int, command: bytes) -> CommandResult:
+    def _apply_command(self, index: int, command: bytes) -> CommandResult:
         match decode_command(command):
             case CreatePlan() as create:
                 return self._create_plan(index, create)
@@ -106,18 +106,18 @@
         if index is None:
             return UnknownPlan(plan_id)
         found = self.plans.find(index)
-        return self.plans.explain_absence(plan_id, index) if found is None else found
+        return self.plans.explain_missing(plan_id, index) if found is None else found
 
     def _create_plan(self, index: int, command: CreatePlan) -> CommandResult:
-        made = self.plans.find_request(command.request)
-        if made is not None and made.digest != command.digest:
-            return RequestReused(made.id)
-        if made is not None:
-            return PlanCreated(made, is_resent=True)
+        existing = self.plans.find_request(command.request)
+        if existing is not None and existing.digest != command.digest:
+            return RequestReused(existing.id)
+        if existing is not None:
+            return PlanCreated(existing, is_resent=True)
         if command.base_version != self.configuration.version:
             return VersionMoved(self.configuration.version, self.configuration_plan)
         self.plans.expire(command.now_ms)
-        if not self.plans.has_room_for(command.changes):
+        if not self.plans.has_capacity_for(command.changes):
             return TooManyPlans(len(self.plans.open))
         plan = Plan(
             index,
@@ -140,52 +140,52 @@
             return plan
         if plan.outcome is not None:
             return plan.outcome
-        return self._put_in_force(index, plan)
+        return self._activate_plan(index, plan)
 
-    def _put_in_force(self, version: int, plan: Plan) -> PlanOutcome:
-        # Every open plan starts from the version in force: a confirmation supersedes the rest.
+    def _activate_plan(self, version: int, plan: Plan) -> PlanOutcome:
+        # Every open plan is based on the active version, so a confirmation supersedes the others.
         assert plan.base_version == self.configuration.version
         outcome = Confirmed(plan.id, version)
         self.configuration = apply_changes(self.configuration, plan.changes, version)
         self.configuration_plan = plan.id
-        self.plans.decide(plan.index, outcome)
-        self.plans.supersede(plan, version)
+        self.plans.close(plan.index, outcome)
+        self.plans.supersede_open(plan, version)
         return outcome
 
     def _put_revision(self, index: int, command: PutRevision) -> RevisionStatus:
-        held = self.configuration.routing.revision
-        if command.routing.revision <= held:
-            return RevisionStatus(held, self.configuration.version, is_new=False)
+        current = self.configuration.routing.revision
+        if command.routing.revision <= current:
+            return RevisionStatus(current, self.configuration.version, is_new=False)
         self.configuration = Configuration(
             index,
             command.services,
             command.routing,
             self.configuration.evacuated,
-            order_customers(command.customers),
+            sort_customers(command.customers),
         )
         self.configuration_plan = ""
         self.document = command.document
-        self.plans.withdraw(index)
+        self.plans.invalidate_open(index)
         return RevisionStatus(command.routing.revision, index, is_new=True)
 
     def _mark_evacuated(
         self, index: int, command: MarkEvacuated
     ) -> EvacuationStatus | TooManyEvacuated:
-        held = self.configuration
+        current = self.configuration
         name = command.data_centre
-        if (name in held.evacuated) == command.evacuated:
-            return EvacuationStatus(name, command.evacuated, held.version, is_new=False)
-        if command.evacuated and len(held.evacuated) >= MAX_EVACUATED:
-            return TooManyEvacuated(len(held.evacuated))
-        changed = {*held.evacuated, name} if command.evacuated else {*held.evacuated} - {name}
-        self.configuration = replace(held, version=index, evacuated=tuple(sorted(changed)))
+        if (name in current.evacuated) == command.evacuated:
+            return EvacuationStatus(name, command.evacuated, current.version, is_new=False)
+        if command.evacuated and len(current.evacuated) >= MAX_EVACUATED_DATA_CENTRES:
+            return TooManyEvacuated(len(current.evacuated))
+        changed = {*current.evacuated, name} if command.evacuated else {*current.evacuated} - {name}
+        self.configuration = replace(current, version=index, evacuated=tuple(sorted(changed)))
         self.configuration_plan = ""
-        # Open plans were worked out against the room that there was before.
-        self.plans.withdraw(index)
+        # Open plans were computed for the capacity that was available before this change.
+        self.plans.invalidate_open(index)
         return EvacuationStatus(name, command.evacuated, index, is_new=True)
 
     def _mark_draining(self, command: MarkDraining) -> DrainMarked | TooManyMarks:
-        marks = self._find_marks(command.target)
+        marks = self._get_drain_marks(command.target)
         if command.draining and command.name not in marks:
             if len(marks) >= MAX_DRAIN_MARKS:
                 return TooManyMarks(len(marks))
@@ -195,11 +195,12 @@
         return DrainMarked(command.target, command.name, command.draining)
 
     def _change_claim_group(self, command: ChangeClaimGroup) -> GroupChanged | GroupRefused:
-        # A group outlives its service: its claims must be found if the service comes back.
+        # A group is kept after its service is removed: its claims must be found if the service
+        # returns.
         changed = apply_group_change(self.claim_groups, command)
         return GroupChanged(changed.ok) if changed.is_ok() else GroupRefused(changed.error)
 
-    def _find_marks(self, target: DrainTarget) -> dict[str, None]:
+    def _get_drain_marks(self, target: DrainTarget) -> dict[str, None]:
         match target:
             case DrainTarget.INSTANCE:
                 return self.draining_instances
@@ -214,8 +215,8 @@
                 self.configuration,
                 self.configuration_plan,
                 tuple(self.plans.open.values()),
-                tuple(self.plans.decided.values()),
-                self.plans.forgotten,
+                tuple(self.plans.closed.values()),
+                self.plans.newest_evicted,
                 tuple(self.claim_groups.values()),
                 tuple(self.draining_instances),
                 tuple(self.draining_upstreams),
@@ -224,17 +225,17 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's.
+        """Replace the whole state by that of a snapshot.
 
-        Errors: raises msgspec.DecodeError on anything that is no snapshot; storage has checked
-        the bytes before.
+        Errors: raises msgspec.DecodeError on anything that is not a snapshot; storage has already
+        checked the bytes.
         """
         snapshot = _DECODER.decode(data)
         self.applied = snapshot.applied
         self.configuration = snapshot.configuration
         self.configuration_plan = snapshot.configuration_plan
         self.plans = create_plan_table(
-            snapshot.open_plans, snapshot.decided_plans, snapshot.forgotten
+            snapshot.open_plans, snapshot.closed_plans, snapshot.newest_evicted
         )
         self.claim_groups = {group.service: group for group in snapshot.claim_groups}
         self.draining_instances = dict.fromkeys(snapshot.draining_instances)
--- a/packages/bendwind-core/src/bendwind_core/plans/stated_customer.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/stated_customer.py
@@ -1,25 +1,30 @@
-"""Read the customers that a TOML file states."""
+"""Convert the customers that a TOML file states."""
 
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-from bendwind_core.plans.customer_faults import MAX_CUSTOMERS, MAX_NAME_CHARACTERS, MAX_RANK
+from bendwind_core.plans.customer_faults import (
+    MAX_CUSTOMER_NAME_CHARACTERS,
+    MAX_CUSTOMERS,
+    MAX_RANK,
+)
 from bendwind_core.world import Customer, digest_key
 from bendwind_core.world.customer import KEY_DIGEST_BYTES
 
-CustomerName = Annotated[str, Meta(pattern=f"^[!-~]{{1,{MAX_NAME_CHARACTERS}}}$")]
-# What a header's value can carry as it is; no key in use is as long.
+CustomerName = Annotated[str, Meta(pattern=f"^[!-~]{{1,{MAX_CUSTOMER_NAME_CHARACTERS}}}$")]
+# A text that a header's value can carry unchanged; no key in use is as long as this limit.
 _Key = Annotated[str, Meta(pattern="^[!-~]{1,256}$")]
 _Digest = Annotated[str, Meta(pattern=f"^[0-9a-f]{{{2 * KEY_DIGEST_BYTES}}}$")]
 _Amount = Annotated[float, Meta(ge=0, le=1_000_000_000)]
 
 
 class StatedCustomer(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """State a customer as `[[customers]]` does; unknown keys are refused.
+    """Hold a customer as stated in `[[customers]]`; unknown TOML keys are errors.
 
-    `key_digests` stand beside `keys`, so that a file need not hold a key that callers know.
+    `key_digests` can be given as well as `keys`, so that a file need not contain a key that
+    callers know.
     """
 
     name: CustomerName
@@ -33,12 +38,14 @@
 StatedCustomers = Annotated[tuple[StatedCustomer, ...], Meta(max_length=MAX_CUSTOMERS)]
 
 
-def make_customers(stated: tuple[StatedCustomer, ...] | None) -> tuple[Customer, ...] | None:
-    """Return the customers that are stated, with their keys as digests; None where none are."""
-    return None if stated is None else tuple(map(_make_customer, stated))
+def convert_stated_customers(
+    stated: tuple[StatedCustomer, ...] | None,
+) -> tuple[Customer, ...] | None:
+    """Return the stated customers with their keys as digests, or None if none are stated."""
+    return None if stated is None else tuple(map(_convert_stated_customer, stated))
 
 
-def _make_customer(stated: StatedCustomer) -> Customer:
+def _convert_stated_customer(stated: StatedCustomer) -> Customer:
     digests = (
         *(digest_key(key.encode()) for key in stated.keys),
         *map(bytes.fromhex, stated.key_digests),
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_customers.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_customers.py
@@ -29,16 +29,16 @@
 
 
 class Change:
-    """Work out what an intent does to customers that are in force."""
+    """Compute what an intent does to the current customers."""
 
-    def __init__(self, held, text, is_partial=True):
-        before = Configuration(1, customers=held)
+    def __init__(self, current, text, is_partial=True):
+        before = Configuration(1, customers=current)
         read = parse_intent(("partial = true\n" if is_partial else "services = []\n") + text, "f")
         assert read.is_ok(), read.error
         changes = compute_changes(before, read.ok)
         self.after = apply_changes(before, changes, 2).customers
-        differences = compute_customer_differences(held, changes.customers)
-        self.warnings = find_customer_warnings(held, changes.customers)
+        differences = compute_customer_differences(current, changes.customers)
+        self.warnings = find_customer_warnings(current, changes.customers)
         self.lines = render_plan(tuple(differences), self.warnings)
         self.affected = find_affected(changes, ()).customers
 
@@ -48,7 +48,7 @@
 
 
 class CustomerIntentTest(unittest.TestCase):
-    def test_keys_become_digests_at_once(self):
+    def test_keys_are_parsed_to_digests(self):
         text = f"""[[customers]]
         name = "norte"
         keys = ["{SECRET}"]
@@ -58,7 +58,7 @@
         burst = 2"""
         self.assertEqual(parse(text).customers, (NORTE,))
 
-    def test_faults_are_named_without_the_key(self):
+    def test_errors_name_the_fault_without_the_key(self):
         norte = f'[[customers]]\nname = "norte"\nkeys = ["{SECRET}"]\n'
         faulty = {
             norte + norte: "customers",
@@ -82,7 +82,7 @@
         alone = parse_intent('services = []\nremove_customers = ["a"]', "f").error
         self.assertEqual(alone.key, "remove_customers")
 
-    def test_whole_configuration_states_customers_and_open_routes(self):
+    def test_revision_file_holds_customers_and_open_routes(self):
         text = f"""revision = 3
         [[services]]
         name = "s"
@@ -106,13 +106,13 @@
 
 
 class CustomerChangeTest(unittest.TestCase):
-    def test_file_that_states_none_leaves_them_as_they_are(self):
-        for held in (None, (), (NORTE, SUL)):
+    def test_file_without_customers_changes_none(self):
+        for current in (None, (), (NORTE, SUL)):
             for is_partial in (False, True):
-                change = Change(held, "", is_partial)
-                self.assertEqual((change.after, change.lines), (held, ("no changes",)))
+                change = Change(current, "", is_partial)
+                self.assertEqual((change.after, change.lines), (current, ("no changes",)))
 
-    def test_whole_list_ends_the_others_and_a_partial_one_leaves_them(self):
+    def test_full_list_removes_other_customers_and_partial_list_keeps_them(self):
         text = '[[customers]]\nname = "leste"\nkeys = ["l"]'
         whole = Change((NORTE, SUL), text, is_partial=False)
         self.assertEqual([customer.name for customer in whole.after], ["leste"])
@@ -122,7 +122,7 @@
         self.assertEqual([customer.name for customer in part.after], ["leste", "norte", "sul"])
         self.assertEqual(part.lines, ("+ customer leste (1 key)",))
 
-    def test_first_customers_and_their_end_are_warned_of(self):
+    def test_adding_first_customers_and_ending_all_give_warnings(self):
         first = Change(None, "customers = []")
         self.assertEqual((first.after, first.kinds), ((), [WarningKind.KEYS_NEEDED]))
         self.assertEqual(first.lines[0], "~ keys: not needed -> needed")
@@ -138,7 +138,7 @@
         )
         self.assertIsNone(Change(None, "end_customers = true").after)
 
-    def test_plan_shows_what_changes_for_whom_and_never_a_key(self):
+    def test_plan_lists_changes_by_customer_without_keys(self):
         text = f"""[[customers]]
         name = "norte"
         key_digests = ["{DIGEST.hex()}"]
@@ -167,12 +167,12 @@
             ),
         )
 
-    def test_removed_customers_are_named(self):
+    def test_removed_customers_are_listed_as_affected(self):
         change = Change((NORTE, SUL), 'remove_customers = ["sul", "nobody"]')
         self.assertEqual(change.after, (NORTE,))
         self.assertEqual(change.affected, ("sul",))
 
-    def test_rule_that_becomes_open_is_a_loosening(self):
+    def test_rule_that_becomes_open_is_reported_as_loosened(self):
         before = Service("s", ("*",), rules=(Rule("/a"),))
         configuration = Configuration(1, (before,))
         text = """[[services]]
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_difference.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_difference.py
@@ -1,4 +1,4 @@
-"""Check that differences are exact and that no loosened rule goes unnoticed."""
+"""Check that differences are exact and that each loosened rule gives a warning."""
 
 import itertools
 import unittest
@@ -51,7 +51,7 @@
 
 class DifferenceTest(unittest.TestCase):
     @given(services, services)
-    def test_there_are_differences_exactly_where_services_differ(self, before, after):
+    def test_differences_exist_exactly_when_services_differ(self, before, after):
         after = msgspec.structs.replace(after, name=before.name)
         configuration, changes, differences = change((before,), after)
         self.assertEqual(bool(differences), before != after)
@@ -60,7 +60,7 @@
         self.assertTrue(shown)
 
     @given(services, services)
-    def test_every_request_that_may_now_be_repeated_is_warned_of(self, before, after):
+    def test_every_loosened_request_gives_a_warning(self, before, after):
         after = msgspec.structs.replace(after, name=before.name)
         configuration, changes, differences = change((before,), after)
         warnings = find_warnings(configuration, changes, differences, ())
@@ -71,7 +71,7 @@
             if is_looser or (old.key_required and not new.key_required):
                 self.assertTrue(is_warned, f"{method} {path}: {old} -> {new}")
 
-    def test_a_rule_put_before_a_stricter_one_is_a_loosening(self):
+    def test_rule_moved_before_a_stricter_one_is_reported_as_loosened(self):
         strict = Rule("/a*", ("POST",), Repeat.NEVER, key_required=True)
         wide = Rule("*b", ("POST",))
         before = Service("emisor", ("*",), rules=(strict, wide))
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_evacuation.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_evacuation.py
@@ -10,7 +10,7 @@
     encode_command,
     find_evacuation_warnings,
 )
-from bendwind_core.plans.state import MAX_EVACUATED
+from bendwind_core.plans.state import MAX_EVACUATED_DATA_CENTRES
 from bendwind_core.plans.tests.test_state import create, propose
 from bendwind_core.world import (
     Configuration,
@@ -29,17 +29,17 @@
     def mark(self, name, evacuated=True):
         return propose(self.state, MarkEvacuated(name, evacuated))
 
-    def test_evacuation_moves_the_version_and_a_repeat_changes_nothing(self):
+    def test_evacuation_changes_the_version_and_a_repeat_changes_nothing(self):
         self.assertEqual(self.mark("north"), EvacuationStatus("north", True, 1, True))
         self.assertEqual(self.mark("north"), EvacuationStatus("north", True, 1, False))
         self.assertEqual(self.state.configuration.evacuated, ("north",))
         self.assertEqual(self.mark("north", False), EvacuationStatus("north", False, 3, True))
         self.assertEqual(self.state.configuration.evacuated, ())
 
-    def test_readmission_of_what_was_not_evacuated_changes_nothing(self):
+    def test_clearing_an_evacuation_that_is_not_set_changes_nothing(self):
         self.assertEqual(self.mark("north", False), EvacuationStatus("north", False, 0, False))
 
-    def test_evacuations_outlive_configurations_and_snapshots(self):
+    def test_evacuations_persist_across_revisions_and_snapshots(self):
         for name in ("south", "north"):
             self.mark(name)
         routing = Routing(7)
@@ -49,20 +49,20 @@
         self.assertEqual(restored.configuration.evacuated, ("north", "south"))
         self.assertEqual(restored.configuration.routing, routing)
 
-    def test_open_plan_is_withdrawn(self):
+    def test_evacuation_closes_open_plans(self):
         plan = create(self.state, 0).plan
         self.mark("north")
         self.assertEqual(self.state.find_plan(plan.id).outcome, Superseded("", 2))
-        # A plan made from the version with the evacuation is put in force with it.
+        # A plan that is based on the version with the evacuation keeps the evacuation.
         create(self.state, 1)
         self.assertEqual(self.state.configuration.evacuated, ("north",))
 
     def test_number_of_evacuated_data_centres_is_bounded(self):
-        for number in range(MAX_EVACUATED):
+        for number in range(MAX_EVACUATED_DATA_CENTRES):
             self.mark(f"dc-{number}")
-        self.assertEqual(self.mark("one-more"), TooManyEvacuated(MAX_EVACUATED))
+        self.assertEqual(self.mark("one-more"), TooManyEvacuated(MAX_EVACUATED_DATA_CENTRES))
 
-    def test_snapshot_of_before_evacuations_is_read(self):
+    def test_new_state_has_no_evacuation_and_accepts_one(self):
         self.assertEqual(ControlState().configuration.evacuated, ())
         encoded = encode_command(MarkEvacuated("north", True))
         self.assertEqual(ControlState().apply(1, encoded).version, 1)
@@ -73,7 +73,7 @@
         owner = Instance(f"n-{name}", data_centre, "h", 1, 1)
         return Upstream(name, service, owner, 6, 6, state)
 
-    def test_services_short_of_room_are_named(self):
+    def test_services_that_lose_upstreams_give_warnings(self):
         upstreams = [
             self.upstream("a1", "agenda", "north"),
             self.upstream("a2", "agenda", "south"),
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_intent.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_intent.py
@@ -1,4 +1,4 @@
-"""Check the samples of intents and the page that documents their keys."""
+"""Check the sample intents and the page that documents their keys."""
 
 import re
 import unittest
@@ -29,7 +29,7 @@
 
 
 class IntentTest(unittest.TestCase):
-    def test_the_page_documents_every_key_and_its_default(self):
+    def test_page_documents_every_key_and_its_default(self):
         documented = dict(ROW.findall((ROOT / "docs/INTENT.md").read_text()))
         keys = dict(list_keys(msgspec.inspect.type_info(StatedIntent)))
         self.assertEqual(documented.keys(), keys.keys())
@@ -38,11 +38,11 @@
                 text = f"{default:g}" if isinstance(default, float) else str(default).lower()
                 self.assertEqual(documented[key], text, key)
 
-    def test_the_samples_are_right(self):
+    def test_sample_intents_are_valid(self):
         for file in sorted(ROOT.glob("examples/*/intent.toml")):
             self.assertTrue(parse_intent(file.read_bytes(), str(file)).is_ok(), file)
 
-    def test_clashes_between_keys_are_named(self):
+    def test_conflicting_keys_are_reported(self):
         service = '[[services]]\nname = "a"\nupstreams = ["*"]\n'
         rule = '[[services.rules]]\npath = "/x"\n'
         faulty = {
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_revision.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_revision.py
@@ -40,27 +40,27 @@
         self.index += 1
         return self.state.apply(self.index, encode_command(command))
 
-    def test_highest_revision_holds_whatever_the_order(self):
+    def test_highest_revision_is_active_regardless_of_order(self):
         for revision in (5, 3, 9, 9, 7):
             self.apply(make_put(revision, b"%d" % revision))
         self.assertEqual(self.state.configuration.routing.revision, 9)
         self.assertEqual(self.state.document, b"9")
 
-    def test_other_content_under_a_held_revision_takes_no_force(self):
+    def test_other_content_under_the_current_revision_is_ignored(self):
         self.apply(make_put(5, b"first", services=("s",)))
-        held = self.apply(make_put(5, b"second", services=("t",)))
-        self.assertEqual(held, RevisionStatus(5, 1, is_new=False))
+        result = self.apply(make_put(5, b"second", services=("t",)))
+        self.assertEqual(result, RevisionStatus(5, 1, is_new=False))
         self.assertEqual(self.state.document, b"first")
         self.assertIsNotNone(self.state.configuration.find_service("s"))
 
-    def test_snapshot_brings_routes_and_document_back(self):
+    def test_snapshot_restores_routes_and_document(self):
         self.apply(make_put(5, b"text", [make_route()]))
         other = ControlState()
         other.restore(self.state.snapshot())
         self.assertEqual(other.configuration, self.state.configuration)
         self.assertEqual(other.document, b"text")
 
-    def test_plan_made_before_a_revision_is_lost_and_one_after_keeps_the_routes(self):
+    def test_revision_supersedes_open_plans_and_later_plans_keep_its_routes(self):
         changes = Changes((Service("t", ("*",)),))
         self.apply(CreatePlan("k1", b"d", 0, changes, 0, 60_000))
         self.apply(make_put(5, b"text", [make_route()]))
@@ -70,7 +70,7 @@
         self.assertIsNotNone(self.state.configuration.find_service("t"))
         self.assertEqual(self.state.configuration.routing.routes, (make_route(),))
 
-    def test_customers_are_held_by_name_through_plans_evacuations_and_snapshots(self):
+    def test_customers_stay_sorted_by_name_after_plans_evacuations_and_snapshots(self):
         customers = (Customer("sul", (digest_key(b"b"),), 1, 5.0, 2.0), Customer("norte"))
         self.apply(msgspec.structs.replace(make_put(5), customers=customers))
         self.apply(CreatePlan("k", b"d", 1, Changes((Service("t", ("*",)),)), 0, 60_000))
@@ -85,7 +85,7 @@
 
 
 class RevisionFaultTest(unittest.TestCase):
-    def test_each_fault_is_named(self):
+    def test_each_fault_is_reported(self):
         kinds = RevisionFaultKind
         wait = Rule("*", longest_wait_ms=100.0)
         cases = {
@@ -99,14 +99,14 @@
         }
         for kind, route in cases.items():
             self.assertEqual(find_revision_fault(make_put(1, routes=[route])).kind, kind)
-        twice = make_put(1, routes=[make_route(rule=wait), make_route(rule=wait)])
-        self.assertEqual(find_revision_fault(twice).kind, kinds.DUPLICATE_PLACE)
+        duplicate = make_put(1, routes=[make_route(rule=wait), make_route(rule=wait)])
+        self.assertEqual(find_revision_fault(duplicate).kind, kinds.DUPLICATE_PLACE)
         same = make_put(1, services=("s", "s"))
         self.assertEqual(find_revision_fault(same).kind, kinds.DUPLICATE_SERVICE)
         self.assertEqual(find_revision_fault(make_put(0)).kind, kinds.BAD_REVISION)
         self.assertIsNone(find_revision_fault(make_put(1, routes=[make_route()])))
 
-    def test_configuration_that_one_message_cannot_carry_is_refused(self):
+    def test_configuration_too_large_for_one_message_is_refused(self):
         fault = find_revision_fault(make_put(1, b"x" * (7 << 19)))
         self.assertEqual(fault.kind, RevisionFaultKind.TOO_LARGE)
         self.assertIsNone(find_revision_fault(make_put(1, b"x" * (3 << 20))))
@@ -115,7 +115,7 @@
         put = msgspec.structs.replace(make_put(1), customers=customers)
         return find_revision_fault(put)
 
-    def test_each_fault_of_a_customer_is_named_without_its_key(self):
+    def test_each_customer_fault_is_reported_without_the_key(self):
         kinds = CustomerFaultKind
         key, other = digest_key(b"secret"), digest_key(b"else")
         cases = (
@@ -135,12 +135,12 @@
         )
         for kind, customer in cases:
             self.assertEqual(self.find_customer_fault(customer).kind, kind)
-        twice = self.find_customer_fault(Customer("a", (key,)), Customer("a", (other,)))
-        self.assertEqual(twice.kind, kinds.DUPLICATE_NAME)
+        duplicate = self.find_customer_fault(Customer("a", (key,)), Customer("a", (other,)))
+        self.assertEqual(duplicate.kind, kinds.DUPLICATE_NAME)
         shared = self.find_customer_fault(Customer("a", (key,)), Customer("b", (other, key)))
         self.assertEqual(str(shared), "shared-key: a and b")
 
-    def test_customers_within_bounds_are_taken(self):
+    def test_numbers_of_customers_and_keys_are_bounded(self):
         many = tuple(Customer(f"c{index}", (b"%d" % index,)) for index in range(20_000))
         self.assertIsNone(self.find_customer_fault(*many))
         self.assertIsNone(self.find_customer_fault())
--- a/packages/bendwind-core/src/bendwind_core/plans/tests/test_state.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Pin how plans are kept, confirmed and forgotten."""
+"""Check how plans are stored, confirmed and evicted."""
 
 import unittest
 from unittest import mock
@@ -30,14 +30,14 @@
     return propose(state, CreatePlan(f"r{now_ms}", b"", version, changes, now_ms, ttl_ms))
 
 
-class ForgettingTest(unittest.TestCase):
+class EvictionTest(unittest.TestCase):
     def setUp(self):
-        patch = mock.patch.object(plan_table, "MAX_OUTCOMES", 2)
+        patch = mock.patch.object(plan_table, "MAX_CLOSED_PLANS", 2)
         patch.start()
         self.addCleanup(patch.stop)
         self.state = ControlState()
 
-    def test_an_old_plan_confirmed_late_is_remembered_like_any_other(self):
+    def test_outcome_of_an_old_plan_confirmed_late_is_kept(self):
         old = create(self.state, 0).plan
         for now_ms in range(1, 5):
             create(self.state, now_ms, SHORT_MS)
@@ -45,7 +45,7 @@
         self.assertIsInstance(outcome, Confirmed)
         self.assertEqual(propose(self.state, ConfirmPlan(old.index, 11)), outcome)
 
-    def test_a_forgotten_plan_is_told_from_one_that_never_was(self):
+    def test_evicted_plan_is_distinguished_from_unknown_plan(self):
         plans = [create(self.state, now_ms, SHORT_MS).plan for now_ms in range(5)]
         self.assertEqual(
             propose(self.state, ConfirmPlan(plans[0].index, 10)), EvictedPlan(plans[0].id)
--- a/packages/bendwind-core/src/bendwind_core/plans/warning.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/warning.py
@@ -1,4 +1,4 @@
-"""Warn operators of what a plan may break."""
+"""Find warnings about what a plan can break."""
 
 import enum
 from collections.abc import Iterator, Sequence
@@ -15,7 +15,7 @@
 
 
 class WarningKind(enum.StrEnum):
-    """Name what a plan may break."""
+    """Enumerate what a plan can break."""
 
     NO_UPSTREAMS = "no-upstreams"
     FEWER_UPSTREAMS = "fewer-upstreams"
@@ -34,7 +34,7 @@
 
 
 class PlanWarning(msgspec.Struct, frozen=True):
-    """Warn of one thing that a plan may break."""
+    """Describe one thing that a plan can break."""
 
     kind: WarningKind
     service: str
@@ -43,7 +43,7 @@
 
 
 class Affected(msgspec.Struct, frozen=True):
-    """Name what a plan reaches: services, their announced upstreams, their instances, customers."""
+    """Name what a plan affects: services, their announced upstreams and instances, customers."""
 
     services: tuple[str, ...]
     upstreams: tuple[str, ...]
@@ -52,7 +52,7 @@
 
 
 def find_affected(changes: Changes, upstreams: Sequence[Upstream]) -> Affected:
-    """Return what the changes reach among the announced upstreams."""
+    """Return what the changes affect, given the announced upstreams."""
     services = {service.name for service in changes.put} | set(changes.removed)
     reached = [upstream for upstream in upstreams if upstream.service in services]
     return Affected(
@@ -69,22 +69,22 @@
     differences: Sequence[Difference],
     upstreams: Sequence[Upstream],
 ) -> tuple[PlanWarning, ...]:
-    """List the warnings of a plan, given the upstreams announced at this moment.
+    """Return the warnings of a plan, given the currently announced upstreams.
 
-    `differences` are those that `compute_differences` finds for the same changes.
+    `differences` are those that `compute_differences` returns for the same changes.
     """
     ready = _group_ready(upstreams)
-    present = {service.name: service for service in before.services}
+    current = {service.name: service for service in before.services}
     found: list[PlanWarning] = []
     for service in changes.put:
         candidates = ready.get(service.name, [])
-        found += _check_upstreams(present.get(service.name), service, candidates)
-        found += _check_waits(present.get(service.name), service)
-        found += _check_reachable(service)
+        found += _find_upstream_warnings(current.get(service.name), service, candidates)
+        found += _find_wait_warnings(current.get(service.name), service)
+        found += _find_unreachable_rules(service)
     for name in changes.removed:
-        found += _check_removed(name, ready.get(name, []))
-    found += _check_differences(differences)
-    found += _check_hosts(before, changes)
+        found += _find_removal_warnings(name, ready.get(name, []))
+    found += _find_difference_warnings(differences)
+    found += _find_shared_hosts(before, changes)
     return tuple(found)
 
 
@@ -96,7 +96,7 @@
     return ready
 
 
-def _check_upstreams(
+def _find_upstream_warnings(
     before: Service | None, after: Service, candidates: list[Upstream]
 ) -> Iterator[PlanWarning]:
     admitted = [upstream.name for upstream in candidates if may_serve(after, upstream.name)]
@@ -115,7 +115,7 @@
         yield PlanWarning(WarningKind.UPSTREAMS_LOST, after.name, text)
 
 
-def _check_waits(before: Service | None, after: Service) -> Iterator[PlanWarning]:
+def _find_wait_warnings(before: Service | None, after: Service) -> Iterator[PlanWarning]:
     if before is None:
         return
     waits = {(rule.methods, rule.path): rule.longest_wait_ms for rule in before.rules}
@@ -131,7 +131,7 @@
             yield PlanWarning(WarningKind.WAIT_SHORTENED, after.name, text)
 
 
-def _check_reachable(service: Service) -> Iterator[PlanWarning]:
+def _find_unreachable_rules(service: Service) -> Iterator[PlanWarning]:
     for position, rule in enumerate(service.rules):
         methods = set(rule.methods)
         for earlier in service.rules[:position]:
@@ -143,13 +143,13 @@
                 break
 
 
-def _check_removed(name: str, candidates: list[Upstream]) -> Iterator[PlanWarning]:
+def _find_removal_warnings(name: str, candidates: list[Upstream]) -> Iterator[PlanWarning]:
     if candidates:
         text = f"{len(candidates)} announced upstreams still serve it"
         yield PlanWarning(WarningKind.SERVICE_IN_USE, name, text)
 
 
-def _check_differences(differences: Sequence[Difference]) -> Iterator[PlanWarning]:
+def _find_difference_warnings(differences: Sequence[Difference]) -> Iterator[PlanWarning]:
     added = {d.service for d in differences if d.kind is DifferenceKind.SERVICE_ADDED}
     for difference in differences:
         text = f"{difference.field}: {difference.before} -> {difference.after}"
@@ -157,15 +157,15 @@
             continue
         if difference.kind is DifferenceKind.RULE_LOOSENED:
             yield PlanWarning(WarningKind.RULE_LOOSENED, difference.service, text)
-        if difference.field.startswith("limits.") and _is_lower(difference):
+        if difference.field.startswith("limits.") and _is_limit_lowered(difference):
             yield PlanWarning(WarningKind.LIMIT_LOWERED, difference.service, text)
 
 
-def _is_lower(difference: Difference) -> bool:
+def _is_limit_lowered(difference: Difference) -> bool:
     return float(difference.after) < float(difference.before)
 
 
-def _check_hosts(before: Configuration, changes: Changes) -> Iterator[PlanWarning]:
+def _find_shared_hosts(before: Configuration, changes: Changes) -> Iterator[PlanWarning]:
     after = apply_changes(before, changes, before.version)
     services: dict[str, list[str]] = {}
     for service in after.services:
