--- a/packages/bendwind-cli/src/bendwind_cli/explain.py
+++ b/packages/bendwind-cli/src/bendwind_cli/explain.py
@@ -14,8 +14,8 @@
     LogLine,
     RefusalFacts,
 )
+from bendwind_core.timeline.diagnosis import diagnose
 from bendwind_core.timeline.story import Story, find_story
-from bendwind_core.timeline.verdict import conclude
 
 _STANDARD_INPUT = "-"
 
@@ -60,7 +60,7 @@
             before_ms = story.end.physical_ms - line.physical_ms
             words = (f"     -{before_ms} ms", line.instance, line.name, line.upstream, line.detail)
             yield " ".join(word for word in words if word)
-    yield f"cause: {conclude(story)}"
+    yield f"cause: {diagnose(story)}"
     if story.unread:
         yield f"{story.unread} lines could not be read and were passed over"
 
--- a/packages/bendwind-core/src/bendwind_core/timeline/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the time line: numbered events with hybrid logical clocks."""
+"""Provide the timeline: numbered events that are stamped by hybrid logical clocks."""
 
 from bendwind_core.timeline.catalogue import EventKind
 from bendwind_core.timeline.clock import HybridClock, HybridTime
--- a/packages/bendwind-core/src/bendwind_core/timeline/catalogue.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/catalogue.py
@@ -1,11 +1,11 @@
-"""Number every event that a process logs and records."""
+"""Define the number of every event that a process logs and records."""
 
 import enum
 
 
 @enum.unique
 class EventKind(enum.IntEnum):
-    """List the events; docs/EVENTS.md explains each.
+    """Enumerate the events; docs/EVENTS.md explains each.
 
     Ranges: 1xx entry node, 2xx owner node, 3xx claims, 4xx consensus and storage, 5xx plans,
     6xx membership, 7xx links, 8xx process, 9xx security.
--- a/packages/bendwind-core/src/bendwind_core/timeline/clock.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/clock.py
@@ -1,10 +1,11 @@
-"""Keep a hybrid logical clock: wall-clock time that never contradicts cause and effect."""
+"""Provide a hybrid logical clock: wall-clock time that respects the order of cause and effect."""
 
 from collections.abc import Callable
 
 from bendwind_core.core import Record
 
-# A peer's clock may be wrong by more than this; following it would spoil every time after it.
+# A received time that is further ahead of the local wall clock than this is ignored: the peer's
+# clock is then probably wrong, and adopting its time would shift every later timestamp.
 MAX_AHEAD_MS = 60_000
 
 
@@ -19,7 +20,7 @@
 
 
 class HybridClock:
-    """Stamp events so that an effect is always later than its cause.
+    """Timestamp events so that an effect is always later than its cause.
 
     Source: Kulkarni et al., "Logical Physical Clocks", 2014.
     """
@@ -47,7 +48,7 @@
         return self.latest
 
     def observe(self, received: HybridTime) -> bool:
-        """Move past a time that came with a message; False if it is too far ahead to believe."""
+        """Advance past a received time; return False and ignore it if it is too far ahead."""
         if received.physical_ms > self.wall_ms() + self.max_ahead_ms:
             self.ignored += 1
             return False
--- a/packages/bendwind-core/src/bendwind_core/timeline/verdict.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/diagnosis.py
@@ -1,4 +1,4 @@
-"""Say in a sentence why a request ended as it did."""
+"""Explain the outcome of a request in one sentence."""
 
 import collections
 
@@ -8,11 +8,12 @@
 from bendwind_core.timeline.facts import CallFacts, DispatchFacts, RefusalFacts
 from bendwind_core.timeline.story import Step, Story
 
-# A part of the time counts as the cause where it is this share of the objective.
+# A stage counts as a cause of a late answer if it took more than this share of the latency
+# objective.
 _LARGE_SHARE = 0.4
 _SERVER_ERROR = 500
 
-_BEFORE_ANY_ATTEMPT = {
+_CAUSES_WITHOUT_ATTEMPT = {
     "no-route": "no route of the configuration in force covers its host and path",
     "unknown-service": "no service of this name is in force",
     "stale": "the node had no configuration, or no proof that it was the newest",
@@ -21,12 +22,12 @@
     "overloaded": "the node or the service had as many calls in flight as it may have",
     "body-too-large": "its body is over the limit",
     "headers-too-large": "its headers are over the limit",
-    "request-timeout": "its body did not come whole in time",
+    "request-timeout": "its body was not received completely in time",
 }
 
 
-def conclude(story: Story) -> str:
-    """Return the most likely cause, as far as the lines tell."""
+def diagnose(story: Story) -> str:
+    """Return the most likely cause of the outcome, based on the available log lines."""
     if story.end is None:
         return (
             "no line of an entry node was found: the request did not arrive, its process ended "
@@ -34,22 +35,22 @@
         )
     facts = story.end.facts
     if not facts.attempts:
-        return _conclude_without_attempts(story.end.detail)
+        return _diagnose_without_attempts(story.end.detail)
     if story.end.detail.startswith("not-run"):
-        return _conclude_refusals(story.steps)
+        return _diagnose_refusals(story.steps)
     if story.end.detail.startswith("caller gone"):
         return "the caller went away before an answer came"
     if story.end.detail == "answered":
-        return _conclude_answer(story.steps[-1], facts)
-    return _conclude_unknown(_find_last_sent(story.steps))
+        return _diagnose_answer(story.steps[-1], facts)
+    return _diagnose_unknown(_find_last_sent(story.steps))
 
 
-def _conclude_without_attempts(detail: str) -> str:
+def _diagnose_without_attempts(detail: str) -> str:
     reason = detail.rpartition(": ")[2]
-    return _BEFORE_ANY_ATTEMPT.get(reason, f"no upstream was known to take it ({detail})")
+    return _CAUSES_WITHOUT_ATTEMPT.get(reason, f"no upstream for it was known ({detail})")
 
 
-def _conclude_refusals(steps: tuple[Step, ...]) -> str:
+def _diagnose_refusals(steps: tuple[Step, ...]) -> str:
     counts = collections.Counter(_classify_refusal(step) for step in steps)
     listed = ", ".join(f"{count} {reason}" for reason, count in counts.most_common())
     return f"no upstream ran it: of {len(steps)} attempts, {listed}"
@@ -64,21 +65,21 @@
     if facts.limit_per_s is not None and step.owner.detail == NotRunReason.LIMITED:
         return f"refused by the limit of its upstream, {facts.limit_per_s:g} a second"
     if facts.slow_factor >= SLOW_FACTOR:
-        return "sent back by an upstream that was slowed and would have answered late"
+        return "refused by an upstream that was slowed and would have answered late"
     if facts.running < (facts.limit or facts.slots) and not facts.waiting:
-        return f"sent back ({step.owner.detail}) with slots free"
+        return f"refused ({step.owner.detail}) although its upstream had free slots"
     return f"refused ({step.owner.detail}) by an upstream with its slots taken"
 
 
 def _find_last_sent(steps: tuple[Step, ...]) -> Step:
-    """Return the last attempt that no owner refused, which is the one that may have run."""
+    """Return the last attempt that no owner refused, which is the attempt that may have run."""
     sent = [
         step for step in steps if step.owner is None or isinstance(step.owner.facts, DispatchFacts)
     ]
     return sent[-1] if sent else steps[-1]
 
 
-def _conclude_unknown(step: Step) -> str:
+def _diagnose_unknown(step: Step) -> str:
     if step.owner is None or not isinstance(step.owner.facts, DispatchFacts):
         return (
             f"its last attempt, at {step.attempt.upstream}, ended {step.attempt.end}, and the "
@@ -87,7 +88,7 @@
     return f"its last attempt ran {step.owner.facts.ms} ms and ended {step.owner.detail}"
 
 
-def _conclude_answer(step: Step, facts: CallFacts) -> str:
+def _diagnose_answer(step: Step, facts: CallFacts) -> str:
     if facts.status >= _SERVER_ERROR:
         return f"the upstream itself answered {facts.status}"
     if facts.target_ms is None or facts.ms <= facts.target_ms:
--- a/packages/bendwind-core/src/bendwind_core/timeline/event.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/event.py
@@ -1,4 +1,4 @@
-"""Describe one recorded event."""
+"""Define the record of one event."""
 
 from bendwind_core.core import Record
 from bendwind_core.timeline.catalogue import EventKind
@@ -9,9 +9,10 @@
 class Event(Record, frozen=True, array_like=True):
     """Hold one event with its hybrid logical time.
 
-    `request` is the caller's own id of its request, `facts` what decided about it.
+    `request` is the id that the caller gave its request. `facts` holds the values that decided its
+    outcome.
     Units: `physical_ms` is wall-clock time in milliseconds since 1970; `monotonic_us` is the
-    process's steady clock in microseconds, comparable within one run of one process only.
+    process's monotonic clock in microseconds, which is comparable only within one run of a process.
     """
 
     kind: EventKind
--- a/packages/bendwind-core/src/bendwind_core/timeline/explain.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/explain.py
@@ -1,4 +1,4 @@
-"""Work out from its events where a call's time went."""
+"""Split the duration of a call into its stages, based on the recorded events."""
 
 import re
 from collections.abc import Iterable, Sequence
@@ -7,7 +7,7 @@
 from bendwind_core.timeline.catalogue import EventKind
 from bendwind_core.timeline.event import Event
 
-# An attempt is written ENTRY/INCARNATION/SEQUENCE.
+# The id of an attempt has the format ENTRY/INCARNATION/SEQUENCE.
 _ATTEMPT = re.compile(r"[^\s/,=]+/\d+/\d+")
 _ATTEMPT_ENDS = frozenset(
     {EventKind.ATTEMPT_ANSWERED, EventKind.ATTEMPT_NOT_RUN, EventKind.ATTEMPT_UNKNOWN}
@@ -15,10 +15,10 @@
 
 
 class AttemptTime(Record, frozen=True, array_like=True):
-    """Say how long one attempt took and how much of that its upstream took.
+    """Hold the duration of one attempt and how much of it the upstream took.
 
-    Units: microseconds of the entry node's clock, of the owner node's for `upstream_us`; None
-    where an event is missing. `end` names the event that ended the attempt.
+    Units: microseconds of the entry node's clock (`upstream_us`: of the owner node's clock); None
+    where an event is missing. `end` is the name of the event that ended the attempt.
     """
 
     attempt: str
@@ -30,7 +30,7 @@
 
 
 class CallTime(Record, frozen=True, array_like=True):
-    """Say where a call's time went, by the steady clock of its entry node.
+    """Hold the durations of a call's stages by the monotonic clock of its entry node.
 
     Units: microseconds; None where an event is missing.
     """
@@ -44,18 +44,18 @@
 
 
 def find_attempts(events: Iterable[Event], call: str) -> tuple[str, ...]:
-    """Name the attempts of a call, in the order they were sent."""
+    """Return the ids of a call's attempts in the order in which they were sent."""
     sent = (event for event in events if _is_sent(event, call))
     return tuple(dict.fromkeys(_read_attempt(event) for event in sent))
 
 
 def explain_call(events: Sequence[Event], call: str) -> CallTime:
-    """Work out where a call's time went from the merged events of all processes."""
-    own = [event for event in events if event.call == call]
-    arrived = _find_first(own, {EventKind.CALL_ARRIVED})
-    finished = _find_first(own, {EventKind.CALL_FINISHED})
-    sent = [event for event in own if _is_sent(event, call)]
-    ends = [event for event in own if event.kind in _ATTEMPT_ENDS]
+    """Compute the durations of a call's stages from the merged events of all processes."""
+    call_events = [event for event in events if event.call == call]
+    arrived = _find_first(call_events, {EventKind.CALL_ARRIVED})
+    finished = _find_first(call_events, {EventKind.CALL_FINISHED})
+    sent = [event for event in call_events if _is_sent(event, call)]
+    ends = [event for event in call_events if event.kind in _ATTEMPT_ENDS]
     attempts = tuple(_explain_attempt(event, ends, events) for event in sent)
     entry = arrived or (sent[0] if sent else None)
     return CallTime(
@@ -71,9 +71,9 @@
 def _explain_attempt(sent: Event, ends: list[Event], events: Sequence[Event]) -> AttemptTime:
     attempt = _read_attempt(sent)
     end = next((found for found in ends if _ends_attempt(found, sent, attempt)), None)
-    owned = [event for event in events if event.call == attempt]
-    started = _find_first(owned, {EventKind.DISPATCH_STARTED})
-    finished = _find_first(owned, {EventKind.DISPATCH_FINISHED})
+    owner_events = [event for event in events if event.call == attempt]
+    started = _find_first(owner_events, {EventKind.DISPATCH_STARTED})
+    finished = _find_first(owner_events, {EventKind.DISPATCH_FINISHED})
     return AttemptTime(
         attempt,
         sent.upstream,
@@ -105,7 +105,7 @@
 
 
 def _measure(start: Event | None, end: Event | None) -> int | None:
-    # Steady clocks of two processes, or of two runs of one, have nothing in common.
+    # The monotonic clocks of two processes, or of two runs of one process, are not comparable.
     if start is None or end is None or start.instance != end.instance:
         return None
     return end.monotonic_us - start.monotonic_us
--- a/packages/bendwind-core/src/bendwind_core/timeline/facts.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/facts.py
@@ -1,4 +1,4 @@
-"""Describe what decided about one request, for its log line and the time line."""
+"""Define the values that decided the outcome of a request, for its log line and the timeline."""
 
 import msgspec
 
@@ -6,11 +6,13 @@
 
 
 class AttemptFacts(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold one attempt of a call as its entry node saw it.
+    """Hold one attempt of a call as observed by its entry node.
 
-    `number` counts the attempts of the entry node's run; the owner's lines end their `call` in it.
+    `number` is the sequence number of the attempt within the entry node's run; the `call` field of
+    the owner's log lines ends with it.
     Units: `sent_ms` counts from the call's arrival, `ms` from the sending to the end; `wait_ms` is
-    what its owner told of when it would take it, None where it told nothing.
+    the time after which the owner reported that it would accept the attempt, None if it reported
+    none.
     """
 
     upstream: str
@@ -22,13 +24,15 @@
 
 
 class CallFacts(msgspec.Struct, frozen=True, omit_defaults=True, tag="call"):
-    """Hold a call's end: what was asked, what each attempt came to and what the caller got.
-
-    `version` is that of the configuration in force, `age_ms` how long ago it was proven the newest.
-    `quota` says whose quota the call came under and which voter had the last word, if any.
-    Units: `ms` counts from the call's arrival; `timeout_ms` and `target_ms` are what it started
-    with, and `tried_ms` is how long the caller had been trying before, by the time it had left.
-    `rank` says how urgent it was, 0 the most, and `customer` whose it was, empty where not known.
+    """Hold the end of a call: the request, the outcome of each attempt and the caller's result.
+
+    `version` is the version of the active configuration, `age_ms` the time since that version was
+    last confirmed to be the newest. `quota` names the quota that applied to the call and the voter
+    that made the final decision, if any.
+    Units: `ms` counts from the call's arrival; `timeout_ms` and `target_ms` are the values at its
+    start, and `tried_ms` is how long the caller had already been trying, derived from the time that
+    it had left.
+    `rank` is the urgency, 0 for the most urgent; `customer` is empty if the customer is not known.
     """
 
     service: str = ""
@@ -47,11 +51,11 @@
 
 
 class DispatchFacts(msgspec.Struct, frozen=True, omit_defaults=True, tag="dispatch"):
-    """Hold what an owner node knew when it started an attempt, and how long that took.
+    """Hold the state of an owner node when it started an attempt, and how long the attempt took.
 
-    `slow_factor` is the upstream's last report of its pace, `report_age_ms` the report's age.
-    `limit` is how many attempts may run of `slots`, 0 for all; `rank` and `customer` are those of
-    the hand-over.
+    `slow_factor` is the pace that the upstream last reported, `report_age_ms` the report's age.
+    `limit` is how many of the `slots` attempts may use, 0 for all; `rank` and `customer` are those
+    of the hand-over.
     Units: milliseconds; `waited_ms` was spent in the queue, `ms` in the upstream.
     """
 
@@ -69,12 +73,12 @@
 
 
 class RefusalFacts(msgspec.Struct, frozen=True, omit_defaults=True, tag="refusal"):
-    """Hold what an owner node knew when it refused an attempt as not run.
+    """Hold the state of an owner node when it refused an attempt as not run.
 
     `signature` is that of a suspect, as in UnansweredFacts; `limit`, `rank` and `customer` are as
-    in DispatchFacts. `limit_per_s` is the limit that the upstream has named, None without one.
-    Units: milliseconds; `remaining_ms` and `target_ms` are what was left when the attempt came,
-    `waited_ms` was spent in the queue since, None where it did not wait.
+    in DispatchFacts. `limit_per_s` is the rate limit that the upstream announced, None without one.
+    Units: milliseconds; `remaining_ms` and `target_ms` are the times left when the attempt
+    arrived, `waited_ms` was spent in the queue since then, None if the attempt did not wait.
     """
 
     route: str = ""
@@ -95,10 +99,10 @@
 
 
 class UnansweredFacts(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold one request that an upstream ended under.
+    """Hold one request that was running when its upstream ended.
 
-    `signature` is equal for requests of one caller for the same thing, `request` the caller's own
-    id of this one.
+    `signature` is equal for equivalent requests of the same caller. `request` is the id that the
+    caller gave this request.
     """
 
     signature: str
@@ -106,7 +110,7 @@
 
 
 class EndFacts(msgspec.Struct, frozen=True, omit_defaults=True, tag="end"):
-    """Hold what an upstream had not answered when it ended by itself."""
+    """Hold the requests that an upstream had not answered when its process ended by itself."""
 
     requests: tuple[UnansweredFacts, ...] = ()
 
--- a/packages/bendwind-core/src/bendwind_core/timeline/levels.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/levels.py
@@ -1,12 +1,12 @@
-"""Say how severe each event is."""
+"""Define the logging level of each event."""
 
 import logging
 
 from bendwind_core.timeline.catalogue import EventKind
 
-# Of a call, its end at the entry node and what its owner nodes decided are logged; its other events
-# are worth a log line only while a fault is looked for.
-_OF_ONE_CALL = frozenset(
+# For a call, its end at the entry node and the decisions of its owner nodes are logged by default.
+# Its other events are logged at debug level, since they only help to find a fault.
+_DEBUG_KINDS = frozenset(
     {
         EventKind.CALL_ARRIVED,
         EventKind.ATTEMPT_SENT,
@@ -18,7 +18,7 @@
         EventKind.CLAIM_NOT_GRANTED,
     }
 )
-_WARNINGS = frozenset(
+_WARNING_KINDS = frozenset(
     {
         EventKind.ATTEMPT_UNKNOWN,
         EventKind.CLAIM_LOSS_ACCEPTED,
@@ -46,7 +46,7 @@
         EventKind.HANDSHAKE_REFUSED,
     }
 )
-_ERRORS = frozenset(
+_ERROR_KINDS = frozenset(
     {
         EventKind.CLAIM_GROUP_LOST,
         EventKind.FOREIGN_CLUSTER,
@@ -58,9 +58,9 @@
 )
 _LEVELS = (
     dict.fromkeys(EventKind, logging.INFO)
-    | dict.fromkeys(_OF_ONE_CALL, logging.DEBUG)
-    | dict.fromkeys(_WARNINGS, logging.WARNING)
-    | dict.fromkeys(_ERRORS, logging.ERROR)
+    | dict.fromkeys(_DEBUG_KINDS, logging.DEBUG)
+    | dict.fromkeys(_WARNING_KINDS, logging.WARNING)
+    | dict.fromkeys(_ERROR_KINDS, logging.ERROR)
 )
 
 
--- a/packages/bendwind-core/src/bendwind_core/timeline/log_line.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/log_line.py
@@ -1,4 +1,4 @@
-"""Describe one line of a process's log, as it is written and as it is read again."""
+"""Define the format of one line of a process's log, for writing and reading."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class LogLine(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold the fields of one line; libraries' records have no number.
+    """Hold the fields of one line; log records of libraries have no number.
 
     Units: `physical_ms` is wall-clock time in milliseconds since 1970.
     """
@@ -35,7 +35,7 @@
 
 
 def read_log_line(text: str) -> LogLine | None:
-    """Read a line, whatever a collector of logs has put before it; None if it is none of ours.
+    """Parse a line after any prefix added by a log collector; return None if it is not a LogLine.
 
     >>> read_log_line('node-1 {"level":"info","instance":"a","physical_ms":1,"name":"X"}').instance
     'a'
--- a/packages/bendwind-core/src/bendwind_core/timeline/merge.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/merge.py
@@ -9,7 +9,7 @@
 
 
 class EventFilter(Record, frozen=True, array_like=True):
-    """Select events; a field left empty selects all."""
+    """Select events by their fields; an empty field matches all events."""
 
     call: str = ""
     plan: str = ""
@@ -17,8 +17,8 @@
     kind: EventKind | None = None
     since_ms: int = 0
 
-    def admits(self, event: Event) -> bool:
-        """Tell whether an event is selected."""
+    def matches(self, event: Event) -> bool:
+        """Return whether an event is selected."""
         return (
             self.call in ("", event.call)
             and self.plan in ("", event.plan)
@@ -29,22 +29,22 @@
 
 
 def merge_events(sources: Iterable[Iterable[Event]]) -> list[Event]:
-    """Merge each process's events, oldest first, into one order where causes precede effects.
+    """Merge the events of all processes, oldest first, so that causes precede their effects.
 
-    An event that several sources report appears once. Hybrid logical time respects causality,
-    and the instance's name breaks ties between events that did not influence each other.
+    An event that several sources report appears once. Hybrid logical time respects causality.
+    The instance's name breaks ties between concurrent events.
     """
-    merged = heapq.merge(*(sorted(source, key=_order) for source in sources), key=_order)
-    return list(_drop_repeats(merged))
+    merged = heapq.merge(*(sorted(source, key=_sort_key) for source in sources), key=_sort_key)
+    return list(_drop_duplicates(merged))
 
 
 def select_events(events: Iterable[Event], wanted: EventFilter) -> list[Event]:
-    """Keep the events that a filter admits."""
-    return [event for event in events if wanted.admits(event)]
+    """Return the events that match a filter."""
+    return [event for event in events if wanted.matches(event)]
 
 
 def find_kind(text: str) -> EventKind | None:
-    """Return the event of this number or name, or None.
+    """Return the kind of event with this number or name, or None.
 
     >>> find_kind("801") is find_kind("process_started")
     True
@@ -54,11 +54,11 @@
     return EventKind.__members__.get(text.upper().replace("-", "_"))
 
 
-def _order(event: Event) -> tuple[int, int, str]:
+def _sort_key(event: Event) -> tuple[int, int, str]:
     return event.physical_ms, event.logical, event.instance
 
 
-def _drop_repeats(events: Iterable[Event]) -> Iterator[Event]:
+def _drop_duplicates(events: Iterable[Event]) -> Iterator[Event]:
     last: Event | None = None
     for event in events:
         if event != last:
--- a/packages/bendwind-core/src/bendwind_core/timeline/recorder.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/recorder.py
@@ -1,4 +1,4 @@
-"""Record a process's events into bounded buffers."""
+"""Record the events of a process in bounded buffers."""
 
 import collections
 import heapq
@@ -10,12 +10,13 @@
 from bendwind_core.timeline.event import Event
 from bendwind_core.timeline.facts import Facts
 from bendwind_core.timeline.levels import find_level
-from bendwind_core.timeline.statistics import CallStatistics, note_facts
+from bendwind_core.timeline.statistics import CallStatistics, record_facts
 
 _LOG = logging.getLogger("bendwind")
 _MICROSECONDS_PER_MILLISECOND = 1000
-# Whoever reaches a port can cause these, as often as they like.
-_BY_STRANGERS = frozenset(
+# Any client that can connect to a port can cause these events, without authentication and at any
+# rate.
+_UNAUTHENTICATED_KINDS = frozenset(
     {EventKind.OPERATOR_REFUSED, EventKind.PEER_REFUSED, EventKind.HANDSHAKE_REFUSED}
 )
 
@@ -23,9 +24,10 @@
 class Recorder:
     """Own a process's bounded buffers of events and its hybrid logical clock.
 
-    Half of the capacity is kept for events that are neither of single calls nor of strangers'
-    attempts, so that those of a busy minute do not push out what explains it. `counts` holds how
-    often each event was recorded, those no longer held included; `statistics` what calls came to.
+    Half of the capacity is reserved for events that belong neither to a single call nor to an
+    unauthenticated client, so that the frequent events of a busy minute do not evict those that
+    explain it. `counts` holds how often each event was recorded, including evicted events;
+    `statistics` holds the outcomes of calls.
     """
 
     __slots__ = (
@@ -33,8 +35,8 @@
         "counts",
         "instance",
         "monotonic_us",
-        "of_calls",
-        "of_process",
+        "frequent_events",
+        "process_events",
         "statistics",
     )
 
@@ -47,21 +49,25 @@
     ):
         self.instance = instance
         self.clock = HybridClock(wall_ms)
-        self.of_process: collections.deque[Event] = collections.deque(maxlen=capacity // 2)
-        self.of_calls: collections.deque[Event] = collections.deque(maxlen=capacity - capacity // 2)
+        self.process_events: collections.deque[Event] = collections.deque(maxlen=capacity // 2)
+        self.frequent_events: collections.deque[Event] = collections.deque(
+            maxlen=capacity - capacity // 2
+        )
         self.monotonic_us = monotonic_us or (lambda: wall_ms() * _MICROSECONDS_PER_MILLISECOND)
         self.counts: collections.Counter[EventKind] = collections.Counter()
         self.statistics = CallStatistics()
 
     @property
     def dropped(self) -> int:
-        """Count the events that newer ones pushed out of the buffers."""
-        return self.counts.total() - len(self.of_process) - len(self.of_calls)
+        """Return the number of events that newer ones evicted from the buffers."""
+        return self.counts.total() - len(self.process_events) - len(self.frequent_events)
 
     @property
     def events(self) -> list[Event]:
         """Return the events still held, oldest first."""
-        return list(heapq.merge(self.of_process, self.of_calls, key=lambda event: event.time))
+        return list(
+            heapq.merge(self.process_events, self.frequent_events, key=lambda event: event.time)
+        )
 
     def record(
         self,
@@ -74,7 +80,7 @@
         request: str = "",
         facts: Facts | None = None,
     ) -> Event:
-        """Append an event stamped after every event recorded or observed before it."""
+        """Append an event, timestamped after every event recorded or observed before."""
         time = self.clock.tick()
         event = Event(
             kind,
@@ -89,21 +95,21 @@
             request,
             facts,
         )
-        is_many = bool(call) or kind in _BY_STRANGERS
-        buffer = self.of_calls if is_many else self.of_process
+        is_frequent = bool(call) or kind in _UNAUTHENTICATED_KINDS
+        buffer = self.frequent_events if is_frequent else self.process_events
         buffer.append(event)
         self.counts[kind] += 1
         if facts is not None:
-            note_facts(self.statistics, detail, facts)
+            record_facts(self.statistics, detail, facts)
         level = find_level(kind)
         if _LOG.isEnabledFor(level):
             _LOG.log(level, kind.name, extra={"event": event})
         return event
 
     def timestamp(self) -> HybridTime:
-        """Return the time to send along with a message."""
+        """Return the timestamp to send with a message."""
         return self.clock.tick()
 
     def observe(self, received: HybridTime) -> None:
-        """Make every later event follow the sending of a received message."""
+        """Ensure that later events are timestamped after the sending of a received message."""
         self.clock.observe(received)
--- a/packages/bendwind-core/src/bendwind_core/timeline/render.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/render.py
@@ -1,4 +1,4 @@
-"""Write events and explanations as lines of text."""
+"""Format events and explanations of calls as lines of text."""
 
 import datetime
 
@@ -12,7 +12,7 @@
 
 
 def render_event(event: Event) -> str:
-    """Write an event on one line: time, logical count, instance, number, name, fields."""
+    """Format an event on one line: time, logical counter, instance, number, name, fields."""
     seconds = event.physical_ms / _MILLISECONDS_PER_SECOND
     time = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
     head = f"{time:%Y-%m-%dT%H:%M:%S}.{event.physical_ms % _MILLISECONDS_PER_SECOND:03d}Z"
@@ -28,7 +28,7 @@
 
 
 def render_explanation(found: CallTime) -> list[str]:
-    """Write where a call's time went, one stage a line."""
+    """Format the durations of a call's stages, one stage per line."""
     if not found.entry:
         return [f"call {found.call}: no events found"]
     lines = [f"call {found.call} at {found.entry}: {_render_time(found.total_us)} ms in all"]
--- a/packages/bendwind-core/src/bendwind_core/timeline/statistics.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/statistics.py
@@ -1,4 +1,4 @@
-"""Count calls, dispatches and refusals, and how long they took, by route and by rank."""
+"""Count calls, dispatches and refusals and their durations, by route and by rank."""
 
 import bisect
 import collections
@@ -9,13 +9,14 @@
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds
 from bendwind_core.timeline.facts import CallFacts, DispatchFacts, Facts, RefusalFacts
 
-# Bounds of the histograms, each at most 2.5 times the one before: callers' objectives mostly lie
-# between 80 ms and 500 ms.
+# Upper bounds of the histogram buckets, each at most 2.5 times the previous one. The latency
+# objectives of callers mostly lie between 80 ms and 500 ms.
 BOUNDS_MS: tuple[Milliseconds, ...] = (5, 10, 25, 50, 100, 150, 250, 400, 600, 1000, 2500, 5000)
-# Routes that have figures of their own; further ones are counted together.
+# Number of routes with separate counters; all further routes are counted together.
 MAX_ROUTES = 200
 OTHER_ROUTES = "other"
-# Ranks that have figures of their own, from the most urgent on; there may be any number of them.
+# Number of ranks with separate counters, starting from the most urgent one. The number of ranks is
+# not limited, so all further ranks are counted together.
 MAX_RANKS = 4
 MORE_RANKS = "more"
 _NOT_RUN = "not-run: "
@@ -23,18 +24,18 @@
 
 
 class Histogram(msgspec.Struct):
-    """Count durations up to each bound and beyond the last one."""
+    """Count durations per bucket: up to each bound, and beyond the last one."""
 
     counts: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BOUNDS_MS) + 1))
     total_ms: Milliseconds = 0.0
 
-    def note(self, ms: Milliseconds) -> None:
+    def record(self, ms: Milliseconds) -> None:
         """Add a duration."""
         self.counts[bisect.bisect_left(BOUNDS_MS, ms)] += 1
         self.total_ms += ms
 
     def list_cumulative(self) -> list[tuple[str, int]]:
-        """Return how many lie at or under each bound, in seconds as Prometheus writes them."""
+        """Return the number of durations up to each bound, which is in seconds for Prometheus."""
         bounds = [f"{bound / MILLISECONDS_PER_SECOND:g}" for bound in BOUNDS_MS]
         totals = []
         total = 0
@@ -45,15 +46,15 @@
 
 
 class CallStatistics(msgspec.Struct):
-    """Hold what one process counted of its calls; every table is bounded by `MAX_ROUTES`.
+    """Hold the call counters of one process; the size of every table is bounded by `MAX_ROUTES`.
 
-    `calls` counts ends of calls by route and outcome, `refusals` attempts that an owner node
-    refused by route and reason. The histograms hold the whole time of calls, the time attempts
-    waited at an owner node, and the time they ran at the upstream.
+    `calls` counts finished calls by route and outcome, `refusals` the attempts that an owner node
+    refused, by route and reason. The histograms hold the total duration of calls, the time that
+    attempts waited at an owner node, and the time that they ran at the upstream.
 
-    By rank, `calls_refused` counts calls that did not run by their reason, `sent_back` hand-overs
-    that came back to this entry node unrun, and `rank_waits` the time that attempts spent at
-    an owner node until they were dispatched, or refused from its queue.
+    By rank, `calls_refused` counts calls that did not run by reason, `sent_back` the hand-overs
+    that an owner refused to this entry node without running them, and `rank_waits` the time that
+    attempts spent at an owner node until they were dispatched, or refused while in its queue.
     """
 
     calls: collections.Counter[tuple[str, str]] = msgspec.field(default_factory=collections.Counter)
@@ -72,36 +73,36 @@
     rank_waits: dict[str, Histogram] = msgspec.field(default_factory=dict)
 
 
-def note_facts(statistics: CallStatistics, detail: str, facts: Facts) -> None:
-    """Count what a line of a call, a dispatch or a refusal says."""
+def record_facts(statistics: CallStatistics, detail: str, facts: Facts) -> None:
+    """Count the facts of a call, a dispatch or a refusal."""
     match facts:
         case CallFacts(route=route, ms=ms):
-            route = _note_time(statistics.call_times, route, ms)
+            route = _record_duration(statistics.call_times, route, ms)
             statistics.calls[route, _find_outcome(detail, facts)] += 1
-            _note_sent_back(statistics, detail, facts)
+            _record_refusals(statistics, detail, facts)
         case DispatchFacts(route=route, waited_ms=waited_ms, ms=ms, rank=rank):
-            _note_time(statistics.waits, route, waited_ms)
-            _note_time(statistics.runs, route, ms)
-            _note_time(statistics.rank_waits, name_rank(rank), waited_ms)
+            _record_duration(statistics.waits, route, waited_ms)
+            _record_duration(statistics.runs, route, ms)
+            _record_duration(statistics.rank_waits, format_rank(rank), waited_ms)
         case RefusalFacts(route=route, waited_ms=waited_ms, rank=rank):
             is_known = route in statistics.runs or len(statistics.runs) < MAX_ROUTES
             statistics.refusals[route if is_known else OTHER_ROUTES, detail] += 1
             if waited_ms is not None:
-                _note_time(statistics.rank_waits, name_rank(rank), waited_ms)
+                _record_duration(statistics.rank_waits, format_rank(rank), waited_ms)
 
 
-def name_rank(rank: int) -> str:
-    """Return the label of a rank.
+def format_rank(rank: int) -> str:
+    """Return the metric label of a rank.
 
-    >>> name_rank(0), name_rank(7)
+    >>> format_rank(0), format_rank(7)
     ('0', 'more')
     """
     return str(rank) if rank < MAX_RANKS else MORE_RANKS
 
 
-def _note_sent_back(statistics: CallStatistics, detail: str, facts: CallFacts) -> None:
-    rank = name_rank(facts.rank)
-    # A request that is refused before any attempt has the reason alone.
+def _record_refusals(statistics: CallStatistics, detail: str, facts: CallFacts) -> None:
+    rank = format_rank(facts.rank)
+    # If a request is refused before any attempt, its detail is the reason without the prefix.
     reason = detail.removeprefix(_NOT_RUN)
     if reason in _REASONS:
         statistics.calls_refused[rank, reason] += 1
@@ -117,11 +118,11 @@
     return f"answered {facts.status // 100}xx{' late' if is_late else ''}"
 
 
-def _note_time(histograms: dict[str, Histogram], route: str, ms: Milliseconds) -> str:
+def _record_duration(histograms: dict[str, Histogram], route: str, ms: Milliseconds) -> str:
     histogram = histograms.get(route)
     if histogram is None:
         if len(histograms) >= MAX_ROUTES:
             route = OTHER_ROUTES
         histogram = histograms.setdefault(route, Histogram())
-    histogram.note(ms)
+    histogram.record(ms)
     return route
--- a/packages/bendwind-core/src/bendwind_core/timeline/story.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/story.py
@@ -1,4 +1,4 @@
-"""Find in the logs of many processes all that bears on one request."""
+"""Collect the log lines that concern one request from the logs of several processes."""
 
 from collections.abc import Iterable
 
@@ -14,29 +14,30 @@
 )
 from bendwind_core.timeline.log_line import LogLine, read_log_line
 
-# Lines of this long before a call's end show what its processes believed: a lease on the users'
-# platform is 2 s, the time for a voter to be replaced a few more.
+# Log lines from this long before the end of a call show the state of the processes involved. The
+# period covers a lease (2 s on the users' platform) and the replacement of a voter (a few seconds
+# more).
 CONTEXT_MS: Milliseconds = 5000.0
-# Of a busy minute the newest lines tell most.
+# Maximum number of context lines. In a busy minute the newest lines are the most informative.
 MAX_CONTEXT = 20
-# Links open at every first call between two processes, which explains nothing.
-_ROUTINE = frozenset({"LINK_OPENED", "MEMBER_APPEARED"})
+# Links open at the first call between any two processes, so these events do not explain an outcome.
+_ROUTINE_EVENTS = frozenset({"LINK_OPENED", "MEMBER_APPEARED"})
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Hold one attempt with what its owner node logged of it, None where no line was found."""
+    """Hold one attempt and its owner node's log line, None if no line was found."""
 
     attempt: AttemptFacts
     owner: LogLine | None = None
 
 
 class Story(msgspec.Struct, frozen=True):
-    """Hold what was found of a request.
+    """Hold the log lines that were found for a request.
 
-    `upstream_ends` are the lines of upstreams that ended under this request, or under one by the
-    same caller for the same thing. `end` is the entry node's line of the call, `context` the lines
-    of its processes that are of no single call and came shortly before its end. `unread` counts the
-    lines that could not be read.
+    `upstream_ends` are the lines about upstreams that ended while they ran this request or an
+    equivalent request of the same caller. `end` is the entry node's line at the end of the call.
+    `context` holds lines of the processes involved that belong to no single call and were logged
+    shortly before that end. `unread` counts the lines that could not be parsed.
     """
 
     request: str
@@ -48,43 +49,47 @@
 
 
 def find_story(request: str, lines: Iterable[str]) -> Story:
-    """Read logs of any processes in any order, and keep what bears on a request.
+    """Read the logs of any processes in any order and select the lines that concern a request.
 
-    `request` is the caller's id of its request.
+    `request` is the id that the caller gave its request.
     """
-    of_request: list[LogLine] = []
-    of_processes: list[LogLine] = []
-    of_ends: list[LogLine] = []
+    request_lines: list[LogLine] = []
+    process_lines: list[LogLine] = []
+    end_lines: list[LogLine] = []
     unread = 0
     for text in lines:
         line = read_log_line(text)
         if line is None:
             unread += bool(text.strip())
         elif isinstance(line.facts, EndFacts):
-            of_ends.append(line)
+            end_lines.append(line)
         elif line.request == request:
-            of_request.append(line)
-        elif not line.request and not line.call and line.name not in _ROUTINE:
-            of_processes.append(line)
-    refusals = [line for line in of_request if isinstance(line.facts, RefusalFacts)]
-    upstream_ends = _find_upstream_ends(request, of_ends, refusals)
-    end = _find_end(of_request)
+            request_lines.append(line)
+        elif not line.request and not line.call and line.name not in _ROUTINE_EVENTS:
+            process_lines.append(line)
+    refusals = [line for line in request_lines if isinstance(line.facts, RefusalFacts)]
+    upstream_ends = _find_upstream_ends(request, end_lines, refusals)
+    end = _find_end(request_lines)
     if end is None:
         return Story(request, None, unread=unread, upstream_ends=upstream_ends)
-    steps = _match_steps(end, of_request)
+    steps = _match_steps(end, request_lines)
     instances = {end.instance} | {step.owner.instance for step in steps if step.owner}
-    context = _find_context(end, of_processes, instances)
+    context = _find_context(end, process_lines, instances)
     return Story(request, end, steps, context, unread, upstream_ends)
 
 
 def _find_upstream_ends(
     request: str, lines: list[LogLine], refusals: list[LogLine]
 ) -> tuple[LogLine, ...]:
-    listed = [asked for line in lines for asked in line.facts.requests]
-    wanted = {asked.signature for asked in listed if asked.request == request}
-    wanted |= {line.facts.signature for line in refusals if line.facts.signature}
+    all_unanswered = [unanswered for line in lines for unanswered in line.facts.requests]
+    signatures = {
+        unanswered.signature for unanswered in all_unanswered if unanswered.request == request
+    }
+    signatures |= {line.facts.signature for line in refusals if line.facts.signature}
     found = [
-        line for line in lines if any(asked.signature in wanted for asked in line.facts.requests)
+        line
+        for line in lines
+        if any(unanswered.signature in signatures for unanswered in line.facts.requests)
     ]
     return tuple(sorted(found, key=lambda line: line.time))
 
--- a/packages/bendwind-core/src/bendwind_core/timeline/tests/test_catalogue.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/tests/test_catalogue.py
@@ -7,7 +7,7 @@
 
 ROOT = Path(__file__).parents[6]
 ROW = re.compile(r"^\| (\d+) \| (\w+) \| (\w+) \| (.+?) \| (.*?) ?\|$", re.MULTILINE)
-# These name events without recording them.
+# These modules refer to events without recording them.
 NAMING = {"catalogue.py", "levels.py", "explain.py"}
 
 
--- a/packages/bendwind-core/src/bendwind_core/timeline/tests/test_explain.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/tests/test_explain.py
@@ -25,7 +25,7 @@
 
 
 def owner_events():
-    # The owner's steady clock has another origin.
+    # The owner's monotonic clock has a different origin than the entry node's.
     return [
         event(201, 2_600_000, "b", call=SECOND, upstream="emisor-2"),
         event(202, 2_604_000, "b", call=SECOND, upstream="emisor-2"),
@@ -44,7 +44,7 @@
         self.assertEqual((answered.total_us, answered.upstream_us), (5_000, 4_000))
         self.assertEqual(find_attempts(events, CALL), (FIRST, SECOND))
 
-    def test_says_which_times_are_missing(self):
+    def test_reports_missing_times(self):
         lines = render_explanation(explain_call(entry_events()[:4], CALL))
         self.assertEqual(lines[0], f"call {CALL} at a: ? ms in all")
         self.assertIn("no end seen (? ms in the upstream)", lines[-2])
@@ -57,7 +57,7 @@
         moved = event(102, 9_000_000, "b", call=CALL)
         self.assertIsNone(explain_call([arrived, moved], CALL).total_us)
 
-    def test_writes_an_event_on_one_line(self):
+    def test_formats_an_event_on_one_line(self):
         line = render_event(event(201, 1_500, "b", call=SECOND, upstream="emisor-2"))
         self.assertEqual(
             line,
--- a/packages/bendwind-core/src/bendwind_core/timeline/tests/test_fuzz_timeline.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/tests/test_fuzz_timeline.py
@@ -6,13 +6,13 @@
 
 NAMES = ("a", "b", "c")
 CAPACITY = 10
-MANY = (EventKind.CALL_ARRIVED, EventKind.HANDSHAKE_REFUSED)
-KINDS = (*MANY, EventKind.LEADER_LOST)
+FREQUENT_KINDS = (EventKind.CALL_ARRIVED, EventKind.HANDSHAKE_REFUSED)
+KINDS = (*FREQUENT_KINDS, EventKind.LEADER_LOST)
 names = st.sampled_from(NAMES)
 
 
 class TimelineMachine(RuleBasedStateMachine):
-    """Exchange messages between processes with stepping clocks; the oracle is happened-before."""
+    """Exchange messages between processes whose wall clocks jump; the oracle is happened-before."""
 
     def __init__(self):
         super().__init__()
@@ -22,7 +22,7 @@
         }
         self.known = {name: frozenset() for name in NAMES}
         self.causes = {}
-        self.counts = {(name, is_many): 0 for name in NAMES for is_many in (False, True)}
+        self.counts = {(name, is_frequent): 0 for name in NAMES for is_frequent in (False, True)}
         self.sent = []
 
     @rule(name=names, step=st.integers(-500, 500))
@@ -35,7 +35,7 @@
         event = self.recorders[name].record(kind, call=call, detail=str(len(self.causes)))
         self.causes[event] = self.known[name]
         self.known[name] |= {event}
-        self.counts[name, kind in MANY] += 1
+        self.counts[name, kind in FREQUENT_KINDS] += 1
 
     @rule(name=names)
     def send(self, name):
@@ -49,14 +49,14 @@
             self.known[name] |= known
 
     @rule(name=names)
-    def meet_broken_clock(self, name):
+    def observe_clock_far_ahead(self, name):
         latest = self.recorders[name].clock.latest
         far = type(latest)(self.wall[name] + 10**9, 0)
         self.recorders[name].observe(far)
         assert self.recorders[name].clock.latest == latest
 
     @invariant()
-    def causes_come_first(self):
+    def causes_precede_effects(self):
         merged = merge_events(recorder.events for recorder in self.recorders.values())
         places = {event: place for place, event in enumerate(merged)}
         for event, place in places.items():
@@ -65,9 +65,9 @@
     @invariant()
     def buffers_are_bounded_and_losses_counted(self):
         for name, recorder in self.recorders.items():
-            held = [event.kind in MANY for event in recorder.events]
-            for is_many in (False, True):
-                assert held.count(is_many) == min(self.counts[name, is_many], CAPACITY // 2)
+            held = [event.kind in FREQUENT_KINDS for event in recorder.events]
+            for is_frequent in (False, True):
+                assert held.count(is_frequent) == min(self.counts[name, is_frequent], CAPACITY // 2)
             recorded = self.counts[name, False] + self.counts[name, True]
             assert recorder.dropped == recorded - len(held)
 
--- a/packages/bendwind-core/src/bendwind_core/timeline/tests/test_statistics.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/tests/test_statistics.py
@@ -19,10 +19,10 @@
 
 
 class HistogramTest(unittest.TestCase):
-    def test_each_duration_counts_at_its_bound_and_all_above(self):
+    def test_each_duration_is_counted_at_its_bound_and_all_higher_bounds(self):
         histogram = Histogram()
         for ms in (5.0, 5.1, 99_999.0):
-            histogram.note(ms)
+            histogram.record(ms)
         cumulative = dict(histogram.list_cumulative())
         self.assertEqual((cumulative["0.005"], cumulative["0.01"], cumulative["5"]), (1, 2, 2))
         self.assertEqual(cumulative["+Inf"], 3)
@@ -56,7 +56,7 @@
         self.assertEqual(self.statistics.runs["r"].total_ms, 40.0)
         self.assertEqual(dict(self.statistics.refusals), {("r", "stalled"): 1})
 
-    def test_refused_calls_and_hand_overs_sent_back_are_counted_by_rank_and_reason(self):
+    def test_refused_calls_and_refused_hand_overs_are_counted_by_rank_and_reason(self):
         attempts = tuple(
             AttemptFacts("u", 0.0, end)
             for end in ("not-run: busy", "not-run: busy", "not-run: stalled", "200")
--- a/packages/bendwind-core/src/bendwind_core/timeline/tests/test_story.py
+++ b/packages/bendwind-core/src/bendwind_core/timeline/tests/test_story.py
@@ -11,8 +11,8 @@
     RefusalFacts,
     UnansweredFacts,
 )
+from bendwind_core.timeline.diagnosis import diagnose
 from bendwind_core.timeline.story import find_story
-from bendwind_core.timeline.verdict import conclude
 
 FULL = RefusalFacts("r", 190.0, 190.0, 60.0, running=4, waiting=3, slots=4)
 SLOWED = RefusalFacts("r", 190.0, 190.0, 60.0, 1, 0, 4, slow_factor=4.0, report_age_ms=12.0)
@@ -42,7 +42,7 @@
 
 
 class StoryTest(unittest.TestCase):
-    def test_lines_of_many_processes_in_any_order_are_put_together(self):
+    def test_lines_of_many_processes_in_any_order_are_combined(self):
         first = AttemptFacts("u1", 0.2, "not-run: queue-full", 1.0)
         second = AttemptFacts("u2", 1.3, "200", 18.0)
         lines = [
@@ -54,11 +54,11 @@
         story = find_story("q1", (write(line, "12.5 node-1 ") for line in lines))
         self.assertEqual([step.owner.instance for step in story.steps], ["owner-u1", "owner-u2"])
         self.assertEqual(story.unread, 0)
-        self.assertEqual(conclude(story), "answered in time")
+        self.assertEqual(diagnose(story), "answered in time")
 
-    def test_ends_of_upstreams_under_the_same_request_are_found_by_one_of_its_ids(self):
+    def test_upstream_ends_during_equivalent_requests_are_found_by_request_id(self):
         def end_upstream(upstream, at, *requests):
-            facts = EndFacts(tuple(UnansweredFacts(*asked) for asked in requests))
+            facts = EndFacts(tuple(UnansweredFacts(*unanswered) for unanswered in requests))
             return owner_line("UPSTREAM_ENDED", upstream, facts, at=at, request="")
 
         lines = [
@@ -70,7 +70,7 @@
         story = find_story("q1", (write(line) for line in lines))
         self.assertEqual([line.upstream for line in story.upstream_ends], ["u1", "u2"])
 
-    def test_cut_and_foreign_lines_are_counted_and_passed_over(self):
+    def test_truncated_and_foreign_lines_are_counted_and_skipped(self):
         whole = write(end_call("answered", AttemptFacts("u1", 0.1, "200", 9.0)))
         story = find_story("q1", [whole[:40], "no log line", "", '{"a": 1}', whole])
         self.assertEqual((story.unread, story.end.call), (3, "c1"))
@@ -91,19 +91,19 @@
         self.assertEqual(names, ["VOTER_CHANGED", "UPSTREAM_READY"])
 
 
-class VerdictTest(unittest.TestCase):
-    def conclude(self, *lines):
-        return conclude(find_story("q1", map(write, lines)))
+class DiagnosisTest(unittest.TestCase):
+    def diagnose(self, *lines):
+        return diagnose(find_story("q1", map(write, lines)))
 
-    def test_request_without_a_line_is_said_so(self):
-        self.assertIn("no line of an entry node", self.conclude(end_call("answered", request="q2")))
+    def test_missing_log_lines_are_reported(self):
+        self.assertIn("no line of an entry node", self.diagnose(end_call("answered", request="q2")))
 
     def test_request_refused_before_any_attempt(self):
-        verdict = self.conclude(end_call("no-route", status=404))
-        self.assertIn("no route", verdict)
+        diagnosis = self.diagnose(end_call("no-route", status=404))
+        self.assertIn("no route", diagnosis)
 
-    def test_refusals_are_counted_by_what_the_owners_knew(self):
-        verdict = self.conclude(
+    def test_refusals_are_counted_by_the_state_of_their_owners(self):
+        diagnosis = self.diagnose(
             end_call(
                 "not-run: queue-full",
                 AttemptFacts("u1", 0.1, "not-run: stalled", 1.0),
@@ -113,29 +113,29 @@
             owner_line("ATTEMPT_REFUSED", "u1", SLOWED, "stalled"),
             owner_line("ATTEMPT_REFUSED", "u2", FULL, "queue-full"),
         )
-        self.assertIn("of 2 attempts", verdict)
-        self.assertIn("1 sent back by an upstream that was slowed", verdict)
-        self.assertIn("1 refused (queue-full) by an upstream with its slots taken", verdict)
+        self.assertIn("of 2 attempts", diagnosis)
+        self.assertIn("1 refused by an upstream that was slowed", diagnosis)
+        self.assertIn("1 refused (queue-full) by an upstream with its slots taken", diagnosis)
 
     def test_refusal_by_the_limit_of_an_upstream_names_the_limit(self):
         facts = msgspec.structs.replace(SLOWED, limit_per_s=6.2)
-        verdict = self.conclude(
+        diagnosis = self.diagnose(
             end_call("not-run: limited", AttemptFacts("u1", 0.1, "not-run: limited"), status=503),
             owner_line("ATTEMPT_REFUSED", "u1", facts, "limited"),
         )
-        self.assertIn("1 refused by the limit of its upstream, 6.2 a second", verdict)
+        self.assertIn("1 refused by the limit of its upstream, 6.2 a second", diagnosis)
 
     def test_late_answer_names_the_largest_parts_of_its_time(self):
         dispatch = DispatchFacts("r", 10.0, 240.0, 190.0, 1, 4, 4.0, 5.0)
-        verdict = self.conclude(
+        diagnosis = self.diagnose(
             end_call("answered", AttemptFacts("u1", 0.1, "200", 252.0), ms=255.0),
             owner_line("DISPATCH_FINISHED", "u1", dispatch, "answered"),
         )
-        self.assertIn("55.0 ms late: it took 240.0 ms in the upstream", verdict)
-        self.assertIn("4 times as long", verdict)
+        self.assertIn("55.0 ms late: it took 240.0 ms in the upstream", diagnosis)
+        self.assertIn("4 times as long", diagnosis)
 
-    def test_unknown_outcome_is_told_from_the_attempt_that_ran_not_from_a_refusal_after_it(self):
-        verdict = self.conclude(
+    def test_unknown_outcome_is_explained_by_the_attempt_that_ran_not_by_a_later_refusal(self):
+        diagnosis = self.diagnose(
             end_call(
                 "unknown: upstream-timeout",
                 AttemptFacts("u1", 0.1, "unknown: upstream-timeout", 140.0),
@@ -145,12 +145,12 @@
             owner_line("DISPATCH_FINISHED", "u1", DispatchFacts("r", 1.0, 138.0), "unknown: x"),
             owner_line("ATTEMPT_REFUSED", "u2", FULL, "queue-full"),
         )
-        self.assertIn("ran 138.0 ms", verdict)
+        self.assertIn("ran 138.0 ms", diagnosis)
 
     def test_attempt_whose_owner_logged_no_end(self):
         attempt = AttemptFacts("u1", 0.1, "unknown: link-lost", 30.0)
-        verdict = self.conclude(end_call("unknown: link-lost", attempt, status=502))
-        self.assertIn("the owner node logged no end of it", verdict)
+        diagnosis = self.diagnose(end_call("unknown: link-lost", attempt, status=502))
+        self.assertIn("the owner node logged no end of it", diagnosis)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/operators/status_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/status_routes.py
@@ -97,7 +97,7 @@
         if wanted.is_error():
             return plain_error(400, ErrorKind.BAD_REQUEST, wanted.error)
         query = wanted.ok
-        newest = (event for event in reversed(self.recorder.events) if query.wanted.admits(event))
+        newest = (event for event in reversed(self.recorder.events) if query.wanted.matches(event))
         events = list(itertools.islice(newest, query.limit))
         events.reverse()
         shown = tuple(show_event(event) for event in events)
