--- a/packages/bendwind-core/src/bendwind_core/consensus/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/__init__.py
@@ -11,7 +11,7 @@
     IdentityRenewed,
     InstallSnapshot,
     LeaderChanged,
-    Lost,
+    LeadershipLost,
     NotLeader,
     Persist,
     Persisted,
@@ -38,8 +38,8 @@
     ConsensusMessage,
     Form,
     Head,
-    Offer,
-    OfferReply,
+    JoinReply,
+    JoinRequest,
     ReadReply,
     ReadRequest,
     Removed,
@@ -56,7 +56,7 @@
     Voter,
     VoterSet,
 )
-from bendwind_core.consensus.replacement import list_awaited
+from bendwind_core.consensus.replacement import list_unconfirmed_voters
 from bendwind_core.consensus.replica import (
     Replica,
     ReplicaSettings,
@@ -86,11 +86,11 @@
     "Head",
     "IdentityRenewed",
     "InstallSnapshot",
+    "JoinReply",
+    "JoinRequest",
     "LeaderChanged",
-    "Lost",
+    "LeadershipLost",
     "NotLeader",
-    "Offer",
-    "OfferReply",
     "Persist",
     "Persisted",
     "ProposalDone",
@@ -122,6 +122,6 @@
     "VoterSet",
     "VotersChanged",
     "create_replica",
-    "list_awaited",
+    "list_unconfirmed_voters",
     "step",
 ]
--- a/packages/bendwind-core/src/bendwind_core/consensus/barriers.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/barriers.py
@@ -64,7 +64,7 @@
 
 def confirm_reads(replica: Replica, now: Seconds) -> None:
     """Answer the reads whose round a quorum has replied to, and open a round for the others."""
-    if not replica.is_leader or replica.log.term_at(replica.commit) != replica.hard.term:
+    if not replica.is_leader or replica.log.term_at(replica.commit) != replica.hard_state.term:
         return
     confirmed = _confirmed_round(replica)
     done = [read for read in replica.reads.leader if 0 < read.round <= confirmed]
--- a/packages/bendwind-core/src/bendwind_core/consensus/bootstrap.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/bootstrap.py
@@ -10,7 +10,7 @@
 from bendwind_core.consensus.election import has_recent_leader
 from bendwind_core.consensus.events import Send
 from bendwind_core.consensus.membership import admit_learner
-from bendwind_core.consensus.messages import Form, Offer, OfferReply
+from bendwind_core.consensus.messages import Form, JoinReply, JoinRequest
 from bendwind_core.consensus.records import Entry, Voter, VoterSet
 from bendwind_core.consensus.replica import (
     Replica,
@@ -42,7 +42,7 @@
     known = [member.name for member in replica.voters.members]
     for name in dict.fromkeys((*replica.names, *known)):
         if name != replica.voter.name:
-            replica.effects.append(Send(name, Offer(replica.voter)))
+            replica.effects.append(Send(name, JoinRequest(replica.voter)))
 
 
 def tick_outsider(replica: Replica, now: Seconds) -> None:
@@ -82,7 +82,7 @@
     replica.role = Role.FOLLOWER
 
 
-def receive_offer(replica: Replica, offer: Offer, now: Seconds) -> None:
+def receive_offer(replica: Replica, offer: JoinRequest, now: Seconds) -> None:
     """Answer an empty voter; a leader takes it in, others hand it the first entry it is in.
 
     A newcomer knows those voters that its settings name; one of them passes its offer on to the
@@ -90,14 +90,14 @@
     """
     newcomer = offer.sender
     is_formed = replica.role is not Role.UNFORMED
-    reply = OfferReply(replica.voter, newcomer.voter_id, is_formed)
+    reply = JoinReply(replica.voter, newcomer.voter_id, is_formed)
     send_durable(replica, reply, newcomer)
     if replica.is_leader:
         admit_learner(replica, newcomer, now)
     elif is_formed:
         _repeat_form(replica, newcomer)
-        if not offer.is_passed_on and replica.leader is not None:
-            passed_on = Offer(newcomer, is_passed_on=True)
+        if not offer.is_forwarded and replica.leader is not None:
+            passed_on = JoinRequest(newcomer, is_forwarded=True)
             replica.effects.append(Send(replica.leader.name, passed_on))
 
 
@@ -110,7 +110,7 @@
         send_durable(replica, form, newcomer)
 
 
-def receive_offer_reply(replica: Replica, reply: OfferReply) -> None:
+def receive_offer_reply(replica: Replica, reply: JoinReply) -> None:
     """Note a peer that is empty; forget all offers when one has a log."""
     if replica.role is not Role.UNFORMED or reply.to != replica.voter.voter_id:
         return
--- a/packages/bendwind-core/src/bendwind_core/consensus/durability.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/durability.py
@@ -11,7 +11,9 @@
     if replica.is_hard_changed or replica.truncate_from is not None or replica.unwritten:
         write = _open_write(replica, now)
         replica.effects.append(
-            Persist(write.token, replica.hard, replica.truncate_from, tuple(replica.unwritten))
+            Persist(
+                write.token, replica.hard_state, replica.truncate_from, tuple(replica.unwritten)
+            )
         )
         replica.is_hard_changed = False
         replica.truncate_from = None
@@ -32,7 +34,7 @@
 
 def _open_write(replica: Replica, now: Seconds) -> PendingWrite:
     replica.token += 1
-    write = PendingWrite(replica.token, replica.hard, replica.log.last_index, now)
+    write = PendingWrite(replica.token, replica.hard_state, replica.log.last_index, now)
     replica.writes.append(write)
     return write
 
--- a/packages/bendwind-core/src/bendwind_core/consensus/election.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/election.py
@@ -6,7 +6,7 @@
 import random
 
 from bendwind_core.consensus.durability import is_disk_stalled
-from bendwind_core.consensus.events import Lost, ProposalDone
+from bendwind_core.consensus.events import LeadershipLost, ProposalDone
 from bendwind_core.consensus.messages import TakeOver, VoteReply, VoteRequest
 from bendwind_core.consensus.records import Entry, Voter
 from bendwind_core.consensus.replica import (
@@ -29,11 +29,11 @@
     """Campaign when no leader was heard in time; step down when no quorum was."""
     if replica.is_leader:
         if not has_quorum_contact(replica, now) or is_disk_stalled(replica, now):
-            become_follower(replica, replica.hard.term, None, now, rng)
+            become_follower(replica, replica.hard_state.term, None, now, rng)
     elif now >= replica.deadline:
         replica.deadline = now + draw_campaign_pause(replica, now, rng)
         if _may_campaign(replica, now):
-            _campaign(replica, Role.TRIAL, now)
+            _campaign(replica, Role.PRE_CANDIDATE, now)
 
 
 def transfer_leadership(replica: Replica, now: Seconds) -> None:
@@ -45,7 +45,7 @@
     able = [
         progress
         for progress in replica.progress.values()
-        if progress.voter in replica.voters.next and progress.contact_at >= oldest
+        if progress.voter in replica.voters.new_voters and progress.contact_at >= oldest
     ]
     if replica.is_leader and able:
         heir = max(able, key=lambda progress: progress.match).voter
@@ -54,7 +54,7 @@
 
 def take_over(replica: Replica, message: TakeOver, now: Seconds) -> None:
     """Ask for votes at once, because the leader of this term wants it."""
-    if message.head.term == replica.hard.term and _may_campaign(replica, now):
+    if message.head.term == replica.hard_state.term and _may_campaign(replica, now):
         _campaign(replica, Role.CANDIDATE, now, is_transfer=True)
 
 
@@ -75,7 +75,7 @@
     # it denies the others its vote, and has to lead until the set is committed.
     sets = (replica.voters, replica.committed_voters)
     is_voter = any(voters.has_voter(replica.voter.voter_id) for voters in sets)
-    is_able = replica.role in (Role.FOLLOWER, Role.TRIAL, Role.CANDIDATE)
+    is_able = replica.role in (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
     return is_voter and is_able and not is_disk_stalled(replica, now)
 
 
@@ -83,11 +83,11 @@
     set_leader(replica, None)
     replica.role = role
     replica.votes.clear()
-    is_trial = role is Role.TRIAL
+    is_trial = role is Role.PRE_CANDIDATE
     if not is_trial:
-        set_hard_state(replica, replica.hard.term + 1, replica.voter.voter_id)
-    term = replica.hard.term + 1 if is_trial else replica.hard.term
-    for voter in replica.voters.voting:
+        set_hard_state(replica, replica.hard_state.term + 1, replica.voter.voter_id)
+    term = replica.hard_state.term + 1 if is_trial else replica.hard_state.term
+    for voter in replica.voters.voting_members:
         if voter.voter_id != replica.voter.voter_id:
             request = _vote_request(replica, voter, term, is_trial, is_transfer)
             send_durable(replica, request, voter)
@@ -111,17 +111,19 @@
 ) -> None:
     """Grant a vote once a term to a candidate whose log is not behind; trials promise nothing."""
     is_unasked = has_recent_leader(replica, now) and not request.is_transfer
-    if is_unasked and request.head.term > replica.hard.term:
+    if is_unasked and request.head.term > replica.hard_state.term:
         return
     if request.is_trial:
-        is_granted = request.head.term > replica.hard.term and _is_log_current(replica, request)
+        is_granted = request.head.term > replica.hard_state.term and _is_log_current(
+            replica, request
+        )
         send(replica, _vote_reply(replica, request, is_granted), request.head.sender)
         return
-    if request.head.term > replica.hard.term:
+    if request.head.term > replica.hard_state.term:
         become_follower(replica, request.head.term, None, now, rng)
-    is_free = replica.hard.voted_for in (0, request.head.sender.voter_id)
+    is_free = replica.hard_state.voted_for in (0, request.head.sender.voter_id)
     is_granted = (
-        request.head.term == replica.hard.term
+        request.head.term == replica.hard_state.term
         and replica.role is Role.FOLLOWER
         and is_free
         and _is_log_current(replica, request)
@@ -158,11 +160,11 @@
     replica: Replica, reply: VoteReply, now: Seconds, rng: random.Random
 ) -> None:
     """Count a vote for the term that was asked for."""
-    if reply.head.term > replica.hard.term:
+    if reply.head.term > replica.hard_state.term:
         become_follower(replica, reply.head.term, None, now, rng)
         return
-    role = Role.TRIAL if reply.is_trial else Role.CANDIDATE
-    asked_term = replica.hard.term + 1 if reply.is_trial else replica.hard.term
+    role = Role.PRE_CANDIDATE if reply.is_trial else Role.CANDIDATE
+    asked_term = replica.hard_state.term + 1 if reply.is_trial else replica.hard_state.term
     if reply.is_granted and replica.role is role and reply.asked_term == asked_term:
         replica.votes.add(reply.head.sender.voter_id)
         count_votes(replica, now)
@@ -170,14 +172,14 @@
 
 def count_votes(replica: Replica, now: Seconds) -> None:
     """Move on when a quorum has granted; the own vote counts once it is synced."""
-    if replica.role not in (Role.TRIAL, Role.CANDIDATE):
+    if replica.role not in (Role.PRE_CANDIDATE, Role.CANDIDATE):
         return
-    is_own_durable = replica.durable_hard.term >= replica.hard.term
-    if replica.role is Role.TRIAL or is_own_durable:
+    is_own_durable = replica.durable_hard.term >= replica.hard_state.term
+    if replica.role is Role.PRE_CANDIDATE or is_own_durable:
         replica.votes.add(replica.voter.voter_id)
     if not replica.voters.is_quorum(replica.votes):
         return
-    if replica.role is Role.TRIAL:
+    if replica.role is Role.PRE_CANDIDATE:
         _campaign(replica, Role.CANDIDATE, now)
     else:
         _become_leader(replica, now)
@@ -191,7 +193,7 @@
     replica.progress.clear()
     create_progress(replica, now)
     set_leader(replica, replica.voter)
-    append_entry(replica, Entry(replica.log.last_index + 1, replica.hard.term))
+    append_entry(replica, Entry(replica.log.last_index + 1, replica.hard_state.term))
     send_heartbeats(replica, now)
 
 
@@ -199,7 +201,7 @@
     replica: Replica, term: int, leader: Voter | None, now: Seconds, rng: random.Random
 ) -> None:
     """Take a term and a leader; proposals that were not committed by now have no known outcome."""
-    if term > replica.hard.term:
+    if term > replica.hard_state.term:
         set_hard_state(replica, term, 0)
     if replica.role is not Role.REMOVED:
         replica.role = Role.FOLLOWER
@@ -207,7 +209,7 @@
     lost = list(replica.proposals.values())
     if replica.removal is not None:
         lost.append(replica.removal)
-    replica.effects.extend(ProposalDone(request_id, Lost()) for request_id in lost)
+    replica.effects.extend(ProposalDone(request_id, LeadershipLost()) for request_id in lost)
     replica.proposals.clear()
     replica.removal = None
     replica.progress.clear()
--- a/packages/bendwind-core/src/bendwind_core/consensus/events.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/events.py
@@ -92,11 +92,11 @@
     reason: str
 
 
-class Lost(msgspec.Struct, frozen=True):
+class LeadershipLost(msgspec.Struct, frozen=True):
     """Tell that the command was taken but its outcome is not known: it may still be committed."""
 
 
-ProposalOutcome = Committed | NotLeader | Refused | Lost
+ProposalOutcome = Committed | NotLeader | Refused | LeadershipLost
 
 
 class Send(msgspec.Struct, frozen=True):
--- a/packages/bendwind-core/src/bendwind_core/consensus/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/messages.py
@@ -17,17 +17,17 @@
     term: int
 
 
-class Offer(Record, frozen=True, array_like=True, tag="raft-offer"):
+class JoinRequest(Record, frozen=True, array_like=True, tag="raft-offer"):
     """Introduce a voter that has no log, or hears no leader, and ask who has one.
 
     `is_passed_on` says that it comes from the voter that was asked, on to its leader.
     """
 
     sender: Voter
-    is_passed_on: bool = False
+    is_forwarded: bool = False
 
 
-class OfferReply(Record, frozen=True, array_like=True, tag="raft-offer-reply"):
+class JoinReply(Record, frozen=True, array_like=True, tag="raft-offer-reply"):
     """Answer the offer of the voter `to`; `is_formed` tells that the sender has a log."""
 
     sender: Voter
@@ -149,4 +149,4 @@
     | TakeOver
     | Removed
 )
-ConsensusMessage = Offer | OfferReply | Form | MemberMessage
+ConsensusMessage = JoinRequest | JoinReply | Form | MemberMessage
--- a/packages/bendwind-core/src/bendwind_core/consensus/records.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/records.py
@@ -43,36 +43,36 @@
         return bool(self.leaving or self.joining)
 
     @property
-    def former(self) -> tuple[Voter, ...]:
+    def old_voters(self) -> tuple[Voter, ...]:
         """Return the voters as they were before a replacement under way."""
         return self.voters + self.leaving
 
     @property
-    def next(self) -> tuple[Voter, ...]:
+    def new_voters(self) -> tuple[Voter, ...]:
         """Return the voters as they will be after a replacement under way."""
         return self.voters + self.joining
 
     @property
-    def voting(self) -> tuple[Voter, ...]:
+    def voting_members(self) -> tuple[Voter, ...]:
         """Return all whose votes count: while a voter is being replaced, it and its successor."""
         return self.voters + self.leaving + self.joining
 
     @property
     def members(self) -> tuple[Voter, ...]:
         """Return all who hold the log: those whose votes count, and the learners."""
-        return self.voting + self.learners
+        return self.voting_members + self.learners
 
     def has_voter(self, voter_id: int) -> bool:
         """Tell whether this id counts in a majority."""
-        return any(voter.voter_id == voter_id for voter in self.voting)
+        return any(voter.voter_id == voter_id for voter in self.voting_members)
 
     def find_member(self, voter_id: int) -> Voter | None:
         """Return the voter or learner of this id, or None."""
         return next((member for member in self.members if member.voter_id == voter_id), None)
 
-    def halves(self) -> tuple[tuple[Voter, ...], ...]:
+    def list_quorum_groups(self) -> tuple[tuple[Voter, ...], ...]:
         """Return the sets of which a majority each has to agree: two while the set is joint."""
-        return (self.former, self.next) if self.is_joint else (self.voters,)
+        return (self.old_voters, self.new_voters) if self.is_joint else (self.voters,)
 
     def is_quorum(self, voter_ids: Collection[int]) -> bool:
         """Tell whether these ids are a majority: of each half, while the set is joint."""
@@ -83,7 +83,7 @@
 
         A voter that is not named has reached 0.
         """
-        return min(_find_agreed(half, reached) for half in self.halves())
+        return min(_find_agreed(half, reached) for half in self.list_quorum_groups())
 
 
 def _find_agreed(voters: tuple[Voter, ...], reached: Mapping[int, int]) -> int:
--- a/packages/bendwind-core/src/bendwind_core/consensus/removal.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/removal.py
@@ -86,7 +86,7 @@
 
 def become_removed(replica: Replica, now: Seconds, rng: random.Random) -> None:
     """Take no further part under this id."""
-    become_follower(replica, replica.hard.term, None, now, rng)
+    become_follower(replica, replica.hard_state.term, None, now, rng)
     replica.role = Role.REMOVED
     replica.effects.append(SelfRemoved())
 
--- a/packages/bendwind-core/src/bendwind_core/consensus/replacement.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/replacement.py
@@ -60,7 +60,7 @@
     voters = replica.voters
     changed = msgspec.structs.replace(
         voters,
-        voters=voters.next,
+        voters=voters.new_voters,
         removed=add_removed(voters, voters.leaving),
         leaving=(),
         joining=(),
@@ -75,7 +75,7 @@
     voters = replica.voters
     former = msgspec.structs.replace(
         voters,
-        voters=voters.former,
+        voters=voters.old_voters,
         learners=voters.learners + voters.joining,
         leaving=(),
         joining=(),
@@ -87,11 +87,11 @@
         replica.removal = None
 
 
-def list_awaited(replica: Replica) -> tuple[Voter, ...]:
+def list_unconfirmed_voters(replica: Replica) -> tuple[Voter, ...]:
     """Return whose confirmation a leader's replacement waits for: of all, then of the successor."""
     if not replica.is_leader or not replica.voters.is_joint:
         return ()
     index = replica.configurations[-1].index
-    asked = replica.voters.voting if replica.is_change_pending else replica.voters.joining
+    asked = replica.voters.voting_members if replica.is_change_pending else replica.voters.joining
     known = [replica.progress[v.voter_id] for v in asked if v.voter_id in replica.progress]
     return tuple(progress.voter for progress in known if progress.match < index)
--- a/packages/bendwind-core/src/bendwind_core/consensus/replica.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/replica.py
@@ -35,7 +35,7 @@
 
     UNFORMED = "unformed"
     FOLLOWER = "follower"
-    TRIAL = "pre-candidate"
+    PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
     LEADER = "leader"
     REMOVED = "removed"
@@ -147,7 +147,7 @@
     voter: Voter
     names: tuple[str, ...]
     settings: ReplicaSettings
-    hard: HardState
+    hard_state: HardState
     log: Log
     configurations: list[VotersAt]
     role: Role
@@ -229,7 +229,7 @@
         voter=voter,
         names=names,
         settings=settings,
-        hard=hard,
+        hard_state=hard,
         log=log,
         configurations=configurations,
         role=Role.FOLLOWER if is_formed else Role.UNFORMED,
@@ -257,7 +257,7 @@
 
 def head_to(replica: Replica, to: Voter, term: int | None = None) -> Head:
     """Make the head of a message to a member; the term is the replica's own by default."""
-    own = replica.hard
+    own = replica.hard_state
     return Head(own.cluster, replica.voter, to.voter_id, own.term if term is None else term)
 
 
@@ -273,13 +273,13 @@
 
 def set_hard_state(replica: Replica, term: int, voted_for: int) -> None:
     """Change the term or the vote and have it written."""
-    replica.hard = HardState(term, voted_for, replica.hard.cluster)
+    replica.hard_state = HardState(term, voted_for, replica.hard_state.cluster)
     replica.is_hard_changed = True
 
 
 def join_cluster(replica: Replica, cluster: int) -> None:
     """Take the cluster's id and have it written."""
-    replica.hard = HardState(replica.hard.term, replica.hard.voted_for, cluster)
+    replica.hard_state = HardState(replica.hard_state.term, replica.hard_state.voted_for, cluster)
     replica.is_hard_changed = True
 
 
@@ -308,4 +308,4 @@
     """Note who leads and report a change."""
     if leader != replica.leader:
         replica.leader = leader
-        replica.effects.append(LeaderChanged(replica.hard.term, leader))
+        replica.effects.append(LeaderChanged(replica.hard_state.term, leader))
--- a/packages/bendwind-core/src/bendwind_core/consensus/replication.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/replication.py
@@ -61,7 +61,7 @@
     # With 5 voters and 10 learners a leader sent 400 messages a second, of which 330 were to
     # learners for rounds of reads (steps of its tasks counted over 10 s of a calm day).
     _open_round(replica)
-    for voter in replica.voters.voting:
+    for voter in replica.voters.voting_members:
         progress = replica.progress.get(voter.voter_id)
         if progress is not None:
             send_append(replica, progress, now)
@@ -191,7 +191,7 @@
     synced = {voter_id: progress.match for voter_id, progress in replica.progress.items()}
     synced[replica.voter.voter_id] = replica.durable_index
     index = replica.voters.find_agreed(synced)
-    if index > replica.commit and replica.log.term_at(index) == replica.hard.term:
+    if index > replica.commit and replica.log.term_at(index) == replica.hard_state.term:
         replica.commit = index
 
 
--- a/packages/bendwind-core/src/bendwind_core/consensus/step.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/step.py
@@ -52,9 +52,9 @@
     ChunkReply,
     ConsensusMessage,
     Form,
+    JoinReply,
+    JoinRequest,
     MemberMessage,
-    Offer,
-    OfferReply,
     ReadReply,
     ReadRequest,
     Removed,
@@ -153,7 +153,7 @@
         outcome = Refused("too many proposals are waiting")
         replica.effects.append(ProposalDone(event.request_id, outcome))
         return
-    entry = Entry(replica.log.last_index + 1, replica.hard.term, event.command)
+    entry = Entry(replica.log.last_index + 1, replica.hard_state.term, event.command)
     append_entry(replica, entry)
     replica.proposals[entry.index] = event.request_id
     send_news(replica, now)
@@ -163,9 +163,9 @@
     replica: Replica, sender: str, message: ConsensusMessage, now: Seconds, rng: random.Random
 ) -> None:
     match message:
-        case Offer():
+        case JoinRequest():
             receive_offer(replica, message, now)
-        case OfferReply():
+        case JoinReply():
             receive_offer_reply(replica, message)
         case Form():
             receive_form(replica, message)
@@ -184,7 +184,7 @@
         if not isinstance(message, Append | SnapshotChunk):
             return False
         adopt_cluster(replica, message.head.cluster)
-    if message.head.cluster != replica.hard.cluster:
+    if message.head.cluster != replica.hard_state.cluster:
         replica.effects.append(ForeignCluster(sender))
         return False
     if message.head.sender.voter_id in replica.committed_voters.removed:
@@ -218,10 +218,10 @@
 def _receive_from_leader(
     replica: Replica, message: Append | SnapshotChunk, now: Seconds, rng: random.Random
 ) -> None:
-    if message.head.term < replica.hard.term:
+    if message.head.term < replica.hard_state.term:
         reply_append(replica, message, is_matching=False, index=replica.commit)
         return
-    if message.head.term > replica.hard.term or replica.leader != message.head.sender:
+    if message.head.term > replica.hard_state.term or replica.leader != message.head.sender:
         become_follower(replica, message.head.term, message.head.sender, now, rng)
     if isinstance(message, Append):
         receive_append(replica, message, now, rng)
@@ -232,10 +232,10 @@
 def _receive_from_follower(
     replica: Replica, message: AppendReply | ChunkReply, now: Seconds, rng: random.Random
 ) -> None:
-    if message.head.term > replica.hard.term:
+    if message.head.term > replica.hard_state.term:
         become_follower(replica, message.head.term, None, now, rng)
         return
-    if not replica.is_leader or message.head.term < replica.hard.term:
+    if not replica.is_leader or message.head.term < replica.hard_state.term:
         return
     if isinstance(message, AppendReply):
         receive_append_reply(replica, message, now)
--- a/packages/bendwind-core/src/bendwind_core/consensus/tests/test_records.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/tests/test_records.py
@@ -36,7 +36,9 @@
         for size in (3, 5):
             voters = joint(size)
             for ids in subsets():
-                expected = is_majority(ids, voters.former) and is_majority(ids, voters.next)
+                expected = is_majority(ids, voters.old_voters) and is_majority(
+                    ids, voters.new_voters
+                )
                 self.assertEqual(voters.is_quorum(ids), expected)
 
     def test_agreed_value_is_what_a_quorum_has_reached_and_no_more(self):
--- a/packages/bendwind-core/src/bendwind_core/consensus/voter_changes.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/voter_changes.py
@@ -12,13 +12,13 @@
 
 def may_change(replica: Replica) -> bool:
     """Tell whether this replica leads, and knows the newest voter set to be committed."""
-    is_settled = replica.log.term_at(replica.commit) == replica.hard.term
+    is_settled = replica.log.term_at(replica.commit) == replica.hard_state.term
     return replica.is_leader and is_settled and not replica.is_change_pending
 
 
 def append_change(replica: Replica, voters: VoterSet, now: Seconds) -> None:
     """Append a voter set, which is in force from now on, and send it to all members."""
-    entry = Entry(replica.log.last_index + 1, replica.hard.term, voters=voters)
+    entry = Entry(replica.log.last_index + 1, replica.hard_state.term, voters=voters)
     append_entry(replica, entry)
     create_progress(replica, now)
     broadcast(replica, now)
--- a/packages/bendwind-node/src/bendwind_node/control/control_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/control_voter.py
@@ -11,7 +11,7 @@
 from bendwind_core.consensus import (
     BarrierRequested,
     ConsensusMessage,
-    Offer,
+    JoinRequest,
     Persist,
     Propose,
     Received,
@@ -21,7 +21,7 @@
     SaveSnapshot,
     TransferLeadership,
     Voter,
-    list_awaited,
+    list_unconfirmed_voters,
 )
 from bendwind_core.core import Seconds
 from bendwind_core.timeline import Recorder
@@ -83,7 +83,7 @@
 
     def deliver(self, sender: str, message: ConsensusMessage) -> None:
         """Hand in a peer's message, or drop it when the voter is behind or has stopped."""
-        if isinstance(message, Offer):
+        if isinstance(message, JoinRequest):
             # It may come by another voter's hand, and whoever leads has to be able to answer it.
             self.learn_member(message.sender)
         try:
@@ -140,12 +140,12 @@
             name=replica.voter.name,
             voter_id=replica.voter.voter_id,
             role=replica.role.value,
-            term=replica.hard.term,
+            term=replica.hard_state.term,
             leader=replica.leader_name(),
             commit=replica.commit,
             applied=self.applied,
             voters=replica.voters,
-            awaited=list_awaited(replica),
+            awaited=list_unconfirmed_voters(replica),
             replacing_since=self.replacing_since,
             stopped=self.stopped,
         )
--- a/packages/bendwind-node/src/bendwind_node/control/service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/service.py
@@ -159,7 +159,7 @@
     def voter_places(self) -> tuple[VoterPlace, ...]:
         """Return the present voters and where they are; those of the settings before any formed."""
         listed = {place.name: place for place in self.listed}
-        present = self.voter.replica.voters.former
+        present = self.voter.replica.voters.old_voters
         return tuple(_place(member, listed) for member in present) or self.listed
 
     async def confirm(self) -> bool:
--- a/packages/bendwind-node/src/bendwind_node/control/tests/test_service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/tests/test_service.py
@@ -43,5 +43,5 @@
         self.assertIsInstance(self.propose(stopped).error, OutcomeUnknown)
 
     def test_lost_and_late_proposals_have_an_unknown_outcome(self):
-        self.assertIsInstance(self.propose(Error(consensus.Lost())).error, OutcomeUnknown)
+        self.assertIsInstance(self.propose(Error(consensus.LeadershipLost())).error, OutcomeUnknown)
         self.assertIsInstance(self.propose(None).error, OutcomeUnknown)
--- a/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from bendwind_core.consensus import Offer, ReplicaSettings, Voter
+from bendwind_core.consensus import JoinRequest, ReplicaSettings, Voter
 from bendwind_core.membership import VoterPlace
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_node.control.voter import ControlVoter, VoterStopped, open_voter, run_voter
@@ -111,7 +111,7 @@
             voter = deployment.start("a")
             voter.learn_member = learned.append
             replaced = Voter("d", 7, "127.0.0.1", 4444)
-            voter.deliver("b", Offer(replaced, is_passed_on=True))
+            voter.deliver("b", JoinRequest(replaced, is_forwarded=True))
             self.assertEqual(learned, [replaced])
 
         self.run_deployment(scenario)
--- a/packages/bendwind-node/src/bendwind_node/control/voter_outcomes.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter_outcomes.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from bendwind_core.consensus import (
-    Lost,
+    LeadershipLost,
     NotLeader,
     Refused,
     Voter,
@@ -56,7 +56,7 @@
     reason: str
 
 
-ProposalError = NotLeader | Refused | Lost | VoterStopped
+ProposalError = NotLeader | Refused | LeadershipLost | VoterStopped
 BarrierError = Unconfirmed | VoterStopped
 
 
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/fake_cluster.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/fake_cluster.py
@@ -259,7 +259,7 @@
 
     def voter_names(self):
         """Return the names of all whose votes count in the newest committed voter set."""
-        return {voter.name for voter in self.oracle.voters[1].voting}
+        return {voter.name for voter in self.oracle.voters[1].voting_members}
 
     def run(self, ticks):
         for _ in range(ticks):
@@ -285,14 +285,14 @@
         """List who leads, the one of the newest term last."""
         members = [member for member in self.members.values() if member.replica]
         found = [member for member in members if member.replica.is_leader]
-        return sorted(found, key=lambda member: member.replica.hard.term)
+        return sorted(found, key=lambda member: member.replica.hard_state.term)
 
     def run_to_new_leader(self):
         """Run until someone leads a term that nobody led before, and return its name."""
         newest = max(self.oracle.leaders, default=0)
         for _ in range(80):
             found = self.leaders()
-            if found and found[-1].replica.hard.term > newest:
+            if found and found[-1].replica.hard_state.term > newest:
                 return found[-1].name
             self.run(1)
         return None
@@ -351,7 +351,7 @@
         if self.oracle.voters is None:
             return False
         present = {member.store.identity.voter_id for member in self.members.values()}
-        voting = {voter.voter_id for voter in self.oracle.voters[1].voting}
+        voting = {voter.voter_id for voter in self.oracle.voters[1].voting_members}
         limit = self.settings.open_to or len(present)
         is_settled = not self.oracle.voters[1].is_joint
         return is_settled and voting <= present and len(voting) == min(limit, len(present))
@@ -421,7 +421,7 @@
             (
                 member.name,
                 str(member.replica.role),
-                member.replica.hard.term,
+                member.replica.hard_state.term,
                 member.replica.commit,
                 member.applied,
                 member.replica.voters,
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/loss_machine.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/loss_machine.py
@@ -95,7 +95,7 @@
                 del self.unproven[name]
         proven = [member for name, member in members.items() if name not in self.unproven]
         present = {member.store.identity.voter_id for member in proven}
-        halves = self.cluster.oracle.voters[1].halves()
+        halves = self.cluster.oracle.voters[1].list_quorum_groups()
         held = [len({voter.voter_id for voter in half} & present) for half in halves]
         missing = self.size - min(held)
         self.disks_lost = min(self.disks_lost, missing)
@@ -112,7 +112,7 @@
         count = max(0, min(count, self.borne - self.lost()))
         members = self.cluster.members.values()
         names = {member.store.identity.voter_id: member.name for member in members}
-        ids = [voter.voter_id for voter in self.cluster.oracle.voters[1].voting]
+        ids = [voter.voter_id for voter in self.cluster.oracle.voters[1].voting_members]
         listed = [names[voter_id] for voter_id in ids if voter_id in names]
         leaders = [member.name for member in self.cluster.leaders()[-1:]]
         if order == "newest":
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_consensus.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_consensus.py
@@ -83,14 +83,14 @@
 
     def test_a_lone_voter_of_an_emptied_pair_forms_no_second_cluster(self):
         cluster = form(2)
-        formed = cluster.members["c"].replica.hard.cluster
+        formed = cluster.members["c"].replica.hard_state.cluster
         cluster.cut = {"c"}
         for name in ("a", "b"):
             cluster.replace_disk(name)
         cluster.run(200)
         for name in ("a", "b"):
             self.assertEqual(cluster.members[name].replica.role, "unformed")
-        self.assertEqual(cluster.members["c"].replica.hard.cluster, formed)
+        self.assertEqual(cluster.members["c"].replica.hard_state.cluster, formed)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_first_election.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_first_election.py
@@ -39,7 +39,7 @@
             # Only the one that holds all may lead, and it alone asked before the other started.
             first = current[-1]
             first.start()
-            while first.replica.role is not Role.TRIAL:
+            while first.replica.role is not Role.PRE_CANDIDATE:
                 cluster.run(1)
             behind.start()
             started_at = first.now()
@@ -52,11 +52,11 @@
             cluster = self.form(seed)
             leader = cluster.leaders()[-1]
             other = next(m for m in cluster.members.values() if m is not leader)
-            term = leader.replica.hard.term
+            term = leader.replica.hard_state.term
             other.crash()
             other.start()
             cluster.run(60)
-            self.assertEqual(cluster.leaders()[-1].replica.hard.term, term, seed)
+            self.assertEqual(cluster.leaders()[-1].replica.hard_state.term, term, seed)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement.py
@@ -158,7 +158,7 @@
             sizes = set()
             for _ in range(100):
                 cluster.run(1)
-                sizes |= {len(half) for half in cluster.oracle.voters[1].halves()}
+                sizes |= {len(half) for half in cluster.oracle.voters[1].list_quorum_groups()}
             self.assertEqual(sizes, {5})
             self.assertIsInstance(leader.removals[request], Committed)
             self.assertEqual(cluster.voter_names(), set("abcdex") - {removed})
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement_losses.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement_losses.py
@@ -21,7 +21,7 @@
 
 def concerns(voters, name):
     """Tell whether a formed voter set has a name no longer among those that stay."""
-    return bool(voters.voting) and name not in [voter.name for voter in voters.voters]
+    return bool(voters.voting_members) and name not in [voter.name for voter in voters.voters]
 
 
 def is_over(cluster, name):
