--- a/packages/bendwind-core/src/bendwind_core/consensus/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the replicated control log: a replica's state and its step."""
+"""Provide the replicated control log: the state of a replica and its step function."""
 
 from bendwind_core.consensus.events import (
     Apply,
@@ -36,7 +36,7 @@
     AppendReply,
     ChunkReply,
     ConsensusMessage,
-    Form,
+    FormCluster,
     Head,
     JoinReply,
     JoinRequest,
@@ -81,7 +81,7 @@
     "Effect",
     "Entry",
     "ForeignCluster",
-    "Form",
+    "FormCluster",
     "HardState",
     "Head",
     "IdentityRenewed",
--- a/packages/bendwind-core/src/bendwind_core/consensus/barriers.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/barriers.py
@@ -1,8 +1,8 @@
-"""Confirm with a quorum what is committed, for many barriers in one round.
+"""Confirm the committed index with a quorum, for several barriers in one round.
 
-A leader answers a read once a quorum has replied to a round of heartbeats that it opened after the
-read came. Any other replica asks the leader. Barriers that come while a read is open share the
-next one. Source: Ongaro, 2014, section 6.4.
+A leader answers a read once a quorum has replied to a round of heartbeats that the leader opened
+after the read arrived. Any other replica sends its read to the leader. Barriers that are requested
+while a read is open share the next read. Source: Ongaro, 2014, section 6.4.
 """
 
 from bendwind_core.consensus.events import BarrierDone, BarrierFailed
@@ -12,15 +12,15 @@
     LocalRead,
     ReadyRead,
     Replica,
-    head_to,
+    create_head,
     send,
 )
-from bendwind_core.consensus.replication import ask_quorum
+from bendwind_core.consensus.replication import open_read_round
 from bendwind_core.core import Seconds
 
 
 def request_barrier(replica: Replica, request_id: int, now: Seconds) -> None:
-    """Queue a barrier and open a read for it unless one is open."""
+    """Queue a barrier, and open a read for it unless another read is open."""
     deadline = now + replica.settings.barrier_s
     replica.reads.local.append(LocalRead(request_id, deadline))
     if not replica.reads.is_open:
@@ -28,7 +28,7 @@
 
 
 def open_read(replica: Replica, now: Seconds) -> None:
-    """Open a read for every barrier that waits, and send it to the leader."""
+    """Open one read for all waiting barriers, and send it to the leader."""
     reads = replica.reads
     reads.is_open = False
     if not reads.local or replica.leader is None:
@@ -42,14 +42,14 @@
         _queue_read(replica, LeaderRead(replica.voter, reads.number), now)
         return
     request = ReadRequest(
-        head_to(replica, replica.leader),
+        create_head(replica, replica.leader),
         number=reads.number,
     )
     send(replica, request, replica.leader)
 
 
 def receive_read_request(replica: Replica, request: ReadRequest, now: Seconds) -> None:
-    """Queue a member's read; a repeated one replaces the one before."""
+    """Queue the read of a member; a repeated read replaces the member's previous one."""
     if replica.is_leader and replica.voters.find_member(request.head.sender.voter_id):
         _queue_read(replica, LeaderRead(request.head.sender, request.number), now)
 
@@ -59,11 +59,11 @@
     is_round_open = any(known.round for known in kept)
     replica.reads.leader = [*kept, read]
     if not is_round_open:
-        ask_quorum(replica, now)
+        open_read_round(replica, now)
 
 
 def confirm_reads(replica: Replica, now: Seconds) -> None:
-    """Answer the reads whose round a quorum has replied to, and open a round for the others."""
+    """Answer the reads whose round a quorum has confirmed, and open a round for the others."""
     if not replica.is_leader or replica.log.term_at(replica.commit) != replica.hard_state.term:
         return
     confirmed = _confirmed_round(replica)
@@ -74,13 +74,13 @@
     for read in done:
         _answer_read(replica, read, now)
     if any(read.round == 0 for read in replica.reads.leader):
-        ask_quorum(replica, now)
+        open_read_round(replica, now)
 
 
 def _confirmed_round(replica: Replica) -> int:
     rounds = {voter_id: progress.round for voter_id, progress in replica.progress.items()}
     rounds[replica.voter.voter_id] = replica.round
-    return replica.voters.find_agreed(rounds)
+    return replica.voters.find_majority_value(rounds)
 
 
 def _answer_read(replica: Replica, read: LeaderRead, now: Seconds) -> None:
@@ -88,7 +88,7 @@
         finish_read(replica, read.number, replica.commit, now)
         return
     reply = ReadReply(
-        head_to(replica, read.voter),
+        create_head(replica, read.voter),
         number=read.number,
         index=replica.commit,
     )
@@ -96,7 +96,7 @@
 
 
 def finish_read(replica: Replica, number: int, index: int, now: Seconds) -> None:
-    """End the open read; its barriers wait until the index is applied."""
+    """Complete the open read; its barriers wait until the index is applied."""
     reads = replica.reads
     if not reads.is_open or number != reads.number:
         return
@@ -107,7 +107,7 @@
 
 
 def finish_barriers(replica: Replica) -> None:
-    """End the confirmed barriers whose index is applied here."""
+    """Complete the confirmed barriers whose index this replica has applied."""
     done = [read for read in replica.reads.ready if read.index <= replica.applied]
     if not done:
         return
@@ -117,7 +117,7 @@
 
 
 def tick_reads(replica: Replica, now: Seconds) -> None:
-    """Fail barriers past their deadline, and repeat a read whose answer is overdue."""
+    """Fail barriers past their deadline, and repeat a read whose reply is overdue."""
     reads = replica.reads
     for read in [read for read in reads.local if now >= read.deadline]:
         reads.local.remove(read)
--- a/packages/bendwind-core/src/bendwind_core/consensus/durability.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/durability.py
@@ -1,4 +1,4 @@
-"""Request writes and release what waits for them."""
+"""Request writes to disk, and send the messages that wait for them once they are synced."""
 
 from bendwind_core.consensus.events import Persist, SaveSnapshot
 from bendwind_core.consensus.records import Snapshot
@@ -7,24 +7,24 @@
 
 
 def request_write(replica: Replica, now: Seconds) -> None:
-    """Request one write of all that changed in this step, and queue the replies behind it."""
-    if replica.is_hard_changed or replica.truncate_from is not None or replica.unwritten:
+    """Request one write of all changes of this step, and queue the messages that depend on it."""
+    if replica.is_hard_state_changed or replica.truncate_from is not None or replica.unwritten:
         write = _open_write(replica, now)
         replica.effects.append(
             Persist(
                 write.token, replica.hard_state, replica.truncate_from, tuple(replica.unwritten)
             )
         )
-        replica.is_hard_changed = False
+        replica.is_hard_state_changed = False
         replica.truncate_from = None
         replica.unwritten.clear()
-    _queue_replies(replica)
+    _queue_durable_sends(replica)
 
 
 def request_snapshot_write(
     replica: Replica, snapshot: Snapshot, now: Seconds, *, is_installed: bool
 ) -> None:
-    """Request that a snapshot be written after everything requested before."""
+    """Request the write of a snapshot, ordered after all writes requested before."""
     request_write(replica, now)
     write = _open_write(replica, now)
     replica.effects.append(
@@ -39,22 +39,22 @@
     return write
 
 
-def _queue_replies(replica: Replica) -> None:
+def _queue_durable_sends(replica: Replica) -> None:
     waiting = replica.writes[-1].sends if replica.writes else replica.effects
-    waiting.extend(replica.replies)
-    replica.replies.clear()
+    waiting.extend(replica.durable_sends)
+    replica.durable_sends.clear()
 
 
 def confirm_writes(replica: Replica, token: int) -> None:
-    """Count writes up to a token as synced and release what waited for them."""
+    """Mark all writes up to a token as synced and send the messages that waited for them."""
     while replica.writes and replica.writes[0].token <= token:
         write = replica.writes.popleft()
         replica.durable_index = max(replica.durable_index, write.last_index)
-        replica.durable_hard = write.hard_state
+        replica.durable_hard_state = write.hard_state
         replica.effects.extend(write.sends)
 
 
 def is_disk_stalled(replica: Replica, now: Seconds) -> bool:
-    """Tell whether the oldest write has waited longer than two election timeouts."""
+    """Return whether the oldest write has waited longer than two election timeouts."""
     limit = 2 * replica.settings.election_s
     return bool(replica.writes) and now - replica.writes[0].requested_at > limit
--- a/packages/bendwind-core/src/bendwind_core/consensus/events.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/events.py
@@ -1,4 +1,4 @@
-"""Define what happens to a replica and what it asks its task to do."""
+"""Define the events that a replica processes and the effects that it requests from its task."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Let time pass."""
+    """Report that time has passed."""
 
 
 class Received(msgspec.Struct, frozen=True):
@@ -19,44 +19,44 @@
 
 
 class Propose(msgspec.Struct, frozen=True):
-    """Ask for a command to be committed."""
+    """Request that a command is committed."""
 
     request_id: int
     command: bytes
 
 
 class RemoveVoter(msgspec.Struct, frozen=True):
-    """Ask for the voter of this name to leave the voter set for good."""
+    """Request that the voter of this name is permanently removed from the voter set."""
 
     request_id: int
     name: str
 
 
 class Persisted(msgspec.Struct, frozen=True):
-    """Tell that every write up to this token is synced."""
+    """Report that every write up to this token is synced."""
 
     token: int
 
 
 class BarrierRequested(msgspec.Struct, frozen=True):
-    """Ask for an index that holds everything committed by now."""
+    """Request an index that covers everything committed so far."""
 
     request_id: int
 
 
 class SnapshotTaken(msgspec.Struct, frozen=True):
-    """Deliver the state machine's state as of an applied index."""
+    """Deliver the state of the state machine at an applied index."""
 
     index: int
     data: bytes
 
 
 class TransferLeadership(msgspec.Struct, frozen=True):
-    """Ask a leader to let another voter lead, as before a planned stop."""
+    """Request that a leader transfers leadership to another voter, e.g. before a planned stop."""
 
 
 class IdentityRenewed(msgspec.Struct, frozen=True):
-    """Tell a removed replica that its disk now holds a new id, under which it may join again."""
+    """Report to a removed replica that its disk has a new id, with which it may join again."""
 
     voter: Voter
 
@@ -75,25 +75,25 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """Tell that the command is committed and was applied at this index."""
+    """Report that the command is committed and was applied at this index."""
 
     index: int
 
 
 class NotLeader(msgspec.Struct, frozen=True):
-    """Tell that the command was not taken, and who leads as far as is known."""
+    """Report that the command was rejected, and the name of the leader if known."""
 
     leader: str | None
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """Tell that the command was not taken, and why."""
+    """Report that the command was rejected, and the reason."""
 
     reason: str
 
 
 class LeadershipLost(msgspec.Struct, frozen=True):
-    """Tell that the command was taken but its outcome is not known: it may still be committed."""
+    """Report that an accepted command has an unknown outcome: it may still be committed."""
 
 
 ProposalOutcome = Committed | NotLeader | Refused | LeadershipLost
@@ -107,7 +107,7 @@
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Write in this order and sync: the hard state, a cut of the log, then entries."""
+    """Write and sync in this order: the hard state, a truncation of the log, the entries."""
 
     token: int
     hard_state: HardState
@@ -116,9 +116,9 @@
 
 
 class SaveSnapshot(msgspec.Struct, frozen=True):
-    """Write a snapshot and sync it; then drop entries below `first_index`.
+    """Write and sync a snapshot, then delete the entries below `first_index`.
 
-    With `is_installed` the whole log before it is void.
+    With `is_installed` the whole previous log is invalid.
     """
 
     token: int
@@ -134,29 +134,29 @@
 
 
 class TakeSnapshot(msgspec.Struct, frozen=True):
-    """Take the state machine's state, which is as of this index."""
+    """Capture the state of the state machine, which is at this index."""
 
     index: int
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True):
-    """Replace the state machine's state by this data as of this index."""
+    """Replace the state of the state machine by this data, which is the state at this index."""
 
     index: int
     data: bytes
 
 
 class ProposalDone(msgspec.Struct, frozen=True):
-    """End a proposal."""
+    """Report the outcome of a proposal."""
 
     request_id: int
     outcome: ProposalOutcome
 
 
 class BarrierDone(msgspec.Struct, frozen=True):
-    """End a barrier: what was committed when it started is applied.
+    """Complete a barrier: everything that was committed when it started is applied.
 
-    Units: `started_at` is the replica's own clock, in seconds.
+    Units: `started_at` is in seconds of the replica's own clock.
     """
 
     request_id: int
@@ -165,32 +165,32 @@
 
 
 class BarrierFailed(msgspec.Struct, frozen=True):
-    """End a barrier that no quorum confirmed in time."""
+    """Fail a barrier that no quorum confirmed in time."""
 
     request_id: int
     leader: str | None
 
 
 class LeaderChanged(msgspec.Struct, frozen=True):
-    """Tell who leads in a term; None while nobody is known to."""
+    """Report the leader of a term; None while no leader is known."""
 
     term: int
     leader: Voter | None
 
 
 class VotersChanged(msgspec.Struct, frozen=True):
-    """Tell that a voter set is committed."""
+    """Report that a voter set is committed."""
 
     index: int
     voters: VoterSet
 
 
 class SelfRemoved(msgspec.Struct, frozen=True):
-    """Tell that this voter was replaced and takes no further part."""
+    """Report that this voter was removed from the cluster and no longer takes part in it."""
 
 
 class ForeignCluster(msgspec.Struct, frozen=True):
-    """Tell that a peer belongs to another cluster."""
+    """Report that a peer belongs to another cluster."""
 
     sender: str
 
--- a/packages/bendwind-core/src/bendwind_core/consensus/log.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/log.py
@@ -1,4 +1,4 @@
-"""Hold a replica's log in memory: a snapshot and the entries around and after it."""
+"""Hold the log of a replica in memory: a snapshot and the entries around and after it."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Log(msgspec.Struct):
-    """Hold consecutive entries; some at or before the snapshot may be kept for slow followers."""
+    """Hold consecutive entries; some up to the snapshot may be retained for slow followers."""
 
     snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: list[Entry] = msgspec.field(default_factory=list)
@@ -14,7 +14,7 @@
 
     @property
     def first_index(self) -> int:
-        """Return the index of the first entry that is or will be held."""
+        """Return the index of the first retained entry, or of the next entry if there is none."""
         return self.entries[0].index if self.entries else self.snapshot.index + 1
 
     @property
@@ -28,7 +28,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at an index, or None when it is not held."""
+        """Return the term of the entry at an index, or None if the entry is not retained."""
         if index == 0:
             return 0
         if index == self.snapshot.index:
@@ -39,11 +39,11 @@
         return None
 
     def find_entry(self, index: int) -> Entry:
-        """Return the entry at an index that is held."""
+        """Return the entry at an index, which must be retained."""
         return self.entries[index - self.first_index]
 
     def read_batch(self, start: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from an index on, at least one if there is any, within the bounds."""
+        """Return entries from an index on within the bounds, but at least one if any exist."""
         position = start - self.first_index
         batch: list[Entry] = []
         size = 0
@@ -55,19 +55,21 @@
         return tuple(batch)
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry."""
+        """Append the next entry."""
         if entry.index != self.last_index + 1:
-            raise AssertionError(f"entry {entry.index} after {self.last_index}")
+            raise AssertionError(
+                f"entry {entry.index} does not follow last index {self.last_index}"
+            )
         self.entries.append(entry)
         self.entry_bytes += len(entry.command)
 
     def truncate(self, start: int) -> None:
-        """Drop the entries from an index on."""
+        """Delete the entries from an index on."""
         del self.entries[max(0, start - self.first_index) :]
         self._count_bytes()
 
     def compact(self, snapshot: Snapshot, keep: int) -> None:
-        """Take a snapshot of applied entries and keep only some entries before it."""
+        """Set a snapshot of the applied entries and retain only `keep` entries up to it."""
         self.snapshot = snapshot
         dropped = snapshot.index - keep - self.first_index + 1
         if dropped > 0:
--- a/packages/bendwind-core/src/bendwind_core/consensus/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/messages.py
@@ -1,7 +1,7 @@
 """Define the messages between the voters of the control log.
 
-Every message but an Offer names the cluster, the sender's id and the receiver's id: names outlive
-disks, ids do not.
+Every message except JoinRequest contains the cluster, the sender's id and the receiver's id. A name
+remains when a disk is replaced, but an id does not.
 """
 
 from bendwind_core.consensus.records import Entry, Voter, VoterSet
@@ -9,7 +9,7 @@
 
 
 class Head(Record, frozen=True, array_like=True):
-    """Start a message between members: the cluster, the sender, the receiver's id, the term."""
+    """Hold the common fields of messages between members; `to` is the receiver's id."""
 
     cluster: int
     sender: Voter
@@ -18,9 +18,9 @@
 
 
 class JoinRequest(Record, frozen=True, array_like=True, tag="raft-offer"):
-    """Introduce a voter that has no log, or hears no leader, and ask who has one.
+    """Announce a voter that has no log or no contact with a leader, and ask which peers have a log.
 
-    `is_passed_on` says that it comes from the voter that was asked, on to its leader.
+    `is_forwarded` is set when the receiving voter forwards the request to its leader.
     """
 
     sender: Voter
@@ -28,15 +28,15 @@
 
 
 class JoinReply(Record, frozen=True, array_like=True, tag="raft-offer-reply"):
-    """Answer the offer of the voter `to`; `is_formed` tells that the sender has a log."""
+    """Answer the request of the voter with id `to`; `is_formed` is true if the sender has a log."""
 
     sender: Voter
     to: int
     is_formed: bool
 
 
-class Form(Record, frozen=True, array_like=True, tag="raft-form"):
-    """Carry the first entry of the log to a voter that it names."""
+class FormCluster(Record, frozen=True, array_like=True, tag="raft-form"):
+    """Carry the first entry of the log to a voter that is named in it."""
 
     sender: Voter
     to: int
@@ -44,31 +44,31 @@
 
 
 class VoteRequest(Record, frozen=True, array_like=True, tag="raft-vote"):
-    """Ask for a vote in a term; with `is_trial`, ask whether it would be given (pre-vote).
+    """Request a vote in a term; with `is_pre_vote`, ask whether the vote would be granted.
 
-    With `is_transfer` the leader itself has asked for the election.
+    With `is_transfer`, the leader itself has requested the election.
     """
 
     head: Head
-    is_trial: bool
+    is_pre_vote: bool
     last_index: int
     last_term: int
     is_transfer: bool = False
 
 
 class VoteReply(Record, frozen=True, array_like=True, tag="raft-vote-reply"):
-    """Answer a vote request; `asked_term` repeats its term; the head holds the sender's own."""
+    """Answer a vote request; `request_term` is its term, the head contains the sender's term."""
 
     head: Head
-    is_trial: bool
-    asked_term: int
+    is_pre_vote: bool
+    request_term: int
     is_granted: bool
 
 
 class Append(Record, frozen=True, array_like=True, tag="raft-append"):
     """Carry entries that follow `previous_index`, or none as a heartbeat.
 
-    `round` numbers the leader's rounds of this term; the reply repeats it.
+    `round` is the number of the leader's round within this term; the reply repeats it.
     """
 
     head: Head
@@ -80,7 +80,7 @@
 
 
 class AppendReply(Record, frozen=True, array_like=True, tag="raft-append-reply"):
-    """Confirm that the log is durable and equal up to `index`, or ask to try from there."""
+    """Confirm that the log is durable and equal up to `index`, or request a retry from there."""
 
     head: Head
     is_matching: bool
@@ -102,7 +102,7 @@
 
 
 class ChunkReply(Record, frozen=True, array_like=True, tag="raft-chunk-reply"):
-    """Name the offset of the next part wanted of the snapshot at an index."""
+    """Request the next part of the snapshot at an index, by its offset."""
 
     head: Head
     index: int
@@ -111,14 +111,14 @@
 
 
 class ReadRequest(Record, frozen=True, array_like=True, tag="raft-read"):
-    """Ask the leader for an index that holds everything committed by now."""
+    """Request from the leader an index that covers everything committed so far."""
 
     head: Head
     number: int
 
 
 class ReadReply(Record, frozen=True, array_like=True, tag="raft-read-reply"):
-    """Answer a read request once a quorum has confirmed the leader."""
+    """Answer a read request after a quorum has confirmed the leader."""
 
     head: Head
     number: int
@@ -126,13 +126,13 @@
 
 
 class TakeOver(Record, frozen=True, array_like=True, tag="raft-take-over"):
-    """Ask a voter that holds the whole log to lead from now on."""
+    """Request that a voter which holds the whole log takes over leadership."""
 
     head: Head
 
 
 class Removed(Record, frozen=True, array_like=True, tag="raft-removed"):
-    """Tell a voter that its id was replaced and can never vote again."""
+    """Notify a voter that its id was removed and can never vote again."""
 
     head: Head
 
@@ -149,4 +149,4 @@
     | TakeOver
     | Removed
 )
-ConsensusMessage = JoinRequest | JoinReply | Form | MemberMessage
+ConsensusMessage = JoinRequest | JoinReply | FormCluster | MemberMessage
--- a/packages/bendwind-core/src/bendwind_core/consensus/replacement.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/replacement.py
@@ -1,9 +1,9 @@
-"""Replace a voter by a learner so that no state on the way bears fewer losses.
+"""Replace a voter by a learner without reducing the fault tolerance in any intermediate state.
 
-A joint set comes first, in which both count: with any two of five disks lost and a third voter
-down, both halves still have a majority once that one is back. Once the successor holds it, the set
-without the former voter follows. If the successor falls silent and the former one is heard, the
-former set comes back instead.
+First a joint set is appended, in which both have a vote: with any two of five disks lost and a
+third voter down, the old and the new voters both have a majority once that voter is back. Once
+the successor holds the joint set, the set without the leaving voter is appended. If the successor
+becomes silent while the leaving voter is reachable, the old set is restored instead.
 Source: Ongaro, 2014, section 4.3.
 """
 
@@ -12,22 +12,27 @@
 from bendwind_core.consensus.events import ProposalDone, Refused
 from bendwind_core.consensus.records import Voter
 from bendwind_core.consensus.replica import Replica
-from bendwind_core.consensus.voter_changes import add_removed, append_change, is_heard, is_silent
+from bendwind_core.consensus.voter_changes import (
+    add_removed,
+    append_change,
+    has_recent_contact,
+    is_silent,
+)
 from bendwind_core.core import Seconds
 
 
 def can_replace(replica: Replica) -> bool:
-    """Tell whether a voter can be replaced in one joint change.
+    """Return whether a voter can be replaced in one joint change.
 
-    Of an even number a voter is taken out first: the odd number left bears as many losses. A
-    process that knows no joint sets would take a majority of those that stay for enough, which
-    it is of an odd number only.
+    With an even number of voters, a voter is removed first: the remaining odd number tolerates as
+    many losses. A process without support for joint sets would accept a majority of the remaining
+    voters as a quorum, which is only correct if the number of voters is odd.
     """
     return len(replica.voters.voters) % 2 == 1
 
 
 def begin_replacement(replica: Replica, leaving: Voter, joining: Voter, now: Seconds) -> None:
-    """Append the joint set in which both a voter and the learner that follows it count."""
+    """Append the joint set in which both a voter and the learner that succeeds it have a vote."""
     voters = replica.voters
     joint = msgspec.structs.replace(
         voters,
@@ -40,23 +45,23 @@
 
 
 def end_replacement(replica: Replica, now: Seconds) -> None:
-    """Follow a committed joint set by the new one, or by the former one, or wait to know which."""
+    """Append the new or the old set after a committed joint set, or wait until it is decided."""
     voters = replica.voters
     is_successor_silent = any(is_silent(replica, voter, now) for voter in voters.joining)
-    is_former_heard = all(is_heard(replica, voter, now) for voter in voters.leaving)
-    if is_successor_silent and is_former_heard:
-        _give_up(replica, now)
-    elif is_successor_silent or all(_holds_joint(replica, voter) for voter in voters.joining):
-        _finish(replica, now)
+    is_former_reachable = all(has_recent_contact(replica, voter, now) for voter in voters.leaving)
+    if is_successor_silent and is_former_reachable:
+        _revert(replica, now)
+    elif is_successor_silent or all(_has_joint_set(replica, voter) for voter in voters.joining):
+        _complete(replica, now)
 
 
-def _holds_joint(replica: Replica, joining: Voter) -> bool:
+def _has_joint_set(replica: Replica, joining: Voter) -> bool:
     if joining.voter_id == replica.voter.voter_id:
         return True
     return replica.progress[joining.voter_id].match >= replica.configurations[-1].index
 
 
-def _finish(replica: Replica, now: Seconds) -> None:
+def _complete(replica: Replica, now: Seconds) -> None:
     voters = replica.voters
     changed = msgspec.structs.replace(
         voters,
@@ -71,16 +76,16 @@
         replica.removal = None
 
 
-def _give_up(replica: Replica, now: Seconds) -> None:
+def _revert(replica: Replica, now: Seconds) -> None:
     voters = replica.voters
-    former = msgspec.structs.replace(
+    restored = msgspec.structs.replace(
         voters,
         voters=voters.old_voters,
         learners=voters.learners + voters.joining,
         leaving=(),
         joining=(),
     )
-    append_change(replica, former, now)
+    append_change(replica, restored, now)
     if replica.removal is not None:
         outcome = Refused("the voter that was to follow it fell silent")
         replica.effects.append(ProposalDone(replica.removal, outcome))
@@ -88,10 +93,10 @@
 
 
 def list_unconfirmed_voters(replica: Replica) -> tuple[Voter, ...]:
-    """Return whose confirmation a leader's replacement waits for: of all, then of the successor."""
+    """Return the voters that must still confirm the joint set: first all, then the successor."""
     if not replica.is_leader or not replica.voters.is_joint:
         return ()
     index = replica.configurations[-1].index
-    asked = replica.voters.voting_members if replica.is_change_pending else replica.voters.joining
-    known = [replica.progress[v.voter_id] for v in asked if v.voter_id in replica.progress]
+    awaited = replica.voters.voting_members if replica.is_change_pending else replica.voters.joining
+    known = [replica.progress[v.voter_id] for v in awaited if v.voter_id in replica.progress]
     return tuple(progress.voter for progress in known if progress.match < index)
--- a/packages/bendwind-core/src/bendwind_core/consensus/replica.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/replica.py
@@ -1,4 +1,4 @@
-"""Hold the state of one replica of the control log."""
+"""Define the state of one replica of the control log."""
 
 import enum
 import random
@@ -21,17 +21,19 @@
 from bendwind_core.core import Seconds
 
 _READ_NUMBER_BITS = 48
-# A replica that has just started asks for trial votes early: whoever hears a leader denies them,
-# and where all have restarted at once nobody waits for a leader that is not there. The shortest
-# such wait is many round trips, so that two candidates seldom meet.
+# A replica that has just started requests pre-votes after this share of the election timeout:
+# voters that are in contact with a leader reject them, and if all voters have restarted at once,
+# none of them waits for a leader that does not exist. The shortest such wait is many round trips,
+# so that two candidates rarely compete.
 FIRST_TIMEOUT_SHARE = 0.15
-# It goes on so for this many election timeouts while it hears of no leader: others take longer to
-# start, and the wait after a trial that came too early must not be a whole timeout.
+# The shorter timeout applies for this many election timeouts after the start while no leader makes
+# contact: other replicas may take longer to start, and the wait after a pre-vote that was too early
+# must not be a whole election timeout.
 EARLY_TIMEOUTS = 4
 
 
 class Role(enum.StrEnum):
-    """Say what a replica does in its term."""
+    """Enumerate the roles of a replica within its term."""
 
     UNFORMED = "unformed"
     FOLLOWER = "follower"
@@ -42,11 +44,11 @@
 
 
 class ReplicaSettings(msgspec.Struct, frozen=True):
-    """Bound a replica's times and sizes.
+    """Hold the time and size limits of a replica.
 
-    With `open_to` 0 the settings' names are the voters for good. Otherwise any newcomer may join,
-    becomes a voter while there are fewer than `open_to`, and after that replaces a silent one.
-    `may_form` permits to form a cluster of empty voters.
+    With `open_to` 0 the voters are always the names in the settings. Otherwise the voter set is
+    open: any newcomer may join, becomes a voter while there are fewer than `open_to`, and after
+    that replaces a silent voter. `may_form` allows empty voters to form a new cluster.
     Units: seconds, entries and bytes.
     """
 
@@ -65,10 +67,11 @@
 
 
 class Progress(msgspec.Struct):
-    """Track what the leader knows of one other replica.
+    """Track the replication progress of one other replica at the leader.
 
-    `awaits_index` is what a reply to the last batch or snapshot part will confirm. `snapshot` is
-    kept while it is sent, though a newer one may exist, so that a slow member gets to its end.
+    `awaits_index` is the index that the reply to the last batch or snapshot part will confirm.
+    `snapshot` is kept while it is being sent, even if a newer one exists, so that a slow member can
+    receive it completely.
     """
 
     voter: Voter
@@ -83,7 +86,7 @@
 
 
 class PendingWrite(msgspec.Struct):
-    """Track a write that is not yet known to be synced, and what waits for it."""
+    """Track a write that is not confirmed as synced, and the messages that wait for it."""
 
     token: int
     hard_state: HardState
@@ -93,7 +96,7 @@
 
 
 class LocalRead(msgspec.Struct):
-    """Track a barrier of this process; `number` is that of the read it waits for, or 0."""
+    """Track a barrier of this process; `number` is that of the read it waits for, 0 if none."""
 
     request_id: int
     deadline: Seconds
@@ -101,7 +104,7 @@
 
 
 class LeaderRead(msgspec.Struct):
-    """Track a read that the leader confirms with a round; 0 while it waits for one."""
+    """Track a read that the leader confirms with `round`, which is 0 until one is assigned."""
 
     voter: Voter
     number: int
@@ -117,9 +120,9 @@
 
 
 class Reads(msgspec.Struct):
-    """Hold the barriers of this process and, on a leader, those of all voters.
+    """Hold the barriers of this process and, on a leader, the reads of all voters.
 
-    One read at a time is open; barriers that come while it is wait for the next.
+    Only one read is open at a time. Barriers that are requested meanwhile wait for the next read.
     """
 
     number: int
@@ -139,9 +142,9 @@
 
 
 class Replica(msgspec.Struct):
-    """Own everything that one replica knows.
+    """Hold the complete state of one replica.
 
-    `removal` is the operator's request that the replacement under way is to answer.
+    `removal` is the id of the operator's request that ends with the replacement in progress.
     """
 
     voter: Voter
@@ -153,7 +156,7 @@
     role: Role
     deadline: Seconds
     durable_index: int
-    durable_hard: HardState
+    durable_hard_state: HardState
     early_until: Seconds
     reads: Reads
     leader: Voter | None = None
@@ -161,7 +164,7 @@
     commit: int = 0
     applied: int = 0
     votes: set[int] = msgspec.field(default_factory=set)
-    offers: dict[str, Voter] = msgspec.field(default_factory=dict)
+    empty_peers: dict[str, Voter] = msgspec.field(default_factory=dict)
     progress: dict[int, Progress] = msgspec.field(default_factory=dict)
     proposals: dict[int, int] = msgspec.field(default_factory=dict)
     removal: int | None = None
@@ -171,15 +174,15 @@
     is_snapshot_due: bool = False
     token: int = 0
     writes: deque[PendingWrite] = msgspec.field(default_factory=deque)
-    is_hard_changed: bool = False
+    is_hard_state_changed: bool = False
     truncate_from: int | None = None
     unwritten: list[Entry] = msgspec.field(default_factory=list)
-    replies: list[Send] = msgspec.field(default_factory=list)
+    durable_sends: list[Send] = msgspec.field(default_factory=list)
     effects: list[Effect] = msgspec.field(default_factory=list)
 
     @property
     def voters(self) -> VoterSet:
-        """Return the newest voter set in the log, which is in force before it is committed."""
+        """Return the newest voter set in the log, which is active before it is committed."""
         return self.configurations[-1].voters
 
     @property
@@ -190,16 +193,16 @@
 
     @property
     def is_change_pending(self) -> bool:
-        """Tell whether a voter set is in the log but not yet committed."""
+        """Return whether a voter set is in the log but not yet committed."""
         return self.configurations[-1].index > self.commit
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads its term."""
+        """Return whether this replica is the leader of its term."""
         return self.role is Role.LEADER
 
     def leader_name(self) -> str | None:
-        """Return the name of the leader as far as is known."""
+        """Return the name of the leader, or None if it is unknown."""
         return self.leader.name if self.leader else None
 
 
@@ -214,7 +217,7 @@
     snapshot: Snapshot = EMPTY_SNAPSHOT,
     entries: tuple[Entry, ...] = (),
 ) -> Replica:
-    """Make a replica from what its disk holds; `names` are the voters that the settings list."""
+    """Create a replica from its stored state; `names` are the voters in the settings."""
     hard = hard_state or HardState()
     log = Log(snapshot)
     log.entries = list(entries)
@@ -235,9 +238,10 @@
         role=Role.FOLLOWER if is_formed else Role.UNFORMED,
         deadline=now + draw_timeout(settings, rng) * FIRST_TIMEOUT_SHARE,
         durable_index=log.last_index,
-        durable_hard=hard,
+        durable_hard_state=hard,
         early_until=now + EARLY_TIMEOUTS * settings.election_s,
-        # A reply that was meant for an earlier run must not match a read of this one.
+        # A random start prevents a reply to an earlier run of the process from matching a read of
+        # this run.
         reads=Reads(number=rng.getrandbits(_READ_NUMBER_BITS)),
         commit=snapshot.index,
         applied=snapshot.index,
@@ -245,46 +249,46 @@
 
 
 def draw_timeout(settings: ReplicaSettings, rng: random.Random) -> Seconds:
-    """Draw an election timeout between one and two base timeouts."""
+    """Draw a random election timeout between one and two base timeouts."""
     return settings.election_s * (1 + rng.random())
 
 
-def draw_campaign_pause(replica: Replica, now: Seconds, rng: random.Random) -> Seconds:
-    """Draw how long to wait before the next campaign; short for one that has just started."""
+def draw_campaign_delay(replica: Replica, now: Seconds, rng: random.Random) -> Seconds:
+    """Draw the delay before the next campaign; it is short for a replica that has just started."""
     is_early = now < replica.early_until and replica.leader_contact_at is None
     return draw_timeout(replica.settings, rng) * (FIRST_TIMEOUT_SHARE if is_early else 1.0)
 
 
-def head_to(replica: Replica, to: Voter, term: int | None = None) -> Head:
-    """Make the head of a message to a member; the term is the replica's own by default."""
+def create_head(replica: Replica, to: Voter, term: int | None = None) -> Head:
+    """Create the head of a message to a member; the default term is the replica's own term."""
     own = replica.hard_state
     return Head(own.cluster, replica.voter, to.voter_id, own.term if term is None else term)
 
 
 def send(replica: Replica, message: ConsensusMessage, to: Voter) -> None:
-    """Send a message that promises nothing about the disk."""
+    """Send a message that does not depend on a pending write."""
     replica.effects.append(Send(to.name, message))
 
 
 def send_durable(replica: Replica, message: ConsensusMessage, to: Voter) -> None:
-    """Send a message once every write requested so far is synced."""
-    replica.replies.append(Send(to.name, message))
+    """Queue a message to be sent once every write requested so far is synced."""
+    replica.durable_sends.append(Send(to.name, message))
 
 
 def set_hard_state(replica: Replica, term: int, voted_for: int) -> None:
-    """Change the term or the vote and have it written."""
+    """Set the term and the vote and schedule their write."""
     replica.hard_state = HardState(term, voted_for, replica.hard_state.cluster)
-    replica.is_hard_changed = True
+    replica.is_hard_state_changed = True
 
 
-def join_cluster(replica: Replica, cluster: int) -> None:
-    """Take the cluster's id and have it written."""
+def set_cluster(replica: Replica, cluster: int) -> None:
+    """Set the cluster id and schedule its write."""
     replica.hard_state = HardState(replica.hard_state.term, replica.hard_state.voted_for, cluster)
-    replica.is_hard_changed = True
+    replica.is_hard_state_changed = True
 
 
 def append_entry(replica: Replica, entry: Entry) -> None:
-    """Add an entry and have it written; a voter set is in force at once."""
+    """Append an entry and schedule its write; a voter set becomes active immediately."""
     replica.log.append(entry)
     replica.unwritten.append(entry)
     if entry.voters is not None:
@@ -292,9 +296,11 @@
 
 
 def truncate_log(replica: Replica, start: int) -> None:
-    """Drop entries from an index on, and voter sets with them, and have it written."""
+    """Delete entries and their voter sets from an index on, and schedule the truncation."""
     if start <= replica.commit:
-        raise AssertionError(f"truncation from {start} of a log committed to {replica.commit}")
+        raise AssertionError(
+            f"truncation from index {start} of a log committed up to {replica.commit}"
+        )
     replica.log.truncate(start)
     replica.configurations = [at for at in replica.configurations if at.index < start]
     replica.unwritten = [entry for entry in replica.unwritten if entry.index < start]
@@ -305,7 +311,7 @@
 
 
 def set_leader(replica: Replica, leader: Voter | None) -> None:
-    """Note who leads and report a change."""
+    """Set the leader and report a change of it."""
     if leader != replica.leader:
         replica.leader = leader
         replica.effects.append(LeaderChanged(replica.hard_state.term, leader))
--- a/packages/bendwind-core/src/bendwind_core/consensus/replication.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Copy the leader's log to the others, and commit what a quorum has synced."""
+"""Replicate the leader's log to the other members, and commit entries that a quorum has synced."""
 
 import random
 
@@ -9,8 +9,8 @@
     Progress,
     Replica,
     append_entry,
+    create_head,
     draw_timeout,
-    head_to,
     send,
     truncate_log,
 )
@@ -19,8 +19,8 @@
 from bendwind_core.core import Seconds
 
 
-def create_progress(replica: Replica, now: Seconds) -> None:
-    """Track every member but this one, and forget those that left."""
+def update_progress(replica: Replica, now: Seconds) -> None:
+    """Track the progress of all other members, and drop that of members that left."""
     own_id = replica.voter.voter_id
     members = replica.voters.members
     others = {member.voter_id: member for member in members if member.voter_id != own_id}
@@ -33,7 +33,7 @@
 
 
 def _open_round(replica: Replica) -> None:
-    """Open the next round, and attach the reads that wait for one."""
+    """Open the next round, and assign it to the reads that wait for one."""
     replica.round += 1
     for read in replica.reads.leader:
         if read.round == 0:
@@ -41,25 +41,25 @@
 
 
 def send_heartbeats(replica: Replica, now: Seconds) -> None:
-    """Open a round and send each member the entries it misses, or a heartbeat."""
+    """Open a round and send each member its missing entries or a heartbeat."""
     _open_round(replica)
     replica.heartbeat_at = now + replica.settings.heartbeat_s
     broadcast(replica, now)
 
 
 def broadcast(replica: Replica, now: Seconds) -> None:
-    """Send each member the entries it misses, or a heartbeat."""
+    """Send each member its missing entries or a heartbeat."""
     for progress in replica.progress.values():
         send_append(replica, progress, now)
 
 
-def ask_quorum(replica: Replica, now: Seconds) -> None:
-    """Open a round for reads among the voters: what a learner replies confirms nothing.
+def open_read_round(replica: Replica, now: Seconds) -> None:
+    """Open a round for reads among the voters only, since replies of learners confirm nothing.
 
-    The next heartbeat to all members stays due when it was.
+    The time of the next heartbeat to all members does not change.
     """
-    # With 5 voters and 10 learners a leader sent 400 messages a second, of which 330 were to
-    # learners for rounds of reads (steps of its tasks counted over 10 s of a calm day).
+    # If learners were included, a leader with 5 voters and 10 learners would send 400 messages a
+    # second, of which 330 to learners for rounds of reads (counted over 10 s under low load).
     _open_round(replica)
     for voter in replica.voters.voting_members:
         progress = replica.progress.get(voter.voter_id)
@@ -67,21 +67,21 @@
             send_append(replica, progress, now)
 
 
-def send_news(replica: Replica, now: Seconds) -> None:
-    """Send entries to each member that misses some and is not being waited for."""
+def send_new_entries(replica: Replica, now: Seconds) -> None:
+    """Send missing entries to each member that has no reply outstanding."""
     for progress in replica.progress.values():
         if progress.awaits_index is None and progress.next_index <= replica.log.last_index:
             send_append(replica, progress, now)
 
 
 def send_append(replica: Replica, progress: Progress, now: Seconds) -> None:
-    """Send one member a batch, a part of the snapshot, or an empty heartbeat while it owes one."""
+    """Send a member entries or a snapshot part; while a reply is outstanding, a heartbeat."""
     is_waiting = (
         progress.awaits_index is not None
         and now - progress.awaits_since < replica.settings.election_s
     )
     if is_waiting:
-        _send_entries(replica, progress, _find_known_index(replica, progress), ())
+        _send_entries(replica, progress, _find_heartbeat_index(replica, progress), ())
         return
     previous_index = progress.next_index - 1
     is_compacted = progress.next_index < replica.log.first_index
@@ -97,7 +97,7 @@
     _send_entries(replica, progress, previous_index, entries)
 
 
-def _find_known_index(replica: Replica, progress: Progress) -> int:
+def _find_heartbeat_index(replica: Replica, progress: Progress) -> int:
     is_held = replica.log.term_at(progress.match) is not None
     return progress.match if is_held else 0
 
@@ -106,7 +106,7 @@
     replica: Replica, progress: Progress, previous_index: int, entries: tuple[Entry, ...]
 ) -> None:
     message = Append(
-        head_to(replica, progress.voter),
+        create_head(replica, progress.voter),
         previous_index=previous_index,
         previous_term=replica.log.term_at(previous_index) or 0,
         entries=entries,
@@ -117,7 +117,7 @@
 
 
 def receive_append(replica: Replica, message: Append, now: Seconds, rng: random.Random) -> None:
-    """Take entries that follow a known one; reply once they are synced."""
+    """Append entries that follow a known entry; reply once they are synced."""
     replica.leader_contact_at = now
     replica.deadline = now + draw_timeout(replica.settings, rng)
     previous_index = message.previous_index
@@ -126,20 +126,20 @@
         reply_append(replica, message, is_matching=False, index=index)
         return
     for entry in message.entries:
-        _take_entry(replica, entry)
+        _store_entry(replica, entry)
     matched = previous_index + len(message.entries)
     replica.commit = max(replica.commit, min(message.commit, matched))
     reply_append(replica, message, is_matching=True, index=matched)
 
 
 def _has_previous(replica: Replica, message: Append) -> bool:
-    # What is committed is equal everywhere, also where it is compacted away.
+    # Committed entries are equal on all replicas, even if they have been compacted.
     if message.previous_index <= replica.commit:
         return True
     return replica.log.term_at(message.previous_index) == message.previous_term
 
 
-def _take_entry(replica: Replica, entry: Entry) -> None:
+def _store_entry(replica: Replica, entry: Entry) -> None:
     if entry.index <= replica.commit:
         return
     known_term = replica.log.term_at(entry.index)
@@ -151,7 +151,7 @@
 
 
 def _find_retry_index(replica: Replica, previous_index: int) -> int:
-    """Return the index before the whole term that conflicts, to skip it in one exchange."""
+    """Return the index before the conflicting term, to skip the whole term in one exchange."""
     index = min(previous_index - 1, replica.log.last_index)
     conflict = replica.log.term_at(previous_index)
     while conflict is not None and index > replica.commit:
@@ -162,7 +162,7 @@
 
 
 def receive_append_reply(replica: Replica, reply: AppendReply, now: Seconds) -> None:
-    """Advance or move back what is known of a member, and send on."""
+    """Advance or move back the progress of a member, and send the next entries."""
     progress = replica.progress.get(reply.head.sender.voter_id)
     if progress is None:
         return
@@ -185,18 +185,18 @@
 
 
 def advance_commit(replica: Replica) -> None:
-    """Commit the newest entry of the own term that a majority has synced."""
+    """Commit up to the newest entry of the current term that a majority has synced."""
     if not replica.is_leader:
         return
     synced = {voter_id: progress.match for voter_id, progress in replica.progress.items()}
     synced[replica.voter.voter_id] = replica.durable_index
-    index = replica.voters.find_agreed(synced)
+    index = replica.voters.find_majority_value(synced)
     if index > replica.commit and replica.log.term_at(index) == replica.hard_state.term:
         replica.commit = index
 
 
 def apply_committed(replica: Replica) -> None:
-    """Hand on entries that are committed and synced here, and end their proposals."""
+    """Apply entries that are committed and locally synced, and complete their proposals."""
     end = min(replica.commit, replica.durable_index)
     if end <= replica.applied:
         return
--- a/packages/bendwind-core/src/bendwind_core/consensus/snapshots.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""Compact the log into snapshots, and bring members up to date with them."""
+"""Compact the log into snapshots, and send them to members that lack the compacted entries."""
 
 import random
 
@@ -10,8 +10,8 @@
     IncomingSnapshot,
     Progress,
     Replica,
+    create_head,
     draw_timeout,
-    head_to,
     send,
     send_durable,
 )
@@ -20,7 +20,7 @@
 
 
 def request_snapshot(replica: Replica) -> None:
-    """Ask for a snapshot when enough was applied since the last one."""
+    """Request a snapshot when enough entries were applied since the last one."""
     applied = replica.applied - replica.log.snapshot.index
     is_due = (
         applied >= replica.settings.snapshot_entries
@@ -31,8 +31,8 @@
         replica.effects.append(TakeSnapshot(replica.applied))
 
 
-def take_snapshot(replica: Replica, event: SnapshotTaken, now: Seconds) -> None:
-    """Replace applied entries by a snapshot and have it written."""
+def compact_log(replica: Replica, event: SnapshotTaken, now: Seconds) -> None:
+    """Replace applied entries by a snapshot and schedule its write."""
     replica.is_snapshot_due = False
     index = event.index
     if index <= replica.log.snapshot.index or index > replica.applied:
@@ -50,7 +50,7 @@
 
 
 def send_chunk(replica: Replica, progress: Progress, now: Seconds) -> None:
-    """Send the next part of the snapshot that a member needs."""
+    """Send the next part of the snapshot to a member."""
     if progress.snapshot is None:
         progress.snapshot = replica.log.snapshot
         progress.snapshot_offset = 0
@@ -59,7 +59,7 @@
     snapshot = progress.snapshot
     start = progress.snapshot_offset
     message = SnapshotChunk(
-        head_to(replica, progress.voter),
+        create_head(replica, progress.voter),
         index=snapshot.index,
         snapshot_term=snapshot.term,
         voters=snapshot.voters,
@@ -74,9 +74,10 @@
 def receive_chunk(
     replica: Replica, message: SnapshotChunk, now: Seconds, rng: random.Random
 ) -> None:
-    """Collect a snapshot's parts in order; install it when it is whole.
+    """Collect the parts of a snapshot in order; install the snapshot when it is complete.
 
-    A log that holds the snapshot's last entry is kept: entries after it may be acknowledged.
+    If the log contains the snapshot's last entry, the log is kept, since entries after it may
+    already be acknowledged.
     """
     replica.leader_contact_at = now
     replica.deadline = now + draw_timeout(replica.settings, rng)
@@ -89,7 +90,7 @@
     if message.offset == len(incoming.data):
         incoming.data += message.data
     if len(incoming.data) < message.size:
-        _ask_next(replica, message, len(incoming.data))
+        _request_next_chunk(replica, message, len(incoming.data))
         return
     replica.incoming = None
     _install(replica, message, bytes(incoming.data), now)
@@ -115,14 +116,14 @@
     replica.durable_index = min(replica.durable_index, snapshot.index)
     for write in replica.writes:
         write.last_index = min(write.last_index, snapshot.index)
-    # The state is committed, so that it may be used before it is synced here.
+    # The state is committed, so it may be used before it is synced locally.
     replica.effects.append(InstallSnapshot(snapshot.index, data))
     request_snapshot_write(replica, snapshot, now, is_installed=True)
 
 
-def _ask_next(replica: Replica, message: SnapshotChunk, offset: int) -> None:
+def _request_next_chunk(replica: Replica, message: SnapshotChunk, offset: int) -> None:
     reply = ChunkReply(
-        head_to(replica, message.head.sender),
+        create_head(replica, message.head.sender),
         index=message.index,
         offset=offset,
         round=message.round,
@@ -131,7 +132,7 @@
 
 
 def receive_chunk_reply(replica: Replica, reply: ChunkReply, now: Seconds) -> None:
-    """Send the part that a member asks for next."""
+    """Send the part that a member requests next."""
     progress = replica.progress.get(reply.head.sender.voter_id)
     if progress is None:
         return
--- a/packages/bendwind-core/src/bendwind_core/consensus/step.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/step.py
@@ -12,19 +12,19 @@
 )
 from bendwind_core.consensus.bootstrap import (
     adopt_cluster,
-    receive_form,
-    receive_offer,
-    receive_offer_reply,
+    receive_form_cluster,
+    receive_join_reply,
+    receive_join_request,
     tick_bootstrap,
-    tick_outsider,
+    tick_without_leader,
 )
 from bendwind_core.consensus.durability import confirm_writes, request_write
 from bendwind_core.consensus.election import (
     become_follower,
     count_votes,
+    receive_take_over,
     receive_vote_reply,
     receive_vote_request,
-    take_over,
     tick_election,
     transfer_leadership,
 )
@@ -51,7 +51,7 @@
     AppendReply,
     ChunkReply,
     ConsensusMessage,
-    Form,
+    FormCluster,
     JoinReply,
     JoinRequest,
     MemberMessage,
@@ -66,10 +66,10 @@
 from bendwind_core.consensus.records import Entry
 from bendwind_core.consensus.removal import (
     become_removed,
-    leave_when_removed,
+    leave_if_removed,
     rejoin,
     remove_voter,
-    tell_removed,
+    send_removed,
 )
 from bendwind_core.consensus.replica import Replica, Role, append_entry
 from bendwind_core.consensus.replication import (
@@ -78,20 +78,20 @@
     receive_append,
     receive_append_reply,
     send_heartbeats,
-    send_news,
+    send_new_entries,
 )
 from bendwind_core.consensus.replies import reply_append
 from bendwind_core.consensus.snapshots import (
+    compact_log,
     receive_chunk,
     receive_chunk_reply,
     request_snapshot,
-    take_snapshot,
 )
 from bendwind_core.core import Seconds
 
 
 def step(replica: Replica, event: ReplicaEvent, now: Seconds, rng: random.Random) -> list[Effect]:
-    """Take one event and return the effects to carry out in order."""
+    """Process one event and return the effects to execute in order."""
     match event:
         case Tick():
             _tick(replica, now, rng)
@@ -111,20 +111,20 @@
         case TransferLeadership():
             transfer_leadership(replica, now)
         case SnapshotTaken():
-            take_snapshot(replica, event, now)
-    _settle(replica, now, rng)
+            compact_log(replica, event, now)
+    _apply_consequences(replica, now, rng)
     effects = replica.effects
     replica.effects = []
     return effects
 
 
-def _settle(replica: Replica, now: Seconds, rng: random.Random) -> None:
-    """Draw the conclusions that may follow from any event."""
+def _apply_consequences(replica: Replica, now: Seconds, rng: random.Random) -> None:
+    """Apply the consequences that any event may have."""
     advance_commit(replica)
     confirm_reads(replica, now)
     apply_committed(replica)
     finish_barriers(replica)
-    leave_when_removed(replica, now, rng)
+    leave_if_removed(replica, now, rng)
     request_snapshot(replica)
     request_write(replica, now)
 
@@ -140,7 +140,7 @@
         if now >= replica.heartbeat_at:
             send_heartbeats(replica, now)
     elif replica.role is not Role.REMOVED:
-        tick_outsider(replica, now)
+        tick_without_leader(replica, now)
     tick_reads(replica, now)
 
 
@@ -156,7 +156,7 @@
     entry = Entry(replica.log.last_index + 1, replica.hard_state.term, event.command)
     append_entry(replica, entry)
     replica.proposals[entry.index] = event.request_id
-    send_news(replica, now)
+    send_new_entries(replica, now)
 
 
 def _receive(
@@ -164,18 +164,18 @@
 ) -> None:
     match message:
         case JoinRequest():
-            receive_offer(replica, message, now)
+            receive_join_request(replica, message, now)
         case JoinReply():
-            receive_offer_reply(replica, message)
-        case Form():
-            receive_form(replica, message)
+            receive_join_reply(replica, message)
+        case FormCluster():
+            receive_form_cluster(replica, message)
         case _:
             if _is_for_member(replica, sender, message):
                 _receive_member(replica, message, now, rng)
 
 
 def _is_for_member(replica: Replica, sender: str, message: MemberMessage) -> bool:
-    """Tell whether a message is from this cluster, to this id, and from an id in force."""
+    """Return whether a message is from this cluster, to this id and from an id not removed."""
     if message.head.to != replica.voter.voter_id or message.head.sender.name != sender:
         return False
     if replica.role is Role.REMOVED:
@@ -188,7 +188,7 @@
         replica.effects.append(ForeignCluster(sender))
         return False
     if message.head.sender.voter_id in replica.committed_voters.removed:
-        tell_removed(replica, message.head.sender)
+        send_removed(replica, message.head.sender)
         return False
     return True
 
@@ -210,7 +210,7 @@
         case ReadReply():
             finish_read(replica, message.number, message.index, now)
         case TakeOver():
-            take_over(replica, message, now)
+            receive_take_over(replica, message, now)
         case Removed():
             become_removed(replica, now, rng)
 
--- a/packages/bendwind-core/src/bendwind_core/consensus/tests/test_records.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/tests/test_records.py
@@ -10,7 +10,7 @@
 
 
 def joint(size):
-    """Make the set in which the last of some voters is replaced by another."""
+    """Create the joint set in which the last of `size` voters is being replaced."""
     return VoterSet(7, VOTERS[: size - 1], leaving=(VOTERS[size - 1],), joining=(VOTERS[5],))
 
 
@@ -24,15 +24,15 @@
 
 
 class VoterSetTest(unittest.TestCase):
-    """Decide who is a majority in one place, for plain and for joint sets."""
+    """Test the quorum rules of plain and joint voter sets."""
 
-    def test_plain_set_asks_for_more_than_half(self):
+    def test_plain_set_needs_more_than_half(self):
         for size in range(1, 7):
             voters = VoterSet(7, VOTERS[:size])
             for ids in subsets():
                 self.assertEqual(voters.is_quorum(ids), is_majority(ids, VOTERS[:size]))
 
-    def test_joint_set_asks_for_a_majority_of_each_half(self):
+    def test_joint_set_needs_a_majority_of_each_group(self):
         for size in (3, 5):
             voters = joint(size)
             for ids in subsets():
@@ -41,28 +41,32 @@
                 )
                 self.assertEqual(voters.is_quorum(ids), expected)
 
-    def test_agreed_value_is_what_a_quorum_has_reached_and_no_more(self):
+    def test_majority_value_is_the_highest_value_reached_by_a_quorum(self):
         for voters in (VoterSet(7, VOTERS[:4]), joint(3), joint(5)):
             for values in itertools.product(range(3), repeat=len(ALL_IDS)):
                 reached = dict(zip(ALL_IDS, values, strict=True))
-                agreed = voters.find_agreed(reached)
-                self.assertTrue(voters.is_quorum([i for i in ALL_IDS if reached[i] >= agreed]))
-                self.assertFalse(voters.is_quorum([i for i in ALL_IDS if reached[i] > agreed]))
+                majority_value = voters.find_majority_value(reached)
+                self.assertTrue(
+                    voters.is_quorum([i for i in ALL_IDS if reached[i] >= majority_value])
+                )
+                self.assertFalse(
+                    voters.is_quorum([i for i in ALL_IDS if reached[i] > majority_value])
+                )
 
-    def test_nobody_is_a_quorum_of_no_voters(self):
+    def test_empty_voter_set_has_no_quorum(self):
         self.assertFalse(VoterSet().is_quorum(ALL_IDS))
 
-    def test_two_of_five_disks_and_a_third_voter_are_borne_by_a_joint_set(self):
+    def test_joint_set_of_five_has_a_quorum_after_the_loss_of_any_two_disks(self):
         voters = joint(5)
         for lost in itertools.combinations(ALL_IDS, 2):
             self.assertTrue(voters.is_quorum([i for i in ALL_IDS if i not in lost]))
 
-    def test_former_form_without_joint_sets_is_read(self):
-        former = msgspec.convert([7, [["a", 1]], [["b", 2]], [3]], VoterSet)
-        self.assertEqual(former, VoterSet(7, (Voter("a", 1),), (Voter("b", 2),), (3,)))
+    def test_record_without_joint_fields_is_decoded(self):
+        decoded = msgspec.convert([7, [["a", 1]], [["b", 2]], [3]], VoterSet)
+        self.assertEqual(decoded, VoterSet(7, (Voter("a", 1),), (Voter("b", 2),), (3,)))
 
-    def test_whoever_knows_no_joint_sets_asks_for_no_less(self):
-        # It reads the voters that stay, and takes a majority of these for enough.
+    def test_majority_seen_by_processes_without_joint_sets_is_a_quorum(self):
+        # Such a process only reads `voters`, and accepts a majority of them as a quorum.
         for size in (3, 5):
             voters = joint(size)
             for ids in subsets():
--- a/packages/bendwind-node/src/bendwind_node/control/service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/service.py
@@ -147,13 +147,13 @@
         """
         replica = self.voter.replica
         own = replica.voter.voter_id
-        is_voter = any(voter.voter_id == own for voter in replica.committed_voters.former)
+        is_voter = any(voter.voter_id == own for voter in replica.committed_voters.old_voters)
         return own if is_voter else None
 
     @property
     def voter_names(self) -> tuple[str, ...]:
         """Return the names of the committed voters."""
-        return tuple(voter.name for voter in self.voter.replica.committed_voters.former)
+        return tuple(voter.name for voter in self.voter.replica.committed_voters.old_voters)
 
     @property
     def voter_places(self) -> tuple[VoterPlace, ...]:
