--- a/packages/bendwind-core/src/bendwind_core/consensus/bootstrap.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/bootstrap.py
@@ -33,8 +33,8 @@
     if now < replica.heartbeat_at:
         return
     replica.heartbeat_at = now + replica.settings.heartbeat_s
-    if _may_form(replica):
-        _form(replica, rng)
+    if _may_form_cluster(replica):
+        _form_cluster(replica, rng)
         return
     _send_join_requests(replica)
 
@@ -59,15 +59,15 @@
     _send_join_requests(replica)
 
 
-def _may_form(replica: Replica) -> bool:
+def _may_form_cluster(replica: Replica) -> bool:
     others = set(replica.names) - {replica.voter.name}
     is_first = replica.voter.name == min(replica.names)
     return replica.settings.may_form and is_first and others <= replica.empty_peers.keys()
 
 
-def _form(replica: Replica, rng: random.Random) -> None:
-    empty_peers = replica.empty_peers | {replica.voter.name: replica.voter}
-    voters = tuple(empty_peers[name] for name in sorted(replica.names))
+def _form_cluster(replica: Replica, rng: random.Random) -> None:
+    voters_by_name = replica.empty_peers | {replica.voter.name: replica.voter}
+    voters = tuple(voters_by_name[name] for name in sorted(replica.names))
     accept_first_entry(replica, VoterSet(rng.getrandbits(CLUSTER_BITS), voters))
     for voter in voters:
         if voter != replica.voter:
@@ -83,26 +83,26 @@
     replica.role = Role.FOLLOWER
 
 
-def receive_join_request(replica: Replica, offer: JoinRequest, now: Seconds) -> None:
+def receive_join_request(replica: Replica, request: JoinRequest, now: Seconds) -> None:
     """Reply to a newcomer; a leader admits it, others send it the first entry if that names it.
 
     A newcomer only knows the voters that its settings name. The leader may not be among them, so
     a voter that is not the leader forwards the request to the leader.
     """
-    newcomer = offer.sender
+    newcomer = request.sender
     is_formed = replica.role is not Role.UNFORMED
     reply = JoinReply(replica.voter, newcomer.voter_id, is_formed)
     send_durable(replica, reply, newcomer)
     if replica.is_leader:
         admit_learner(replica, newcomer, now)
     elif is_formed:
-        _resend_form(replica, newcomer)
-        if not offer.is_forwarded and replica.leader is not None:
+        _resend_first_entry(replica, newcomer)
+        if not request.is_forwarded and replica.leader is not None:
             forwarded = JoinRequest(newcomer, is_forwarded=True)
             replica.effects.append(Send(replica.leader.name, forwarded))
 
 
-def _resend_form(replica: Replica, newcomer: Voter) -> None:
+def _resend_first_entry(replica: Replica, newcomer: Voter) -> None:
     if replica.log.first_index > _FIRST_INDEX or not replica.log.entries:
         return
     first = replica.log.find_entry(_FIRST_INDEX).voters
