--- a/packages/bendwind-core/src/bendwind_core/consensus/replication.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/replication.py
@@ -59,8 +59,8 @@
     The time of the next heartbeat to all members does not change.
     """
     # If learners were included, a leader with 5 voters and 10 learners would send 400 messages a
-    # second, of which 330 to learners for rounds of reads (counted as task steps over 10 s under low
-    # load).
+    # second, of which 330 to learners for rounds of reads (counted as task steps over 10 s under
+    # low load).
     _open_round(replica)
     for voter in replica.voters.voting_members:
         progress = replica.progress.get(voter.voter_id)
