--- a/packages/bendwind-core/src/bendwind_core/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/__init__.py
@@ -1,1 +1,1 @@
-"""Bendwind's decisions as pure state machines without sockets, clocks or tasks."""
+"""Provide bendwind's decision logic as pure state machines without sockets, clocks or tasks."""
