--- a/packages/bendwind-core/src/bendwind_core/consensus/__init__.py
+++ b/packages/bendwind-core/src/bendwind_core/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the replicated control log: a replica's state and its step."""
+"""Provide the replicated control log: the state of a replica and its step function."""
 
 from bendwind_core.consensus.events import (
     Apply,
@@ -11,7 +11,7 @@
     IdentityRenewed,
     InstallSnapshot,
     LeaderChanged,
-    Lost,
+    LeadershipLost,
     NotLeader,
     Persist,
     Persisted,
@@ -36,10 +36,10 @@
     AppendReply,
     ChunkReply,
     ConsensusMessage,
-    Form,
+    FormCluster,
     Head,
-    Offer,
-    OfferReply,
+    JoinReply,
+    JoinRequest,
     ReadReply,
     ReadRequest,
     Removed,
@@ -56,7 +56,7 @@
     Voter,
     VoterSet,
 )
-from bendwind_core.consensus.replacement import list_awaited
+from bendwind_core.consensus.replacement import list_unconfirmed_voters
 from bendwind_core.consensus.replica import (
     Replica,
     ReplicaSettings,
@@ -81,16 +81,16 @@
     "Effect",
     "Entry",
     "ForeignCluster",
-    "Form",
+    "FormCluster",
     "HardState",
     "Head",
     "IdentityRenewed",
     "InstallSnapshot",
+    "JoinReply",
+    "JoinRequest",
     "LeaderChanged",
-    "Lost",
+    "LeadershipLost",
     "NotLeader",
-    "Offer",
-    "OfferReply",
     "Persist",
     "Persisted",
     "ProposalDone",
@@ -122,6 +122,6 @@
     "VoterSet",
     "VotersChanged",
     "create_replica",
-    "list_awaited",
+    "list_unconfirmed_voters",
     "step",
 ]
