--- a/packages/bendwind-node/src/bendwind_node/control/control_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/control_voter.py
@@ -51,14 +51,14 @@
 
     replica: Replica
     store: Store
-    machine: StateMachine
+    state_machine: StateMachine
     send: Callable[[str, ConsensusMessage], None]
     recorder: Recorder
     rng: random.Random
     inbox: trio.MemorySendChannel[ReplicaEvent]
     events: trio.MemoryReceiveChannel[ReplicaEvent]
     waiters: dict[int, Waiter] = msgspec.field(default_factory=dict)
-    last_request: int = 0
+    last_request_id: int = 0
     unwritten: list[Persist | SaveSnapshot] = msgspec.field(default_factory=list)
     has_writes: trio.Event = msgspec.field(default_factory=trio.Event)
     has_applied: trio.Event = msgspec.field(default_factory=trio.Event)
@@ -67,8 +67,8 @@
     dropped: int = 0
     stopped: str | None = None
     is_removed: bool = False
-    learn_member: Callable[[Voter], None] = lambda member: None
-    last_foreign: str | None = None
+    update_member_address: Callable[[Voter], None] = lambda member: None
+    last_foreign_sender: str | None = None
     replacing_since: Seconds | None = None
 
     @property
@@ -85,7 +85,7 @@
         """Hand in a peer's message, or drop it when the voter is behind or has stopped."""
         if isinstance(message, Offer):
             # It may come by another voter's hand, and whoever leads has to be able to answer it.
-            self.learn_member(message.sender)
+            self.update_member_address(message.sender)
         try:
             self.inbox.send_nowait(Received(sender, message))
         except (trio.WouldBlock, trio.BrokenResourceError):
@@ -93,21 +93,21 @@
 
     async def propose(self, command: bytes) -> Result[Applied, ProposalError]:
         """Commit a command and return what applying it gave."""
-        return await self._ask(lambda request_id: Propose(request_id, command))
+        return await self._submit(lambda request_id: Propose(request_id, command))
 
     async def remove_voter(self, name: str) -> Result[Applied, ProposalError]:
         """Take a voter out of the voter set for good."""
-        return await self._ask(lambda request_id: RemoveVoter(request_id, name))
+        return await self._submit(lambda request_id: RemoveVoter(request_id, name))
 
     async def barrier(self) -> Result[Confirmed, BarrierError]:
         """Wait until all that was committed anywhere before this call is applied here."""
-        return await self._ask(BarrierRequested)
+        return await self._submit(BarrierRequested)
 
-    async def _ask(self, create_event: Callable[[int], ReplicaEvent]) -> Result:
+    async def _submit(self, create_event: Callable[[int], ReplicaEvent]) -> Result:
         if self.stopped is not None:
             return Error(VoterStopped(self.stopped))
-        self.last_request += 1
-        request_id = self.last_request
+        self.last_request_id += 1
+        request_id = self.last_request_id
         waiter = Waiter()
         self.waiters[request_id] = waiter
         try:
@@ -119,7 +119,7 @@
             self.waiters.pop(request_id, None)
         return waiter.result
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Let another voter lead, before a planned stop; give up after an election timeout."""
         limit = self.replica.settings.election_s
         with trio.move_on_after(limit), contextlib.suppress(trio.BrokenResourceError):
--- a/packages/bendwind-node/src/bendwind_node/control/registry.py
+++ b/packages/bendwind-node/src/bendwind_node/control/registry.py
@@ -37,16 +37,16 @@
 
 Send = Callable[[str, Record], None]
 
-_TICK_SECONDS = 0.05
+_TICK_INTERVAL = 0.05
 # Nodes leave a voter whose confirmation is older than half a lease: two fit into that.
 _BARRIERS_PER_LEASE = 4
-_MAX_BARRIER_SECONDS = 1.0
-_INBOX = 4096
+_MAX_BARRIER_INTERVAL = 1.0
+_INBOX_SIZE = 4096
 _ROWS_PER_REPLY = 200
-_STATUS_SECONDS = 1.0
+_STATUS_TIMEOUT = 1.0
 
 
-class Control(Protocol):
+class ControlLog(Protocol):
     """State what the registry asks of the voter beside it."""
 
     @property
@@ -69,13 +69,13 @@
         """Run a quorum round; after True, all that was accepted before the call is applied."""
 
 
-class StateFollower(Protocol):
+class StateObserver(Protocol):
     """State who hears of the voter's state beside the registry."""
 
-    def take_state(self) -> None:
+    def refresh_state(self) -> None:
         """Look at what the control log has reached."""
 
-    def note_confirmed(self, started_at: Seconds) -> None:
+    def handle_quorum_confirmed(self, started_at: Seconds) -> None:
         """Hear that a quorum confirmed since a time that the state is the newest."""
 
 
@@ -83,16 +83,16 @@
     """Own a voter's registry; `inbox` takes (sender, message) of the peer links."""
 
     __slots__ = (
-        "_groups",
+        "_claim_groups",
+        "_drain_marks",
         "_has_vote",
-        "_marks",
-        "_number",
-        "_outbox",
-        "_replies",
+        "_last_request_number",
+        "_receive_channel",
         "_rng",
+        "_status_replies",
         "control",
-        "followers",
         "inbox",
+        "observers",
         "recorder",
         "registry",
         "send",
@@ -101,7 +101,7 @@
     def __init__(
         self,
         registry: VoterRegistry,
-        control: Control,
+        control: ControlLog,
         send: Send,
         recorder: Recorder,
         rng: random.Random,
@@ -110,15 +110,17 @@
         self.control = control
         self.send = send
         self.recorder = recorder
-        self.followers: list[StateFollower] = []
+        self.observers: list[StateObserver] = []
         self._rng = rng
-        self._groups: Mapping[str, ClaimGroup] | None = None
-        self._marks = DrainMarksAccepted(frozenset(), frozenset())
+        self._claim_groups: Mapping[str, ClaimGroup] | None = None
+        self._drain_marks = DrainMarksAccepted(frozenset(), frozenset())
         self._has_vote = trio.Event()
-        self._note_vote()
-        self._number = 0
-        self._replies: dict[int, trio.MemorySendChannel] = {}
-        self.inbox, self._outbox = trio.open_memory_channel[tuple[str, Record]](_INBOX)
+        self._update_has_vote()
+        self._last_request_number = 0
+        self._status_replies: dict[int, trio.MemorySendChannel] = {}
+        self.inbox, self._receive_channel = trio.open_memory_channel[tuple[str, Record]](
+            _INBOX_SIZE
+        )
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Serve nodes and other voters until cancelled."""
@@ -129,52 +131,52 @@
             task_status.started()
 
     async def _receive(self) -> None:
-        async for sender, message in self._outbox:
+        async for sender, message in self._receive_channel:
             match message:
                 case StatusRequest():
-                    self._answer_status(message)
+                    self._handle_status_request(message)
                 case StatusReply():
-                    self._take_status(message)
+                    self._handle_status_reply(message)
                 case _:
                     self.step(MessageReceived(sender, message))
 
     async def _tick(self) -> None:
         while True:
-            self._take_state()
+            self._refresh_state()
             self.step(Tick())
-            await trio.sleep(_TICK_SECONDS)
+            await trio.sleep(_TICK_INTERVAL)
 
     async def _confirm(self) -> None:
         while True:
             await self._has_vote.wait()
             started = trio.current_time()
             if await self.control.confirm():
-                self._take_state()
+                self._refresh_state()
                 self.step(QuorumConfirmed(started))
-                for follower in self.followers:
-                    follower.note_confirmed(started)
+                for observer in self.observers:
+                    observer.handle_quorum_confirmed(started)
             lease = self.registry.times.lease
-            await trio.sleep(min(_MAX_BARRIER_SECONDS, lease / _BARRIERS_PER_LEASE))
+            await trio.sleep(min(_MAX_BARRIER_INTERVAL, lease / _BARRIERS_PER_LEASE))
 
-    def _take_state(self) -> None:
+    def _refresh_state(self) -> None:
         configuration = self.control.configuration
         groups = self.control.claim_groups
         is_newer = configuration.version > self.registry.configuration.version
-        if is_newer or groups != self._groups:
-            self._groups = dict(groups)
+        if is_newer or groups != self._claim_groups:
+            self._claim_groups = dict(groups)
             self.step(ConfigurationAccepted(configuration, tuple(groups.values())))
-        marks = self.control.drain_marks
-        if marks != self._marks:
-            self._marks = marks
-            self.step(marks)
+        drain_marks = self.control.drain_marks
+        if drain_marks != self._drain_marks:
+            self._drain_marks = drain_marks
+            self.step(drain_marks)
         voters = self.control.voter_places
         if voters != self.registry.voters:
             self.step(VotersChanged(voters))
-            self._note_vote()
-        for follower in self.followers:
-            follower.take_state()
+            self._update_has_vote()
+        for observer in self.observers:
+            observer.refresh_state()
 
-    def _note_vote(self) -> None:
+    def _update_has_vote(self) -> None:
         """Have a voter confirm what is committed, and a learner stop: nodes renew with voters."""
         if is_voter(self.registry):
             self._has_vote.set()
@@ -185,9 +187,9 @@
     def step(self, event: RegistryEvent) -> None:
         """Apply an event at once and carry out its effects."""
         for effect in step_registry(self.registry, event, trio.current_time(), self._rng):
-            self._carry_out(effect)
+            self._apply_effect(effect)
 
-    def _carry_out(self, effect: RegistryEffect) -> None:
+    def _apply_effect(self, effect: RegistryEffect) -> None:
         match effect:
             case SendTo(to=to, message=message):
                 self.send(to, message)
@@ -203,18 +205,18 @@
     async def status(self) -> tuple[NodeStatus, ...]:
         """List the nodes attached to any voter that answers in time, ordered by name."""
         rows = {row.node: row for row in list_status(self.registry, trio.current_time())}
-        self._number += 1
-        number = self._number
-        sender, receiver = trio.open_memory_channel[StatusReply](_INBOX)
-        self._replies[number] = sender
+        self._last_request_number += 1
+        number = self._last_request_number
+        sender, receiver = trio.open_memory_channel[StatusReply](_INBOX_SIZE)
+        self._status_replies[number] = sender
         try:
-            with trio.move_on_after(_STATUS_SECONDS):
-                await self._gather(number, receiver, rows)
+            with trio.move_on_after(_STATUS_TIMEOUT):
+                await self._collect_status(number, receiver, rows)
         finally:
-            del self._replies[number]
+            del self._status_replies[number]
         return tuple(rows[name] for name in sorted(rows))
 
-    async def _gather(
+    async def _collect_status(
         self, number: int, replies: trio.MemoryReceiveChannel, rows: dict[str, NodeStatus]
     ) -> None:
         waiting = set(self.registry.peers)
@@ -229,7 +231,7 @@
             if not reply.more:
                 waiting.discard(reply.voter)
 
-    def _answer_status(self, request: StatusRequest) -> None:
+    def _handle_status_request(self, request: StatusRequest) -> None:
         rows = list_status(self.registry, trio.current_time())
         starts = range(0, max(len(rows), 1), _ROWS_PER_REPLY)
         for start in starts:
@@ -238,8 +240,8 @@
             reply = StatusReply(self.registry.name, request.number, part, more)
             self.send(request.voter, reply)
 
-    def _take_status(self, reply: StatusReply) -> None:
-        waiting = self._replies.get(reply.number)
+    def _handle_status_reply(self, reply: StatusReply) -> None:
+        waiting = self._status_replies.get(reply.number)
         if waiting is None:
             return
         try:
@@ -250,7 +252,7 @@
 
 def create_registry_task(
     name: str,
-    control: Control,
+    control: ControlLog,
     times: LeaseTimes,
     send: Send,
     recorder: Recorder,
--- a/packages/bendwind-node/src/bendwind_node/control/service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/service.py
@@ -38,22 +38,22 @@
 from bendwind_node.storage import StoreError, open_folder
 
 PROPOSAL_TIMEOUT: Seconds = 5.0
-SETTLING_LEASES = 3.0
-DEFAULT_BOUNDS = QuotaBounds()
+RETURN_PERIOD_LEASES = 3.0
+DEFAULT_QUOTA_BOUNDS = QuotaBounds()
 
 
 class LogClient(msgspec.Struct, eq=False):
     """Propose to the log and read its state, as the operators' API and the registry ask.
 
-    `listed` are the voters that the settings name, `stated_data_centres` the data centres;
-    `list_seen` gives those of the processes that are alive.
+    `configured_voters` and `configured_data_centres` come from the settings.
+    `list_alive_data_centres` returns the data centres of the processes that are alive.
     """
 
     voter: ControlVoter
     state: ControlState
-    listed: tuple[VoterPlace, ...]
-    stated_data_centres: frozenset[str] = frozenset()
-    list_seen: Callable[[], Iterable[str]] = lambda: ()
+    configured_voters: tuple[VoterPlace, ...]
+    configured_data_centres: frozenset[str] = frozenset()
+    list_alive_data_centres: Callable[[], Iterable[str]] = lambda: ()
 
     async def propose(self, command: bytes) -> Result[CommandResult, ControlError]:
         """Propose a command and return its result once it has been applied here."""
@@ -85,10 +85,10 @@
 
     def data_centres(self) -> frozenset[str]:
         """Return the data centres of the settings, else those of voters and of processes alive."""
-        if self.stated_data_centres:
-            return self.stated_data_centres
+        if self.configured_data_centres:
+            return self.configured_data_centres
         voters = {place.data_centre for place in self.voter_places}
-        return frozenset(voters.union(self.list_seen())) - {""}
+        return frozenset(voters.union(self.list_alive_data_centres())) - {""}
 
     def leader(self) -> str | None:
         """Return the name of the leader, or None where it is not known."""
@@ -158,18 +158,21 @@
     @property
     def voter_places(self) -> tuple[VoterPlace, ...]:
         """Return the present voters and where they are; those of the settings before any formed."""
-        listed = {place.name: place for place in self.listed}
+        configured_voters = {place.name: place for place in self.configured_voters}
         present = self.voter.replica.voters.former
-        return tuple(_place(member, listed) for member in present) or self.listed
+        return (
+            tuple(_find_place(member, configured_voters) for member in present)
+            or self.configured_voters
+        )
 
     async def confirm(self) -> bool:
         """Run a quorum round; after True, all that was accepted before the call is applied."""
         return (await self.voter.barrier()).is_ok()
 
 
-def _place(voter: consensus.Voter, listed: Mapping[str, VoterPlace]) -> VoterPlace:
+def _find_place(voter: consensus.Voter, configured_voters: Mapping[str, VoterPlace]) -> VoterPlace:
     if not voter.host:
-        return listed.get(voter.name, VoterPlace(voter.name))
+        return configured_voters.get(voter.name, VoterPlace(voter.name))
     return VoterPlace(voter.name, voter.data_centre, voter.host, voter.port)
 
 
@@ -181,9 +184,9 @@
     registry: RegistryTask
     placer: ClaimPlacer
     quotas: VoterQuotaTask
-    led_since: Seconds | None = None
-    settled_at: Seconds | None = None
-    heard: dict[str, int] = msgspec.field(default_factory=dict)
+    leader_since: Seconds | None = None
+    return_period_ends_at: Seconds | None = None
+    newest_incarnations: dict[str, int] = msgspec.field(default_factory=dict)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Run until cancelled; a voter whose disk fails rests until it takes writes again."""
@@ -197,26 +200,26 @@
     def view_placement(self) -> PlacementView | None:
         """Return what the placement of claims needs; None while this voter does not lead."""
         now = trio.current_time()
-        self._note_heard(now)
+        self._update_incarnations(now)
         if not self.voter.is_leader:
-            self.led_since = None
+            self.leader_since = None
             return None
-        if self.led_since is None:
-            self.led_since = now
+        if self.leader_since is None:
+            self.leader_since = now
         owners: dict[str, set[str]] = {}
         for upstream in self.upstreams():
             owners.setdefault(upstream.service, set()).add(upstream.owner.name)
         return PlacementView(
-            now - self.led_since,
+            now - self.leader_since,
             self.client.configuration.services,
             self.client.claim_groups,
             self.registry.alive(),
             {service: frozenset(names) for service, names in owners.items()},
-            self.heard,
-            now >= self.settled_at,
+            self.newest_incarnations,
+            now >= self.return_period_ends_at,
         )
 
-    def _note_heard(self, now: Seconds) -> None:
+    def _update_incarnations(self, now: Seconds) -> None:
         """Follow which nodes were heard of since the start or the last time without a quorum.
 
         Nodes that found no voter with a quorum come back at longer and longer intervals, so for a
@@ -225,11 +228,11 @@
         registry = self.registry.registry
         lease = registry.times.lease
         confirmed = registry.confirmed_round_started_at
-        if confirmed is None or now - confirmed > lease or self.settled_at is None:
-            self.settled_at = now + SETTLING_LEASES * lease
-            self.heard.clear()
+        if confirmed is None or now - confirmed > lease or self.return_period_ends_at is None:
+            self.return_period_ends_at = now + RETURN_PERIOD_LEASES * lease
+            self.newest_incarnations.clear()
         for instance in self.registry.alive():
-            self.heard[instance.name] = instance.incarnation
+            self.newest_incarnations[instance.name] = instance.incarnation
 
     def upstreams(self) -> tuple[Upstream, ...]:
         """Return every upstream that the registry knows."""
@@ -242,7 +245,7 @@
         )
 
 
-def _find_confirmed_for(settings: consensus.ReplicaSettings, times: LeaseTimes) -> Seconds:
+def _find_grant_period(settings: consensus.ReplicaSettings, times: LeaseTimes) -> Seconds:
     """Return for how long a voter may grant tokens after a quorum has confirmed it.
 
     Nodes leave it after that time anyway, and one that was silent for shorter is not replaced.
@@ -252,7 +255,7 @@
 
 def open_control(
     own: VoterPlace,
-    listed: tuple[VoterPlace, ...],
+    configured_voters: tuple[VoterPlace, ...],
     data_folder: Path,
     replica_settings: consensus.ReplicaSettings,
     times: LeaseTimes,
@@ -260,24 +263,24 @@
     recorder: Recorder,
     rng: random.Random,
     data_centres: tuple[str, ...] = (),
-    quota_bounds: QuotaBounds = DEFAULT_BOUNDS,
-    run: int = 0,
+    quota_bounds: QuotaBounds = DEFAULT_QUOTA_BOUNDS,
+    incarnation: int = 0,
 ) -> Result[ControlService, StoreError]:
     """Read the disk and make a control voter's tasks; call it inside a trio run.
 
-    `run` is the incarnation of the process.
+    `incarnation` is that of the process.
     Errors: StoreError.
     """
     state = ControlState()
-    names = tuple(place.name for place in listed)
+    names = tuple(place.name for place in configured_voters)
     files = open_folder(data_folder)
     opened = open_voter(own, names, files, state, send, recorder, rng, replica_settings)
     if opened.is_error():
         return opened
     voter = opened.ok
-    client = LogClient(voter, state, listed, frozenset(data_centres))
+    client = LogClient(voter, state, configured_voters, frozenset(data_centres))
     registry = create_registry_task(own.name, client, times, send, recorder, rng)
-    client.list_seen = lambda: (instance.data_centre for instance in registry.alive())
+    client.list_alive_data_centres = lambda: (instance.data_centre for instance in registry.alive())
     service: ControlService
 
     async def propose(command: ChangeClaimGroup) -> object:
@@ -290,13 +293,13 @@
     placer = ClaimPlacer(lambda: service.view_placement(), propose, rng, times.lease)
     quotas = create_voter_quota_task(
         own.name,
-        run,
+        incarnation,
         quota_bounds,
-        replica_settings.open_to or len(listed),
-        _find_confirmed_for(replica_settings, times),
+        replica_settings.open_to or len(configured_voters),
+        _find_grant_period(replica_settings, times),
         client,
         send,
     )
-    registry.followers.append(quotas)
+    registry.observers.append(quotas)
     service = ControlService(voter, client, registry, placer, quotas)
     return Ok(service)
--- a/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
@@ -95,7 +95,7 @@
         result = await (await self.leader()).propose(command)
         while result.is_error():
             leader = await self.leader()
-            held = leader.machine.commands
+            held = leader.state_machine.commands
             if command in held:
                 return Applied(leader.replica.commit, held.index(command) + 1)
             result = await leader.propose(command)
@@ -109,7 +109,7 @@
         async def scenario(deployment):
             learned = []
             voter = deployment.start("a")
-            voter.learn_member = learned.append
+            voter.update_member_address = learned.append
             replaced = Voter("d", 7, "127.0.0.1", 4444)
             voter.deliver("b", Offer(replaced, is_passed_on=True))
             self.assertEqual(learned, [replaced])
@@ -133,7 +133,7 @@
                 applied = await deployment.propose(b"%d" % number)
                 self.assertEqual(applied.value, number + 1)
             leader = await deployment.leader()
-            await leader.hand_over()
+            await leader.transfer_leadership()
             self.assertFalse(leader.is_leader)
             for name in NAMES:
                 await deployment.stop(name)
@@ -143,7 +143,7 @@
             for voter in deployment.voters.values():
                 self.assertTrue((await voter.barrier()).is_ok())
                 expected = [b"%d" % number for number in range(50)]
-                self.assertEqual(voter.machine.commands, expected)
+                self.assertEqual(voter.state_machine.commands, expected)
 
         self.run_deployment(scenario)
 
@@ -167,7 +167,7 @@
             await deployment.stop(second)
             await deployment.propose(b"y")
             self.assertTrue((await new.barrier()).is_ok())
-            self.assertEqual(len(new.machine.commands), 42)
+            self.assertEqual(len(new.state_machine.commands), 42)
             await deployment.stop(lost)
             deployment.start(second)
             await deployment.leader()
@@ -221,10 +221,10 @@
             self.assertIn(EventKind.DISK_RECOVERED, kinds)
             await deployment.stop(others[0])
             await deployment.propose(b"last")
-            while b"last" not in leader.machine.commands:
+            while b"last" not in leader.state_machine.commands:
                 await trio.sleep(0.02)
-            expected = deployment.voters[others[1]].machine.commands
-            self.assertEqual(leader.machine.commands, expected)
+            expected = deployment.voters[others[1]].state_machine.commands
+            self.assertEqual(leader.state_machine.commands, expected)
             self.assertEqual(len(set(expected)), len(expected))
 
         self.run_deployment(scenario)
@@ -247,7 +247,7 @@
             await deployment.propose(b"last")
             for voter in deployment.voters.values():
                 self.assertTrue((await voter.barrier()).is_ok())
-                commands = [c for c in voter.machine.commands if c != b"filler"]
+                commands = [c for c in voter.state_machine.commands if c != b"filler"]
                 self.assertEqual(len(set(commands)), len(commands))
 
         self.run_deployment(scenario)
--- a/packages/bendwind-node/src/bendwind_node/control/voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter.py
@@ -11,7 +11,7 @@
   anywhere before the call is applied here, or Error(Unconfirmed | VoterStopped). The age of the
   state is the time since `started_at`. Many callers share one round.
 - `await voter.remove_voter(name)`: as propose.
-- `await voter.hand_over()`: before a planned stop, let another voter lead.
+- `await voter.transfer_leadership()`: before a planned stop, let another voter lead.
 - `await voter.wait_applied(index)`: wait until more than this index is applied.
 - `voter.applied`, `voter.leader_name`, `voter.status()`.
 
@@ -42,7 +42,7 @@
 from bendwind_core.membership import VoterPlace
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_node.control.control_voter import ControlVoter
-from bendwind_node.control.voter_effects import carry_out, note_replacement, record_failure
+from bendwind_node.control.voter_effects import apply_effect, record_failure, record_replacement
 from bendwind_node.control.voter_outcomes import (
     Applied,
     BarrierError,
@@ -78,7 +78,7 @@
 ]
 
 # Each try reads the whole log.
-REOPEN_EVERY: Seconds = 1.0
+REOPEN_INTERVAL: Seconds = 1.0
 _INBOX_SIZE = 512
 _TICKS_PER_HEARTBEAT = 2
 
@@ -87,7 +87,7 @@
     own: VoterPlace,
     names: tuple[str, ...],
     files: Files,
-    machine: StateMachine,
+    state_machine: StateMachine,
     send: Callable[[str, ConsensusMessage], None],
     recorder: Recorder,
     rng: random.Random,
@@ -107,9 +107,9 @@
     identity = Voter(own.name, store.identity.voter_id, own.host, own.port, own.data_centre)
     replica = _create_replica(identity, names, settings or ReplicaSettings(), recovered, rng)
     if recovered.snapshot.index > 0:
-        machine.restore(recovered.snapshot.data)
+        state_machine.restore(recovered.snapshot.data)
     inbox, events = trio.open_memory_channel[ReplicaEvent](_INBOX_SIZE)
-    voter = ControlVoter(replica, store, machine, send, recorder, rng, inbox, events)
+    voter = ControlVoter(replica, store, state_machine, send, recorder, rng, inbox, events)
     voter.applied = recovered.snapshot.index
     return Ok(voter)
 
@@ -187,7 +187,7 @@
     """
     store = voter.store
     while True:
-        await trio.sleep(REOPEN_EVERY)
+        await trio.sleep(REOPEN_INTERVAL)
         opened = await trio.to_thread.run_sync(open_store, store.files, store.segment_bytes)
         if opened.is_ok():
             _resume(voter, opened.ok)
@@ -222,15 +222,15 @@
 
 async def _run_events(voter: ControlVoter) -> None:
     async for event in voter.events:
-        _take_event(voter, event)
+        _handle_event(voter, event)
 
 
-def _take_event(voter: ControlVoter, event: ReplicaEvent) -> None:
+def _handle_event(voter: ControlVoter, event: ReplicaEvent) -> None:
     effects = step(voter.replica, event, trio.current_time(), voter.rng)
     voter.applied_values.clear()
     for effect in effects:
-        carry_out(voter, effect)
-    note_replacement(voter)
+        apply_effect(voter, effect)
+    record_replacement(voter)
 
 
 async def _renew_identity(voter: ControlVoter) -> Result[int, DiskFailed]:
--- a/packages/bendwind-node/src/bendwind_node/control/voter_effects.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter_effects.py
@@ -42,7 +42,7 @@
             recorder.record(EventKind.DISK_FAILED, detail=f"{error.operation}: {error.reason}")
 
 
-def carry_out(voter: ControlVoter, effect: Effect) -> None:
+def apply_effect(voter: ControlVoter, effect: Effect) -> None:
     """Carry one effect out; none of it waits."""
     match effect:
         case Send(to=to, message=message):
@@ -51,29 +51,29 @@
             voter.unwritten.append(effect)
             voter.has_writes.set()
         case Apply():
-            _apply(voter, effect)
+            _apply_entries(voter, effect)
         case TakeSnapshot(index=index):
             _take_snapshot(voter, index)
         case InstallSnapshot():
-            _install(voter, effect)
+            _install_snapshot(voter, effect)
         case ProposalDone():
-            _end_proposal(voter, effect)
+            _complete_proposal(voter, effect)
         case BarrierDone():
             confirmed = Confirmed(effect.index, effect.started_at)
-            _answer(voter, effect.request_id, Ok(confirmed))
+            _complete_request(voter, effect.request_id, Ok(confirmed))
         case BarrierFailed():
-            _answer(voter, effect.request_id, Error(Unconfirmed(effect.leader)))
+            _complete_request(voter, effect.request_id, Error(Unconfirmed(effect.leader)))
         case _:
-            _record(voter, effect)
+            _record_effect(voter, effect)
 
 
-def _apply(voter: ControlVoter, effect: Apply) -> None:
+def _apply_entries(voter: ControlVoter, effect: Apply) -> None:
     # A voter that has read its disk anew hears of entries that it applied before.
     entries = [entry for entry in effect.entries if entry.index > voter.applied]
     if not entries:
         return
     for entry in entries:
-        value = voter.machine.apply(entry.index, entry.command) if entry.command else None
+        value = voter.state_machine.apply(entry.index, entry.command) if entry.command else None
         voter.applied_values[entry.index] = value
     _advance_applied(voter, entries[-1].index)
 
@@ -89,7 +89,7 @@
         # The state is ahead of a replica that has read its disk anew; asked again later.
         voter.replica.is_snapshot_due = False
         return
-    data = voter.machine.snapshot()
+    data = voter.state_machine.snapshot()
     voter.recorder.record(EventKind.SNAPSHOT_TAKEN, detail=f"index {index}, {len(data)} bytes")
     try:
         voter.inbox.send_nowait(SnapshotTaken(index, data))
@@ -98,38 +98,38 @@
         voter.replica.is_snapshot_due = False
 
 
-def _install(voter: ControlVoter, effect: InstallSnapshot) -> None:
+def _install_snapshot(voter: ControlVoter, effect: InstallSnapshot) -> None:
     if effect.index <= voter.applied:
         return
-    voter.machine.restore(effect.data)
+    voter.state_machine.restore(effect.data)
     _advance_applied(voter, effect.index)
     voter.recorder.record(EventKind.SNAPSHOT_INSTALLED, detail=f"index {effect.index}")
 
 
-def _end_proposal(voter: ControlVoter, effect: ProposalDone) -> None:
+def _complete_proposal(voter: ControlVoter, effect: ProposalDone) -> None:
     match effect.outcome:
         case Committed(index=index):
             result = Ok(Applied(index, voter.applied_values.get(index)))
         case outcome:
             result = Error(outcome)
-    _answer(voter, effect.request_id, result)
+    _complete_request(voter, effect.request_id, result)
 
 
-def _answer(voter: ControlVoter, request_id: int, result: Result) -> None:
+def _complete_request(voter: ControlVoter, request_id: int, result: Result) -> None:
     waiter = voter.waiters.get(request_id)
     if waiter is not None:
         waiter.result = result
         waiter.done.set()
 
 
-def _note_voters(voter: ControlVoter, voters: VoterSet) -> None:
+def _record_voters(voter: ControlVoter, voters: VoterSet) -> None:
     for member in voters.members:
-        voter.learn_member(member)
+        voter.update_member_address(member)
     detail = ", ".join(sorted(member.name for member in voters.voters))
     voter.recorder.record(EventKind.VOTERS_CHANGED, detail=detail)
 
 
-def note_replacement(voter: ControlVoter) -> None:
+def record_replacement(voter: ControlVoter) -> None:
     """Note since when a voter is being replaced, by whatever way this process came to know."""
     voters = voter.replica.voters
     if not voters.is_joint:
@@ -140,7 +140,7 @@
         voter.recorder.record(EventKind.VOTER_REPLACEMENT_BEGUN, detail=f"{leaving} by {joining}")
 
 
-def _record(voter: ControlVoter, effect: Effect) -> None:
+def _record_effect(voter: ControlVoter, effect: Effect) -> None:
     match effect:
         case LeaderChanged(leader=None):
             voter.recorder.record(EventKind.LEADER_LOST, detail=f"term {effect.term}")
@@ -148,12 +148,12 @@
             detail = f"{effect.leader.name}, term {effect.term}"
             voter.recorder.record(EventKind.LEADER_ELECTED, detail=detail)
         case VotersChanged():
-            _note_voters(voter, effect.voters)
+            _record_voters(voter, effect.voters)
         case SelfRemoved():
             voter.recorder.record(EventKind.VOTER_REPLACED, detail=voter.replica.voter.name)
             if voter.replica.settings.open_to:
                 voter.is_removed = True
                 voter.has_writes.set()
-        case ForeignCluster() if effect.sender != voter.last_foreign:
-            voter.last_foreign = effect.sender
+        case ForeignCluster() if effect.sender != voter.last_foreign_sender:
+            voter.last_foreign_sender = effect.sender
             voter.recorder.record(EventKind.FOREIGN_CLUSTER, detail=effect.sender)
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -116,26 +116,26 @@
     )
 
 
-def _find_times(settings: Settings) -> LeaseTimes:
+def _make_lease_times(settings: Settings) -> LeaseTimes:
     lease = settings.lease
     return LeaseTimes(
         lease.heartbeat_ms / MILLISECONDS_PER_SECOND, lease.lease_ms / MILLISECONDS_PER_SECOND
     )
 
 
-def _find_claim_limits(settings: Settings) -> ClaimLimits:
+def _make_claim_limits(settings: Settings) -> ClaimLimits:
     claims = settings.claims
     return ClaimLimits(claims.retention_s, claims.keys, claims.key_bytes, claims.answer_bytes)
 
 
-def _find_suspicion_limits(settings: Settings) -> SuspicionLimits:
+def _make_suspicion_limits(settings: Settings) -> SuspicionLimits:
     suspicion = settings.suspicion
     return SuspicionLimits(
         suspicion.apart_from, suspicion.quarantine_from, suspicion.quarantine_s, suspicion.keep_s
     )
 
 
-def _find_quota_bounds(settings: Settings) -> QuotaBounds:
+def _make_quota_bounds(settings: Settings) -> QuotaBounds:
     quotas = settings.quotas
     return QuotaBounds(quotas.window_s, quotas.overage, quotas.slack)
 
@@ -160,14 +160,14 @@
     dispatcher = daemon.dispatcher
     voters = list_voters(settings)
     names = tuple(voter.name for voter in voters)
-    times = _find_times(settings)
+    times = _make_lease_times(settings)
     membership = create_membership_task(
         own, voters, times, dispatcher.send, recorder, rng, settings.watch.services
     )
     dispatcher.membership = membership
     dispatcher.hub = _build_hub(daemon, own, membership)
     dispatcher.claims = create_claim_task(
-        own, names, dispatcher.send, membership.watch, recorder, _find_claim_limits(settings)
+        own, names, dispatcher.send, membership.watch, recorder, _make_claim_limits(settings)
     )
     measuring = settings.measuring
     budget = ProbeBudget(measuring.messages_per_s, measuring.bytes_per_s)
@@ -183,7 +183,7 @@
         lambda service: _find_warm_up(membership, service),
         WarmUpLimits(settings.limits.warm_up_overage, settings.limits.warm_up_slack),
         trio.current_time() - (read_steady() - STARTED_AT),
-        SuspectTable(own.name, _find_suspicion_limits(settings)),
+        SuspectTable(own.name, _make_suspicion_limits(settings)),
     )
     assemblies = AssemblyTable(settings.limits.body_bytes, daemon.body_budget)
     dispatcher.owner = OwnerNode(
@@ -197,7 +197,7 @@
         membership.send_suspects,
     )
     dispatcher.quotas = create_node_quota_task(
-        _find_quota_bounds(settings),
+        _make_quota_bounds(settings),
         own.incarnation,
         membership.list_voters,
         dispatcher.send,
@@ -221,10 +221,10 @@
         quotas=dispatcher.quotas,
     )
     dispatcher.probes = ProbeTask(dispatcher.entry, dispatcher.owner, budget)
-    membership.listeners.append(lambda effect: _hear_membership(dispatcher, effect))
+    membership.listeners.append(lambda effect: _handle_view_effect(dispatcher, effect))
 
 
-def learn_places(hub: LinkHub, places: Iterable[VoterPlace | Voter]) -> None:
+def update_addresses(hub: LinkHub, places: Iterable[VoterPlace | Voter]) -> None:
     """Have links find voters and learners, as far as it is known where they are."""
     for place in places:
         if place.host:
@@ -245,12 +245,12 @@
         compresses_far=daemon.settings.peers.compresses_far,
         link_mbps=daemon.settings.peers.link_mbps,
     )
-    hub.find_registered = lambda name: _find_registered(daemon, name)
-    learn_places(hub, list_voters(daemon.settings))
+    hub.find_registered = lambda name: _find_registered_incarnation(daemon, name)
+    update_addresses(hub, list_voters(daemon.settings))
     return hub
 
 
-def _find_registered(daemon: Daemon, name: str) -> int:
+def _find_registered_incarnation(daemon: Daemon, name: str) -> int:
     control = daemon.dispatcher.control
     member = None if control is None else control.registry.registry.members.get(name)
     return 0 if member is None else member.state.node.incarnation
@@ -267,18 +267,18 @@
         list_voters(settings),
         folder,
         _make_replica_settings(settings.control),
-        _find_times(settings),
+        _make_lease_times(settings),
         dispatcher.send,
         daemon.recorder,
         rng,
         settings.control.data_centres,
-        _find_quota_bounds(settings),
+        _make_quota_bounds(settings),
         own.incarnation,
     )
     if opened.is_error():
         return Error(f"{folder}: {opened.error}")
     dispatcher.control = opened.ok
-    _follow_members(daemon, opened.ok.voter)
+    _track_members(daemon, opened.ok.voter)
     return Ok(daemon)
 
 
@@ -290,12 +290,12 @@
     )
 
 
-def _follow_members(daemon: Daemon, voter: ControlVoter) -> None:
+def _track_members(daemon: Daemon, voter: ControlVoter) -> None:
     """Have links find every voter and learner that the log names, also those no settings list."""
 
     hub = daemon.dispatcher.hub
-    voter.learn_member = lambda member: learn_places(hub, (member,))
-    learn_places(hub, voter.replica.voters.members)
+    voter.update_member_address = lambda member: update_addresses(hub, (member,))
+    update_addresses(hub, voter.replica.voters.members)
 
 
 def _find_health_path(membership: MembershipTask, name: str) -> str:
@@ -314,24 +314,24 @@
     membership.announce(upstream)
 
 
-def _learn_instance(hub: LinkHub, instance: Instance) -> None:
+def _update_instance_address(hub: LinkHub, instance: Instance) -> None:
     hub.learn_address(instance.name, instance.host, instance.port, instance.data_centre)
 
 
-def _hear_membership(dispatcher: Dispatcher, effect: ViewEffect) -> None:
+def _handle_view_effect(dispatcher: Dispatcher, effect: ViewEffect) -> None:
     match effect:
         case InstancesReceived(instances=instances):
             for instance in instances:
-                _learn_instance(dispatcher.hub, instance)
+                _update_instance_address(dispatcher.hub, instance)
         case UpstreamsChanged(service=service):
             for upstream in dispatcher.membership.upstreams(service):
-                _learn_instance(dispatcher.hub, upstream.owner)
+                _update_instance_address(dispatcher.hub, upstream.owner)
                 dispatcher.owner.register.hear_pushed(upstream)
             dispatcher.entry.refresh_upstreams(service)
         case SuspectsReceived(suspects=suspects):
             dispatcher.entry.merge_suspect_reports(suspects)
         case VotersReceived(voters=voters):
-            learn_places(dispatcher.hub, voters)
+            update_addresses(dispatcher.hub, voters)
         case ConfigurationApplied():
             dispatcher.owner.register.hear_configuration(dispatcher.membership.evacuated)
             dispatcher.entry.refresh_routing()
--- a/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
@@ -129,53 +129,53 @@
         if kind in _TO_ENTRY:
             return self.entry.receive
         if kind in (BodyPart, BodyCredit):
-            return self._receive_body
+            return self._dispatch_body
         if kind is LoadReport:
-            return self._to_probes
+            return self._dispatch_to_probes
         if kind in _TO_NODE:
-            return self._to_membership
+            return self._dispatch_to_membership
         if kind in _TO_NODE_AND_REGISTRY:
-            return self._to_both
+            return self._dispatch_to_membership_and_control
         if kind is QuotaReply:
-            return self._to_quotas
+            return self._dispatch_to_quotas
         if kind in _TO_VOTER_QUOTAS:
-            return None if self.control is None else self._to_voter_quotas
+            return None if self.control is None else self._dispatch_to_voter_quotas
         if kind in _TO_PLACER or kind in _TO_REGISTRY or kind in _TO_VOTER:
-            return None if self.control is None else self._to_control
-        return self._to_claims if kind in _TO_CLAIMS else None
+            return None if self.control is None else self._dispatch_to_control
+        return self._dispatch_to_claims if kind in _TO_CLAIMS else None
 
-    def _receive_body(self, link: Link, message: PeerMessage) -> None:
+    def _dispatch_body(self, link: Link, message: PeerMessage) -> None:
         # The dialer of a link is the entry node: what comes back on it belongs to an answer.
         if link.is_dialed:
             self.entry.receive(link, message)
         else:
             self.owner.receive(link, message)
 
-    def _to_probes(self, link: Link, message: PeerMessage) -> None:
+    def _dispatch_to_probes(self, link: Link, message: PeerMessage) -> None:
         self.probes.receive(message)
 
-    def _to_membership(self, link: Link, message: PeerMessage) -> None:
-        _put(self.membership.inbox, (link.peer.name, message))
+    def _dispatch_to_membership(self, link: Link, message: PeerMessage) -> None:
+        _enqueue(self.membership.inbox, (link.peer.name, message))
 
-    def _to_both(self, link: Link, message: PeerMessage) -> None:
-        self._to_membership(link, message)
+    def _dispatch_to_membership_and_control(self, link: Link, message: PeerMessage) -> None:
+        self._dispatch_to_membership(link, message)
         if self.control is not None:
-            self._to_control(link, message)
+            self._dispatch_to_control(link, message)
 
-    def _to_claims(self, link: Link, message: PeerMessage) -> None:
-        _put(self.claims.inbox, PeerClaimMessage(link.peer.name, message))
+    def _dispatch_to_claims(self, link: Link, message: PeerMessage) -> None:
+        _enqueue(self.claims.inbox, PeerClaimMessage(link.peer.name, message))
 
-    def _to_quotas(self, link: Link, message: PeerMessage) -> None:
+    def _dispatch_to_quotas(self, link: Link, message: PeerMessage) -> None:
         self.quotas.receive(link.peer.name, message)
 
-    def _to_voter_quotas(self, link: Link, message: PeerMessage) -> None:
+    def _dispatch_to_voter_quotas(self, link: Link, message: PeerMessage) -> None:
         self.control.quotas.receive(link.peer.name, message)
 
-    def _to_control(self, link: Link, message: PeerMessage) -> None:
+    def _dispatch_to_control(self, link: Link, message: PeerMessage) -> None:
         if isinstance(message, _TO_PLACER):
             self.control.placer.receive(message)
         elif isinstance(message, _TO_REGISTRY):
-            _put(self.control.registry.inbox, (link.peer.name, message))
+            _enqueue(self.control.registry.inbox, (link.peer.name, message))
         else:
             self.control.voter.deliver(link.peer.name, message)
 
@@ -194,7 +194,7 @@
         self.is_dialed = False
 
 
-def _put(inbox: trio.MemorySendChannel, item: object) -> None:
+def _enqueue(inbox: trio.MemorySendChannel, item: object) -> None:
     # Every sender of these repeats what is not answered, so a full inbox may drop.
     with contextlib.suppress(trio.WouldBlock, trio.BrokenResourceError):
         inbox.send_nowait(item)
--- a/packages/bendwind-node/src/bendwind_node/daemon/metrics_page.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/metrics_page.py
@@ -5,7 +5,7 @@
 from bendwind_core.timeline import EventKind
 from bendwind_node.calls import headers as names
 from bendwind_node.calls.caller_exchange import CallerExchange
-from bendwind_node.daemon.serve import create_metrics, serve_page
+from bendwind_node.daemon.serve import create_metrics, serve_auxiliary
 from bendwind_node.daemon.state import Daemon
 from bendwind_node.metrics import Metrics
 from bendwind_node.settings.tables import MetricsTable
@@ -48,4 +48,4 @@
         return
     daemon.listeners.extra["metrics"] = listeners
     page = MetricsPage(create_metrics(daemon), table.path)
-    serve_page(daemon, "metrics", listeners, page.handle, nursery)
+    serve_auxiliary(daemon, "metrics", listeners, page.handle, nursery)
--- a/packages/bendwind-node/src/bendwind_node/daemon/reload.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/reload.py
@@ -8,14 +8,14 @@
 
 from bendwind_core.core import Seconds
 from bendwind_core.timeline import EventKind
-from bendwind_node.daemon.build import learn_places, list_voters
+from bendwind_node.daemon.build import list_voters, update_addresses
 from bendwind_node.daemon.extension import LoadSettings
 from bendwind_node.daemon.state import Daemon
 from bendwind_node.early_signals import RELOAD_SIGNALS, is_reload_asked
 from bendwind_node.settings import Settings
 
 # A look at the file costs one system call; voters that changed are needed within seconds.
-LOOK_EVERY: Seconds = 1.0
+FILE_CHECK_INTERVAL: Seconds = 1.0
 
 
 async def watch_settings(daemon: Daemon, file: Path, load: LoadSettings) -> None:
@@ -35,16 +35,16 @@
 
 
 async def _watch_file(daemon: Daemon, file: Path, load: LoadSettings) -> None:
-    known = _read_mark(file)
+    known = _read_fingerprint(file)
     while True:
-        await trio.sleep(LOOK_EVERY)
-        mark = _read_mark(file)
-        if mark != known:
-            known = mark
+        await trio.sleep(FILE_CHECK_INTERVAL)
+        fingerprint = _read_fingerprint(file)
+        if fingerprint != known:
+            known = fingerprint
             reload_settings(daemon, file, load)
 
 
-def _read_mark(file: Path) -> tuple[int, int, int] | None:
+def _read_fingerprint(file: Path) -> tuple[int, int, int] | None:
     try:
         status = os.stat(file)
     except OSError:
@@ -58,21 +58,21 @@
     if loaded.is_error():
         daemon.recorder.record(EventKind.SETTINGS_REFUSED, detail=str(loaded.error))
         return
-    _take_over(daemon, loaded.ok)
+    _apply_settings(daemon, loaded.ok)
 
 
-def _take_over(daemon: Daemon, changed: Settings) -> None:
+def _apply_settings(daemon: Daemon, changed: Settings) -> None:
     if changed.voters != daemon.settings.voters:
-        _take_voters(daemon, changed)
+        _apply_voters(daemon, changed)
     daemon.settings = msgspec.structs.replace(daemon.settings, voters=changed.voters)
     names = ",".join(voter.name for voter in changed.voters)
     daemon.recorder.record(EventKind.SETTINGS_RELOADED, detail=f"voters {names}")
 
 
-def _take_voters(daemon: Daemon, changed: Settings) -> None:
+def _apply_voters(daemon: Daemon, changed: Settings) -> None:
     dispatcher = daemon.dispatcher
     places = list_voters(changed)
-    learn_places(dispatcher.hub, places)
+    update_addresses(dispatcher.hub, places)
     dispatcher.membership.set_seeds(places)
     if dispatcher.control is not None:
         dispatcher.control.voter.replica.names = tuple(place.name for place in places)
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -22,11 +22,11 @@
 from bendwind_node.security import watch_keys
 from bendwind_node.settings import Settings
 
-LEAD_TIMEOUT: Seconds = 2.0
-IDLE_POLL: Seconds = 0.02
+LEADERSHIP_TRANSFER_TIMEOUT: Seconds = 2.0
+IDLE_POLL_INTERVAL: Seconds = 0.02
 # Calls to the other addresses take milliseconds; one that waits for the log may take longer.
-PAGES_TIMEOUT: Seconds = 0.25
-LEASE_POLL: Seconds = 0.5
+AUXILIARY_TIMEOUT: Seconds = 0.25
+LEASE_POLL_INTERVAL: Seconds = 0.5
 
 
 async def run_daemon(settings: Settings, extension: Extension = NO_EXTENSION) -> Result[None, str]:
@@ -59,8 +59,8 @@
         await daemon.stopping.wait()
         await _stop(daemon)
         nursery.cancel_scope.cancel()
-    endings = "; ".join(account.describe() for account in daemon.accounts)
-    daemon.recorder.record(EventKind.PROCESS_STOPPED, detail=endings)
+    account_totals = "; ".join(account.describe() for account in daemon.accounts)
+    daemon.recorder.record(EventKind.PROCESS_STOPPED, detail=account_totals)
     return Ok(None)
 
 
@@ -78,7 +78,7 @@
         beside = daemon.settings.beside
         place = UpstreamPlace(beside.service, beside.host, beside.port)
         nursery.start_soon(dispatcher.owner.register.introduce, place)
-    nursery.start_soon(_prove_lease, dispatcher)
+    nursery.start_soon(_report_lease_proof, dispatcher)
     nursery.start_soon(_watch_signals, daemon)
     if daemon.keys is not None:
         nursery.start_soon(watch_keys, daemon.keys)
@@ -100,7 +100,7 @@
     return f"{ports} data_centre={daemon.settings.instance.data_centre}"
 
 
-async def _prove_lease(dispatcher: Dispatcher) -> None:
+async def _report_lease_proof(dispatcher: Dispatcher) -> None:
     """Tell the claim holders until when the claim groups they know are proven the newest."""
     membership = dispatcher.membership
     await dispatcher.claims.has_holders.wait()
@@ -109,7 +109,7 @@
         if confirmed_at is not None:
             until = confirmed_at + membership.view.times.provable_lease
             await dispatcher.claims.inbox.send(LeaseProven(until))
-        await trio.sleep(LEASE_POLL)
+        await trio.sleep(LEASE_POLL_INTERVAL)
 
 
 async def _watch_signals(daemon: Daemon) -> None:
@@ -134,42 +134,42 @@
     # that it is spared is missing to its service.
     await trio.sleep(limits.notice_ms / MILLISECONDS_PER_SECOND)
     dispatcher.owner.register.drain()
-    daemon.callers_done.set()
+    daemon.callers_drain.set()
     with trio.move_on_after(limits.claims_ms / MILLISECONDS_PER_SECOND):
         await dispatcher.claims.leave_groups()
     with trio.move_on_after(limits.drain_ms / MILLISECONDS_PER_SECOND):
-        await _finish_calls(daemon)
+        await _wait_for_calls(daemon)
     # Cancelled requests are answered as not run or unknown, see H11Exchange.give_up.
     daemon.callers_scope.cancel()
-    await _close_pages(daemon)
+    await _close_auxiliary_servers(daemon)
     if dispatcher.control is not None:
         # Otherwise the other voters wait out an election timeout without a leader.
-        with trio.move_on_after(LEAD_TIMEOUT):
-            await dispatcher.control.voter.hand_over()
+        with trio.move_on_after(LEADERSHIP_TRANSFER_TIMEOUT):
+            await dispatcher.control.voter.transfer_leadership()
     for name in tuple(dispatcher.owner.register.owned):
         dispatcher.owner.register.left(name)
-    await trio.sleep(IDLE_POLL)
+    await trio.sleep(IDLE_POLL_INTERVAL)
     # Answers for other nodes' callers may be on their way.
     await dispatcher.hub.flush()
 
 
-async def _close_pages(daemon: Daemon) -> None:
+async def _close_auxiliary_servers(daemon: Daemon) -> None:
     """Let the other addresses finish what they have in hand, then cancel the rest."""
-    daemon.pages_done.set()
-    with trio.move_on_after(PAGES_TIMEOUT):
-        for closed in daemon.pages_closed:
+    daemon.auxiliary_drain.set()
+    with trio.move_on_after(AUXILIARY_TIMEOUT):
+        for closed in daemon.auxiliary_closed:
             await closed.wait()
     # What would begin from here on could not end; its caller is told that it has not run.
-    for scope in daemon.pages_scopes:
+    for scope in daemon.auxiliary_scopes:
         scope.cancel()
 
 
-async def _finish_calls(daemon: Daemon) -> None:
+async def _wait_for_calls(daemon: Daemon) -> None:
     # Once no caller is connected, no request can come after the last look at the work.
     if daemon.settings.callers is not None:
         await daemon.callers_closed.wait()
     while _has_work(daemon):
-        await trio.sleep(IDLE_POLL)
+        await trio.sleep(IDLE_POLL_INTERVAL)
 
 
 def _has_work(daemon: Daemon) -> bool:
--- a/packages/bendwind-node/src/bendwind_node/daemon/serve.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/serve.py
@@ -44,7 +44,7 @@
 
 KEEP_ALIVE: Seconds = 30.0
 MAX_HEADER_BYTES = 16 * 1024
-PAGE_CONNECTIONS = 64
+MAX_AUXILIARY_CONNECTIONS = 64
 
 
 def serve_all(daemon: Daemon, nursery: trio.Nursery) -> None:
@@ -52,7 +52,7 @@
     settings = daemon.settings
     if settings.readiness is not None:
         page = ReadinessPage(daemon, settings.readiness.path)
-        serve_page(daemon, "readiness", daemon.listeners.readiness, page.handle, nursery)
+        serve_auxiliary(daemon, "readiness", daemon.listeners.readiness, page.handle, nursery)
     if settings.upstreams is not None:
         serve_upstreams(daemon, nursery)
     if settings.operators is not None:
@@ -61,14 +61,14 @@
         serve_callers(daemon, nursery)
 
 
-def open_account(daemon: Daemon, address: str) -> RequestAccount:
+def create_account(daemon: Daemon, address: str) -> RequestAccount:
     """Create and register the account of one address; operators and upstreams have none."""
     account = RequestAccount(address, daemon.recorder, daemon.dispatcher.entry.dialect)
     daemon.accounts.append(account)
     return account
 
 
-def serve_page(
+def serve_auxiliary(
     daemon: Daemon,
     address: str,
     listeners: list[trio.SocketListener],
@@ -80,22 +80,24 @@
         handle,
         KEEP_ALIVE,
         MAX_HEADER_BYTES,
-        PAGE_CONNECTIONS,
+        MAX_AUXILIARY_CONNECTIONS,
         recorder=daemon.recorder,
-        account=open_account(daemon, address),
+        account=create_account(daemon, address),
     )
-    run = partial(server.run, listeners, daemon.pages_done)
-    _start_page(daemon, run, nursery)
+    run = partial(server.run, listeners, daemon.auxiliary_drain)
+    _start_auxiliary(daemon, run, nursery)
 
 
-def _start_page(daemon: Daemon, run: Callable[[], Awaitable[None]], nursery: trio.Nursery) -> None:
+def _start_auxiliary(
+    daemon: Daemon, run: Callable[[], Awaitable[None]], nursery: trio.Nursery
+) -> None:
     closed, scope = trio.Event(), trio.CancelScope()
-    daemon.pages_closed.append(closed)
-    daemon.pages_scopes.append(scope)
-    nursery.start_soon(_run_to_end, run, closed, scope)
+    daemon.auxiliary_closed.append(closed)
+    daemon.auxiliary_scopes.append(scope)
+    nursery.start_soon(_run_until_closed, run, closed, scope)
 
 
-async def _run_to_end(
+async def _run_until_closed(
     run: Callable[[], Awaitable[None]], closed: trio.Event, scope: trio.CancelScope
 ) -> None:
     with scope:
@@ -117,26 +119,26 @@
                 limits.header_bytes,
                 limits.connections,
                 recorder=daemon.recorder,
-                account=open_account(daemon, "callers"),
+                account=create_account(daemon, "callers"),
                 stopping=daemon.stopping,
             )
             daemon.dispatcher.membership.listeners.append(
-                lambda effect: _follow_limits(server, entry, effect)
+                lambda effect: _apply_caller_limits(server, entry, effect)
             )
-            run = partial(server.run, daemon.listeners.callers, daemon.callers_done)
+            run = partial(server.run, daemon.listeners.callers, daemon.callers_drain)
         case "hypercorn":
             served = AsgiServer(
-                _detach(daemon.listeners.callers),
+                _duplicate_socket(daemon.listeners.callers),
                 limits.keep_alive_s,
                 limits.header_bytes,
-                daemon.callers_done,
+                daemon.callers_drain,
             )
-            account = open_account(daemon, "callers")
+            account = create_account(daemon, "callers")
             run = partial(serve_callers_asgi, task.handle, served, account)
-    nursery.start_soon(_run_to_end, run, daemon.callers_closed, daemon.callers_scope)
+    nursery.start_soon(_run_until_closed, run, daemon.callers_closed, daemon.callers_scope)
 
 
-def _follow_limits(server: H11Server, entry: EntryNode, effect: ViewEffect) -> None:
+def _apply_caller_limits(server: H11Server, entry: EntryNode, effect: ViewEffect) -> None:
     """Take over what the routes in force say of callers, where they say it."""
     if not isinstance(effect, ConfigurationApplied):
         return
@@ -153,9 +155,12 @@
     """Start to hear the announcements of the upstream beside this process."""
     app = AnnounceApp(daemon.dispatcher.owner.register, daemon.settings.lease.lease_ms)
     served = AsgiServer(
-        _detach(daemon.listeners.upstreams), KEEP_ALIVE, MAX_HEADER_BYTES, daemon.pages_done
+        _duplicate_socket(daemon.listeners.upstreams),
+        KEEP_ALIVE,
+        MAX_HEADER_BYTES,
+        daemon.auxiliary_drain,
     )
-    _start_page(daemon, partial(serve_asgi, app, served), nursery)
+    _start_auxiliary(daemon, partial(serve_asgi, app, served), nursery)
 
 
 def serve_operators(daemon: Daemon, nursery: trio.Nursery) -> None:
@@ -183,13 +188,13 @@
         None if dispatcher.control is None else dispatcher.control.quotas.quotas,
     )
     served = AsgiServer(
-        _detach(daemon.listeners.operators),
+        _duplicate_socket(daemon.listeners.operators),
         KEEP_ALIVE,
         MAX_HEADER_BYTES,
-        daemon.pages_done,
+        daemon.auxiliary_drain,
         tls=None if daemon.keys is None else daemon.keys.operators,
     )
-    _start_page(daemon, partial(serve_asgi, app, served), nursery)
+    _start_auxiliary(daemon, partial(serve_asgi, app, served), nursery)
 
 
 def _find_suspects(daemon: Daemon) -> SuspectTable:
@@ -230,6 +235,6 @@
     return render
 
 
-def _detach(listeners: list[trio.SocketListener]) -> int:
+def _duplicate_socket(listeners: list[trio.SocketListener]) -> int:
     # hypercorn takes a file number and owns it from then on.
     return os.dup(listeners[0].socket.fileno())
--- a/packages/bendwind-node/src/bendwind_node/daemon/state.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/state.py
@@ -15,9 +15,10 @@
 class Daemon(msgspec.Struct, eq=False):
     """Hold the tasks of one process; `keys` is None where its links are not encrypted.
 
-    `callers_done` tells the callers' server to drain, `callers_closed` says that it has drained and
-    `callers_scope` cancels what it still serves; `pages_done`, `pages_closed` and `pages_scopes` do
-    so for all other addresses. `accounts` has one entry for each address that counts.
+    `callers_drain` makes the callers' server drain, `callers_closed` is set when it has drained,
+    and `callers_scope` cancels its remaining requests. `auxiliary_drain`, `auxiliary_closed` and
+    `auxiliary_scopes` do the same for the auxiliary servers, which serve all other addresses.
+    `accounts` has one entry for each address that counts its requests.
     """
 
     settings: Settings
@@ -27,10 +28,10 @@
     keys: Keys | None
     body_budget: ByteBudget
     stopping: trio.Event = msgspec.field(default_factory=trio.Event)
-    callers_done: trio.Event = msgspec.field(default_factory=trio.Event)
-    pages_done: trio.Event = msgspec.field(default_factory=trio.Event)
+    callers_drain: trio.Event = msgspec.field(default_factory=trio.Event)
+    auxiliary_drain: trio.Event = msgspec.field(default_factory=trio.Event)
     callers_scope: trio.CancelScope = msgspec.field(default_factory=trio.CancelScope)
     callers_closed: trio.Event = msgspec.field(default_factory=trio.Event)
-    pages_closed: list[trio.Event] = msgspec.field(default_factory=list)
-    pages_scopes: list[trio.CancelScope] = msgspec.field(default_factory=list)
+    auxiliary_closed: list[trio.Event] = msgspec.field(default_factory=list)
+    auxiliary_scopes: list[trio.CancelScope] = msgspec.field(default_factory=list)
     accounts: list[RequestAccount] = msgspec.field(default_factory=list)
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
@@ -28,23 +28,23 @@
 
     def test_all_that_a_voter_tells_a_node_reaches_its_membership(self):
         for kind in TO_NODE:
-            self.assertEqual(self.find(kind), self.dispatcher._to_membership, kind)
+            self.assertEqual(self.find(kind), self.dispatcher._dispatch_to_membership, kind)
 
     def test_only_claim_messages_reach_the_claims(self):
         taken = {
             kind
             for kind in typing.get_args(PeerMessage)
-            if self.find(kind) == self.dispatcher._to_claims
+            if self.find(kind) == self.dispatcher._dispatch_to_claims
         }
         self.assertLessEqual(taken, set(typing.get_args(ClaimMessage)))
 
     def test_questions_about_quotas_reach_the_voter_and_answers_the_node(self):
-        self.assertEqual(self.find(QuotaReply), self.dispatcher._to_quotas)
+        self.assertEqual(self.find(QuotaReply), self.dispatcher._dispatch_to_quotas)
         for kind in (QuotaRequest, QuotaReturn, QuotaLoan, QuotaLoanRequest):
             self.assertIsNone(self.find(kind), kind)
         self.dispatcher.control = types.SimpleNamespace()
         for kind in (QuotaRequest, QuotaReturn, QuotaLoan, QuotaLoanRequest):
-            self.assertEqual(self.find(kind), self.dispatcher._to_voter_quotas, kind)
+            self.assertEqual(self.find(kind), self.dispatcher._dispatch_to_voter_quotas, kind)
 
     def test_greetings_have_no_task(self):
         self.assertIsNone(self.find(Hello))
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
@@ -59,12 +59,12 @@
         settings=types.SimpleNamespace(
             stop=StopTable(notice_ms=notice_ms, drain_ms=1000), callers=callers
         ),
-        callers_done=trio.Event(),
-        pages_done=trio.Event(),
-        pages_closed=[],
+        callers_drain=trio.Event(),
+        auxiliary_drain=trio.Event(),
+        auxiliary_closed=[],
         callers_closed=trio.Event(),
         callers_scope=trio.CancelScope(),
-        pages_scopes=[],
+        auxiliary_scopes=[],
         accounts=accounts,
     )
 
@@ -100,7 +100,7 @@
             server = H11Server(handle, 5.0, 2048, 8, account=account)
 
             async def serve():
-                await server.run(listeners, daemon.callers_done)
+                await server.run(listeners, daemon.callers_drain)
                 daemon.callers_closed.set()
 
             async def use_kept_connection(stream):
@@ -142,10 +142,10 @@
         # began, was given up at once, and its caller could not know what had become of it.
         register = FakeRegister()
         daemon = make_daemon(register)
-        daemon.pages_closed.append(trio.Event())
-        daemon.pages_scopes.append(trio.CancelScope())
+        daemon.auxiliary_closed.append(trio.Event())
+        daemon.auxiliary_scopes.append(trio.CancelScope())
         ended = []
-        register.note_left = lambda: ended.append(daemon.pages_scopes[0].cancel_called)
+        register.note_left = lambda: ended.append(daemon.auxiliary_scopes[0].cancel_called)
         trio.run(_stop, daemon, clock=trio.testing.MockClock(autojump_threshold=0))
         self.assertEqual(ended, [True])
 
@@ -158,7 +158,7 @@
             started_at = trio.current_time()
             await _stop(daemon)
             self.assertEqual(register.drained_at - started_at, 2.0)
-            self.assertTrue(daemon.callers_done.is_set() and register.has_left)
+            self.assertTrue(daemon.callers_drain.is_set() and register.has_left)
             self.assertEqual(daemon.recorder.counts[EventKind.PROCESS_STOPPING], 1)
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/packages/bendwind-node/src/bendwind_node/quotas/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/tests/fakes.py
@@ -39,7 +39,7 @@
         self.confirm()
         for voter in self.voters.values():
             voter.control.configuration = self.configuration
-            voter.take_state()
+            voter.refresh_state()
 
     def start_voter(self, name, voter_id, configuration):
         control = FakeControl(voter_id, self.names, configuration)
@@ -53,14 +53,14 @@
             lambda to, message: self.send(name, to, message),
         )
         self.voters[name] = task
-        task.take_state()
+        task.refresh_state()
         self.nursery.start_soon(task.run)
         return task
 
     def confirm(self):
         for name, voter in self.voters.items():
             if name not in self.unreachable:
-                voter.note_confirmed(trio.current_time())
+                voter.handle_quorum_confirmed(trio.current_time())
 
     async def keep_confirming(self):
         while True:
--- a/packages/bendwind-node/src/bendwind_node/quotas/tests/test_tasks.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/tests/test_tasks.py
@@ -172,7 +172,7 @@
             cluster.confirm()
             await trio.sleep(1.0)
             voter.control.configuration = Configuration(3, customers=(customer,))
-            voter.take_state()
+            voter.refresh_state()
             acquired, _ = await count_acquired(node, 200)
             self.assertGreaterEqual(acquired, 9)
             self.assertLessEqual(acquired, 11)
--- a/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
+++ b/packages/bendwind-node/src/bendwind_node/quotas/voter_task.py
@@ -79,7 +79,7 @@
         with trio.move_on_after(_IDLE_TICK if self.quotas.accounts else math.inf):
             await self._has_work.wait()
 
-    def take_state(self) -> None:
+    def refresh_state(self) -> None:
         """Apply the current voters and the customers' limits."""
         now = trio.current_time()
         voters = (self.control.voter_id, self.control.voter_names)
@@ -97,7 +97,7 @@
             update_configuration(self.quotas, configuration, now)
             self._has_work.set()
 
-    def note_confirmed(self, started_at: Seconds) -> None:
+    def handle_quorum_confirmed(self, started_at: Seconds) -> None:
         """Record that this voter has applied everything that was accepted before a time."""
         record_confirmation(self.quotas, started_at)
 
