--- a/packages/bendwind-node/src/bendwind_node/control/control_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/control_voter.py
@@ -1,4 +1,4 @@
-"""Hold a control voter and answer those who use it."""
+"""Define a control voter and its operations for other tasks."""
 
 import contextlib
 import random
@@ -40,14 +40,17 @@
 
 
 class Waiter(msgspec.Struct):
-    """Hold one caller that waits for an outcome."""
+    """Hold one task that waits for the outcome of its request to the replica."""
 
     done: trio.Event = msgspec.field(default_factory=trio.Event)
     result: Result | None = None
 
 
 class ControlVoter(msgspec.Struct):
-    """Own the replica, its store and its state machine; use one from one trio loop only."""
+    """Hold the replica, its store and its state machine.
+
+    All uses of one voter must run in the same trio loop.
+    """
 
     replica: Replica
     store: Store
@@ -73,18 +76,19 @@
 
     @property
     def leader_name(self) -> str | None:
-        """Return the name of the leader as far as is known."""
+        """Return the name of the leader that this voter knows, or None."""
         return self.replica.leader_name()
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this voter leads as far as it knows."""
+        """Return whether this voter is the leader according to its own state."""
         return self.replica.is_leader
 
     def deliver(self, sender: str, message: ConsensusMessage) -> None:
-        """Hand in a peer's message, or drop it when the voter is behind or has stopped."""
+        """Enqueue a peer's message; drop it if the queue is full or the voter has stopped."""
         if isinstance(message, Offer):
-            # It may come by another voter's hand, and whoever leads has to be able to answer it.
+            # Another voter may have forwarded the offer. The leader needs the sender's address to
+            # reply to it.
             self.update_member_address(message.sender)
         try:
             self.inbox.send_nowait(Received(sender, message))
@@ -92,15 +96,15 @@
             self.dropped += 1
 
     async def propose(self, command: bytes) -> Result[Applied, ProposalError]:
-        """Commit a command and return what applying it gave."""
+        """Commit a command and return the result of applying it."""
         return await self._submit(lambda request_id: Propose(request_id, command))
 
     async def remove_voter(self, name: str) -> Result[Applied, ProposalError]:
-        """Take a voter out of the voter set for good."""
+        """Remove a voter from the voter set permanently."""
         return await self._submit(lambda request_id: RemoveVoter(request_id, name))
 
     async def barrier(self) -> Result[Confirmed, BarrierError]:
-        """Wait until all that was committed anywhere before this call is applied here."""
+        """Wait until every entry committed on any voter before this call is applied here."""
         return await self._submit(BarrierRequested)
 
     async def _submit(self, create_event: Callable[[int], ReplicaEvent]) -> Result:
@@ -120,7 +124,7 @@
         return waiter.result
 
     async def transfer_leadership(self) -> None:
-        """Let another voter lead, before a planned stop; give up after an election timeout."""
+        """Transfer leadership before a planned stop; give up after an election timeout."""
         limit = self.replica.settings.election_s
         with trio.move_on_after(limit), contextlib.suppress(trio.BrokenResourceError):
             while self.is_leader and self.stopped is None:
@@ -128,13 +132,13 @@
                 await trio.sleep(self.replica.settings.heartbeat_s)
 
     async def wait_applied(self, index: int) -> int:
-        """Wait until a higher index is applied, and return it."""
+        """Wait until an index higher than the given one is applied, and return it."""
         while self.applied <= index:
             await self.has_applied.wait()
         return self.applied
 
     def status(self) -> VoterStatus:
-        """Describe this voter."""
+        """Return the status of this voter."""
         replica = self.replica
         return VoterStatus(
             name=replica.voter.name,
--- a/packages/bendwind-node/src/bendwind_node/control/registry.py
+++ b/packages/bendwind-node/src/bendwind_node/control/registry.py
@@ -1,4 +1,4 @@
-"""Run a voter's registry of nodes: leases, pushes, gossip and status."""
+"""Run a voter's registry of nodes: leases, configuration pushes, gossip and status."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -38,7 +38,8 @@
 Send = Callable[[str, Record], None]
 
 _TICK_INTERVAL = 0.05
-# Nodes leave a voter whose confirmation is older than half a lease: two fit into that.
+# Nodes detach from a voter whose last quorum confirmation is older than half a lease. With this
+# value two quorum rounds start within half a lease.
 _BARRIERS_PER_LEASE = 4
 _MAX_BARRIER_INTERVAL = 1.0
 _INBOX_SIZE = 4096
@@ -47,7 +48,7 @@
 
 
 class ControlLog(Protocol):
-    """State what the registry asks of the voter beside it."""
+    """Define what the registry needs from the control voter in the same process."""
 
     @property
     def configuration(self) -> Configuration:
@@ -63,24 +64,27 @@
 
     @property
     def voter_places(self) -> tuple[VoterPlace, ...]:
-        """Return the present voters and where they are."""
+        """Return the current voters with their addresses."""
 
     async def confirm(self) -> bool:
-        """Run a quorum round; after True, all that was accepted before the call is applied."""
+        """Run a quorum round; True means that all entries accepted before the call are applied."""
 
 
 class StateObserver(Protocol):
-    """State who hears of the voter's state beside the registry."""
+    """Define a component, besides the registry, that follows the voter's state."""
 
     def refresh_state(self) -> None:
-        """Look at what the control log has reached."""
+        """Read the state as of the newest applied log entry."""
 
     def handle_quorum_confirmed(self, started_at: Seconds) -> None:
-        """Hear that a quorum confirmed since a time that the state is the newest."""
+        """Handle a quorum's confirmation that the state was the newest at the round's start.
+
+        Units: `started_at` is trio's clock, in seconds.
+        """
 
 
 class RegistryTask:
-    """Own a voter's registry; `inbox` takes (sender, message) of the peer links."""
+    """Run a voter's registry; `inbox` receives (sender, message) pairs from the peer links."""
 
     __slots__ = (
         "_claim_groups",
@@ -177,15 +181,16 @@
             observer.refresh_state()
 
     def _update_has_vote(self) -> None:
-        """Have a voter confirm what is committed, and a learner stop: nodes renew with voters."""
+        """Run quorum rounds on a voter only, not on a learner: nodes renew leases with voters."""
         if is_voter(self.registry):
             self._has_vote.set()
         elif self._has_vote.is_set():
-            # An event that is not set may be waited on, and its waiter must hear of the vote.
+            # Replaced only if it is set: a task may be waiting on an unset event, and it would miss
+            # the vote if the event was replaced.
             self._has_vote = trio.Event()
 
     def step(self, event: RegistryEvent) -> None:
-        """Apply an event at once and carry out its effects."""
+        """Apply an event to the registry immediately, and then its effects."""
         for effect in step_registry(self.registry, event, trio.current_time(), self._rng):
             self._apply_effect(effect)
 
@@ -199,11 +204,11 @@
                 self.recorder.record(EventKind.MEMBER_LOST, detail=node.name)
 
     def alive(self) -> tuple[Instance, ...]:
-        """List the nodes counted as alive, for the placement of claims."""
+        """Return the nodes that count as alive, for the placement of claims."""
         return list_alive(self.registry)
 
     async def status(self) -> tuple[NodeStatus, ...]:
-        """List the nodes attached to any voter that answers in time, ordered by name."""
+        """Return the nodes attached to any voter that replies in time, ordered by name."""
         rows = {row.node: row for row in list_status(self.registry, trio.current_time())}
         self._last_request_number += 1
         number = self._last_request_number
@@ -258,6 +263,6 @@
     recorder: Recorder,
     rng: random.Random,
 ) -> RegistryTask:
-    """Create the task of a voter that has just started; call it inside a trio run."""
+    """Create the registry task of a voter that has just started; call it inside a trio run."""
     registry = create_voter_registry(name, control.voter_places, times, trio.current_time())
     return RegistryTask(registry, control, send, recorder, rng)
--- a/packages/bendwind-node/src/bendwind_node/control/service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/service.py
@@ -1,4 +1,4 @@
-"""Run a control voter's tasks: the log, the registry of nodes, the placement of claims."""
+"""Run a control voter's tasks: log, registry of nodes, placement of claims, quotas."""
 
 import random
 from collections.abc import Callable, Iterable, Mapping
@@ -43,7 +43,7 @@
 
 
 class LogClient(msgspec.Struct, eq=False):
-    """Propose to the log and read its state, as the operators' API and the registry ask.
+    """Propose to the log and read its state, for the operators' API and the registry.
 
     `configured_voters` and `configured_data_centres` come from the settings.
     `list_alive_data_centres` returns the data centres of the processes that are alive.
@@ -56,8 +56,9 @@
     list_alive_data_centres: Callable[[], Iterable[str]] = lambda: ()
 
     async def propose(self, command: bytes) -> Result[CommandResult, ControlError]:
-        """Propose a command and return its result once it has been applied here."""
-        # A voter that stops in between may have handed the command to others before.
+        """Propose a command and return its result once it is applied on this voter."""
+        # A voter that stops during the proposal may already have sent the command to others, so
+        # the outcome is unknown then.
         was_running = self.voter.stopped is None
         with trio.move_on_after(PROPOSAL_TIMEOUT):
             match await self.voter.propose(command):
@@ -66,41 +67,44 @@
                 case Result(error=consensus.NotLeader() as error):
                     return Error(NotLeader(error.leader))
                 case Result(error=consensus.Refused()):
-                    return Error(NoQuorum("the leader takes no commands now"))
+                    return Error(NoQuorum("the leader does not accept commands at present"))
                 case Result(error=VoterStopped(reason=reason)) if not was_running:
                     return Error(NoQuorum(f"this voter has stopped: {reason}"))
         return Error(OutcomeUnknown("leadership was lost or no quorum answered in time"))
 
     async def barrier(self) -> Result[int, ControlError]:
-        """Return an applied index that a quorum has confirmed as the newest since the call."""
+        """Return an applied index that a quorum confirmed as the newest after the call began."""
         with trio.move_on_after(PROPOSAL_TIMEOUT):
             match await self.voter.barrier():
                 case Result(tag="ok", ok=confirmed):
                     return Ok(confirmed.index)
                 case Result(error=Unconfirmed(leader=leader)):
-                    return Error(NoQuorum(f"no quorum confirmed it; last leader: {leader}"))
+                    return Error(NoQuorum(f"no quorum confirmed the state; last leader: {leader}"))
                 case Result(error=VoterStopped(reason=reason)):
                     return Error(NoQuorum(f"this voter has stopped: {reason}"))
         return Error(NoQuorum("no quorum answered in time"))
 
     def data_centres(self) -> frozenset[str]:
-        """Return the data centres of the settings, else those of voters and of processes alive."""
+        """Return the data centres from the settings.
+
+        Without them, return the data centres of the voters and of the processes that are alive.
+        """
         if self.configured_data_centres:
             return self.configured_data_centres
         voters = {place.data_centre for place in self.voter_places}
         return frozenset(voters.union(self.list_alive_data_centres())) - {""}
 
     def leader(self) -> str | None:
-        """Return the name of the leader, or None where it is not known."""
+        """Return the name of the leader, or None if it is unknown."""
         return self.voter.leader_name
 
     def voters(self) -> tuple[VoterStatus, ...]:
-        """Return every voter as this one sees it."""
+        """Return the status of every voter as known to this one."""
         own = self.voter.status()
         return tuple(self._describe(member.name, own) for member in own.voters.members)
 
     def replacement(self) -> ReplacementStatus | None:
-        """Return the replacement of a voter that is under way, as this voter sees it."""
+        """Return the voter replacement in progress as known to this voter, or None."""
         own = self.voter.status()
         if not own.voters.is_joint:
             return None
@@ -141,9 +145,10 @@
 
     @property
     def voter_id(self) -> int | None:
-        """Return this process's id among the committed voters, None if it is none of them.
+        """Return this process's id among the committed voters, or None if it is not a voter.
 
-        A voter that is being replaced counts until its successor alone does: never both at once.
+        A voter that is being replaced counts until only its successor counts: the two never count
+        at the same time.
         """
         replica = self.voter.replica
         own = replica.voter.voter_id
@@ -157,7 +162,10 @@
 
     @property
     def voter_places(self) -> tuple[VoterPlace, ...]:
-        """Return the present voters and where they are; those of the settings before any formed."""
+        """Return the current voters with their addresses.
+
+        Before a cluster has formed, these are the voters that the settings name.
+        """
         configured_voters = {place.name: place for place in self.configured_voters}
         present = self.voter.replica.voters.former
         return (
@@ -166,7 +174,7 @@
         )
 
     async def confirm(self) -> bool:
-        """Run a quorum round; after True, all that was accepted before the call is applied."""
+        """Run a quorum round; True means that all entries accepted before the call are applied."""
         return (await self.voter.barrier()).is_ok()
 
 
@@ -177,7 +185,7 @@
 
 
 class ControlService(msgspec.Struct, eq=False):
-    """Own the tasks of a control voter."""
+    """Hold and run the tasks of a control voter."""
 
     voter: ControlVoter
     client: LogClient
@@ -189,7 +197,7 @@
     newest_incarnations: dict[str, int] = msgspec.field(default_factory=dict)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run until cancelled; a voter whose disk fails rests until it takes writes again."""
+        """Run until cancelled; a voter whose disk fails pauses until the disk accepts writes."""
         async with trio.open_nursery() as nursery:
             await nursery.start(run_voter, self.voter)
             await nursery.start(self.registry.run)
@@ -198,7 +206,7 @@
             task_status.started()
 
     def view_placement(self) -> PlacementView | None:
-        """Return what the placement of claims needs; None while this voter does not lead."""
+        """Return the input for the placement of claims, or None if this voter is not the leader."""
         now = trio.current_time()
         self._update_incarnations(now)
         if not self.voter.is_leader:
@@ -220,10 +228,10 @@
         )
 
     def _update_incarnations(self, now: Seconds) -> None:
-        """Follow which nodes were heard of since the start or the last time without a quorum.
+        """Record the nodes seen since the start or since the last period without a quorum.
 
-        Nodes that found no voter with a quorum come back at longer and longer intervals, so for a
-        few leases after such a time silence does not mean that they are gone.
+        Nodes that find no voter with a quorum retry at increasing intervals. For a few leases after
+        such a period, a node that has sent no heartbeat is therefore not considered lost.
         """
         registry = self.registry.registry
         lease = registry.times.lease
@@ -235,7 +243,7 @@
             self.newest_incarnations[instance.name] = instance.incarnation
 
     def upstreams(self) -> tuple[Upstream, ...]:
-        """Return every upstream that the registry knows."""
+        """Return every upstream in the registry."""
         members = self.registry.registry.members.values()
         return tuple(
             upstream
@@ -246,9 +254,10 @@
 
 
 def _find_grant_period(settings: consensus.ReplicaSettings, times: LeaseTimes) -> Seconds:
-    """Return for how long a voter may grant tokens after a quorum has confirmed it.
+    """Return for how long a voter may grant tokens after a quorum confirmation.
 
-    Nodes leave it after that time anyway, and one that was silent for shorter is not replaced.
+    After this time nodes detach from the voter anyway, and a voter is not replaced before it has
+    been silent for this time.
     """
     return min(times.confirmation_limit, SILENT_TIMEOUTS * settings.election_s)
 
@@ -266,7 +275,7 @@
     quota_bounds: QuotaBounds = DEFAULT_QUOTA_BOUNDS,
     incarnation: int = 0,
 ) -> Result[ControlService, StoreError]:
-    """Read the disk and make a control voter's tasks; call it inside a trio run.
+    """Read the disk and create a control voter's tasks; call it inside a trio run.
 
     `incarnation` is that of the process.
     Errors: StoreError.
@@ -286,7 +295,7 @@
     async def propose(command: ChangeClaimGroup) -> object:
         outcome = await client.propose(encode_command(command))
         if command.group.lost and outcome.is_ok() and isinstance(outcome.ok, GroupChanged):
-            # No member is left to record it.
+            # No member of the group is left that could record the loss.
             recorder.record(EventKind.CLAIM_GROUP_LOST, detail=command.group.service)
         return outcome
 
--- a/packages/bendwind-node/src/bendwind_node/control/voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter.py
@@ -1,21 +1,23 @@
-"""Run one control voter: the replica of the log, its disk and the state machine above it.
+"""Run one control voter: a replica of the log, its store and the state machine of the log.
 
 Open a voter with `open_voter`, then run `run_voter(voter)` in a nursery. Other tasks use:
 
-- `voter.deliver(sender, message)`: hand in a ConsensusMessage of a peer; never waits, and drops the
-  message when the voter is behind.
-- `await voter.propose(command)`, not empty: Ok(Applied(index, value)), where value is what the
-  state machine returned, or Error(NotLeader | Refused | Lost | VoterStopped). After Lost the
-  command may or may not come into force: propose it again only if the state machine knows repeats.
-- `await voter.barrier()`: Ok(Confirmed(index, started_at)) once everything that was committed
-  anywhere before the call is applied here, or Error(Unconfirmed | VoterStopped). The age of the
-  state is the time since `started_at`. Many callers share one round.
-- `await voter.remove_voter(name)`: as propose.
-- `await voter.transfer_leadership()`: before a planned stop, let another voter lead.
-- `await voter.wait_applied(index)`: wait until more than this index is applied.
+- `voter.deliver(sender, message)`: enqueue a peer's ConsensusMessage. It never waits, and drops the
+  message if the voter's queue is full.
+- `await voter.propose(command)`: commit a command, which must not be empty. The result is
+  Ok(Applied(index, value)), where value is what the state machine returned, or
+  Error(NotLeader | Refused | Lost | VoterStopped). After Lost the command may still be committed:
+  propose it again only if the state machine detects duplicates.
+- `await voter.barrier()`: Ok(Confirmed(index, started_at)) once every entry committed on any voter
+  before the call is applied here, or Error(Unconfirmed | VoterStopped). The age of the state is the
+  time since `started_at`. Concurrent calls share one quorum round.
+- `await voter.remove_voter(name)`: remove a voter; the results are those of propose.
+- `await voter.transfer_leadership()`: make another voter the leader before a planned stop.
+- `await voter.wait_applied(index)`: wait until an index higher than this one is applied.
 - `voter.applied`, `voter.leader_name`, `voter.status()`.
 
-`send(to_name, message)` is called for each outgoing message; it must not wait and may drop.
+`send(to_name, message)` is called for each outgoing message; it must not wait and may drop the
+message.
 """
 
 import contextlib
@@ -77,7 +79,7 @@
     "run_voter",
 ]
 
-# Each try reads the whole log.
+# Each attempt to reopen the store reads the whole log.
 REOPEN_INTERVAL: Seconds = 1.0
 _INBOX_SIZE = 512
 _TICKS_PER_HEARTBEAT = 2
@@ -93,8 +95,9 @@
     rng: random.Random,
     settings: ReplicaSettings | None = None,
 ) -> Result[ControlVoter, StoreError]:
-    """Read the disk and make a voter; call it inside trio.run. `names` are the settings' voters.
+    """Read the disk and create a voter; call it inside trio.run.
 
+    `names` are the voters that the settings name.
     Errors: StoreError, which is also recorded.
     """
     opened = open_store(files)
@@ -141,9 +144,9 @@
 async def run_voter(
     voter: ControlVoter, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
 ) -> Result[None, CorruptData]:
-    """Run the voter until it is cancelled; while its disk refuses writes, callers get VoterStopped.
+    """Run the voter until cancelled; requests get VoterStopped while its disk refuses writes.
 
-    Errors: CorruptData, which is also recorded, where a disk that failed cannot be read any more.
+    Errors: CorruptData, which is also recorded, if a failed disk can no longer be read.
     """
     try:
         while True:
@@ -157,7 +160,7 @@
 
 
 async def _run_until_failure(voter: ControlVoter, task_status: trio.TaskStatus) -> None:
-    """Run until the disk refuses a write; nothing is acknowledged after it."""
+    """Run until the disk refuses a write; nothing is acknowledged after that write."""
     try:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_run_ticks, voter)
@@ -181,9 +184,9 @@
 
 
 async def _reopen(voter: ControlVoter) -> Result[None, CorruptData]:
-    """Wait until the disk takes writes again, and go on with what it holds, as after a restart.
+    """Wait until the disk accepts writes again, then resume from its data as after a restart.
 
-    A voter that stayed away would count as lost for as long as its process lives.
+    A voter that did not resume would count as lost until its process ends.
     """
     store = voter.store
     while True:
@@ -198,11 +201,13 @@
 
 
 def _resume(voter: ControlVoter, opened: Opened) -> None:
-    """Begin anew with what a disk holds; what was applied before is not applied again."""
+    """Restart from the data on disk; entries that were applied before are not applied again."""
     _record_recovery(voter.recorder, opened.recovered)
-    former = voter.replica
-    own = msgspec.structs.replace(former.voter, voter_id=opened.store.identity.voter_id)
-    voter.replica = _create_replica(own, former.names, former.settings, opened.recovered, voter.rng)
+    previous = voter.replica
+    own = msgspec.structs.replace(previous.voter, voter_id=opened.store.identity.voter_id)
+    voter.replica = _create_replica(
+        own, previous.names, previous.settings, opened.recovered, voter.rng
+    )
     voter.store = opened.store
     voter.inbox, voter.events = trio.open_memory_channel[ReplicaEvent](_INBOX_SIZE)
     voter.unwritten = []
@@ -243,7 +248,7 @@
 
 
 async def _run_writes(voter: ControlVoter) -> DiskFailed:
-    """Write what is requested, all that has gathered at a time, until the disk fails."""
+    """Write the pending writes, all that have accumulated as one batch, until the disk fails."""
     while True:
         await voter.has_writes.wait()
         voter.has_writes = trio.Event()
--- a/packages/bendwind-node/src/bendwind_node/control/voter_effects.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter_effects.py
@@ -1,4 +1,4 @@
-"""Carry out what a replica asks of its voter."""
+"""Apply the effects of a replica to its voter."""
 
 import trio
 from expression import Error, Ok, Result
@@ -33,7 +33,7 @@
 
 
 def record_failure(recorder: Recorder, error: StoreError) -> None:
-    """Record why the store failed."""
+    """Record the event for a failure of the store."""
     match error:
         case CorruptData():
             detail = f"{error.file} at byte {error.offset}: {error.reason}"
@@ -43,7 +43,7 @@
 
 
 def apply_effect(voter: ControlVoter, effect: Effect) -> None:
-    """Carry one effect out; none of it waits."""
+    """Apply one effect without waiting."""
     match effect:
         case Send(to=to, message=message):
             voter.send(to, message)
@@ -68,7 +68,8 @@
 
 
 def _apply_entries(voter: ControlVoter, effect: Apply) -> None:
-    # A voter that has read its disk anew hears of entries that it applied before.
+    # After a voter has reopened its disk, the replica reports entries again that were already
+    # applied.
     entries = [entry for entry in effect.entries if entry.index > voter.applied]
     if not entries:
         return
@@ -86,7 +87,8 @@
 
 def _take_snapshot(voter: ControlVoter, index: int) -> None:
     if index != voter.applied:
-        # The state is ahead of a replica that has read its disk anew; asked again later.
+        # The state is ahead of a replica that has reopened its disk; the replica requests the
+        # snapshot again later.
         voter.replica.is_snapshot_due = False
         return
     data = voter.state_machine.snapshot()
@@ -94,7 +96,7 @@
     try:
         voter.inbox.send_nowait(SnapshotTaken(index, data))
     except trio.WouldBlock:
-        # Asked again with the next entry that is applied.
+        # The replica requests the snapshot again with the next applied entry.
         voter.replica.is_snapshot_due = False
 
 
@@ -130,7 +132,10 @@
 
 
 def record_replacement(voter: ControlVoter) -> None:
-    """Note since when a voter is being replaced, by whatever way this process came to know."""
+    """Record when this process first observes the replacement of a voter.
+
+    It reads the voter set, so that it does not matter how the process learnt of the replacement.
+    """
     voters = voter.replica.voters
     if not voters.is_joint:
         voter.replacing_since = None
--- a/packages/bendwind-node/src/bendwind_node/control/voter_outcomes.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter_outcomes.py
@@ -1,4 +1,4 @@
-"""Define the state machine above the log, and what callers of a voter get back."""
+"""Define the state machine of the log and the results of requests to a voter."""
 
 from typing import Protocol
 
@@ -15,16 +15,16 @@
 
 
 class StateMachine(Protocol):
-    """Name what the voter asks of the state above the log; none of it may wait."""
+    """Define the state machine that the voter applies log entries to; no method may wait."""
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply a committed command and return its outcome."""
+        """Apply a committed command and return its result."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the complete state, serialised."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state."""
+        """Replace the complete state by a snapshot."""
 
 
 class Applied(msgspec.Struct, frozen=True):
@@ -35,7 +35,7 @@
 
 
 class Confirmed(msgspec.Struct, frozen=True):
-    """Hold an index that holds all that was committed when the quorum round started.
+    """Hold an applied index that covers all entries committed when the quorum round started.
 
     Units: `started_at` is trio's clock, in seconds.
     """
@@ -45,13 +45,13 @@
 
 
 class Unconfirmed(msgspec.Struct, frozen=True):
-    """Tell that no quorum answered in time, and who leads as far as is known."""
+    """Report that no quorum replied in time; `leader` is the last known leader."""
 
     leader: str | None
 
 
 class VoterStopped(msgspec.Struct, frozen=True):
-    """Tell that the voter takes no further part, and why."""
+    """Report that the voter has stopped, and the reason."""
 
     reason: str
 
@@ -61,10 +61,11 @@
 
 
 class VoterStatus(msgspec.Struct, frozen=True):
-    """Describe a voter for operators.
+    """Hold the status of a voter for operators.
 
-    `awaited` are those whose confirmation a replacement waits for, as far as this voter leads;
-    `replacing_since` is when this process saw it begin, on the loop's clock.
+    `awaited` are the voters whose confirmation a replacement waits for, known only to the leader.
+    `replacing_since` is the time at which this process observed the start of the replacement.
+    Units: `replacing_since` is trio's clock, in seconds.
     """
 
     name: str
--- a/packages/bendwind-node/src/bendwind_node/daemon/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the whole process: its tasks, wired together from its settings."""
+"""Provide the complete process: its tasks, created and connected according to its settings."""
 
 from bendwind_node.daemon.extension import Extension
 from bendwind_node.daemon.run import run_daemon
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -1,4 +1,4 @@
-"""Build a process's tasks from its settings; none of them runs yet."""
+"""Create a process's tasks from its settings without starting them."""
 
 import random
 import time
@@ -56,14 +56,14 @@
 
 
 def read_wall_ms() -> int:
-    """Return wall-clock time in milliseconds since 1970."""
+    """Return the wall-clock time in milliseconds since 1970."""
     return time.time_ns() // _NANOSECONDS_PER_MILLISECOND
 
 
 def prepare_daemon(settings: Settings, listeners: Listeners) -> Result[Daemon, str]:
-    """Make what needs no task: the recorder and the keys.
+    """Create the parts that need no running task, such as the recorder and the keys.
 
-    Errors: a text that names the file that cannot be used.
+    Errors: a text that names the unusable file.
     """
     name = settings.instance.name
     recorder = Recorder(name, read_wall_ms, settings.timeline.capacity, read_steady_us)
@@ -78,11 +78,11 @@
 
 
 async def choose_incarnation(daemon: Daemon) -> int:
-    """Return a number for this run above those that the voters know of earlier ones."""
+    """Return an incarnation greater than those of earlier runs that the voters know."""
     settings = daemon.settings
-    own_place = (settings.peers.host, find_port(daemon.listeners.peers))
+    own_address = (settings.peers.host, find_port(daemon.listeners.peers))
     voters = [Address(voter.host, voter.port) for voter in settings.voters]
-    others = [voter for voter in voters if (voter.host, voter.port) != own_place]
+    others = [voter for voter in voters if (voter.host, voter.port) != own_address]
     secure = None if daemon.keys is None else daemon.keys.client
     known = await ask_incarnation(settings.instance.name, others, secure)
     return max(read_wall_ms(), known + 1)
@@ -94,9 +94,9 @@
     extension: Extension,
     incarnation: int,
 ) -> Result[Daemon, str]:
-    """Build every task; those of calls start theirs in the nursery.
+    """Create every task; the tasks that handle calls start child tasks in the nursery.
 
-    Errors: a text that names the folder that cannot be used.
+    Errors: a text that names the unusable folder.
     """
     rng = random.Random()
     own = _create_instance(daemon.settings, daemon.listeners, incarnation)
@@ -225,7 +225,7 @@
 
 
 def update_addresses(hub: LinkHub, places: Iterable[VoterPlace | Voter]) -> None:
-    """Have links find voters and learners, as far as it is known where they are."""
+    """Give the links the addresses of voters and learners, where these are known."""
     for place in places:
         if place.host:
             hub.learn_address(place.name, place.host, place.port, place.data_centre)
@@ -291,7 +291,7 @@
 
 
 def _track_members(daemon: Daemon, voter: ControlVoter) -> None:
-    """Have links find every voter and learner that the log names, also those no settings list."""
+    """Give the links the addresses of all voters and learners in the log, configured or not."""
 
     hub = daemon.dispatcher.hub
     voter.update_member_address = lambda member: update_addresses(hub, (member,))
@@ -309,7 +309,8 @@
 
 
 def _announce(membership: MembershipTask, upstream: Upstream) -> None:
-    # An owner watches what it serves: drain marks reach it with the service's upstreams.
+    # An owner watches the services of its upstreams, since drain marks are sent to it together with
+    # the upstreams of a watched service.
     membership.watch(upstream.service)
     membership.announce(upstream)
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/dispatcher.py
@@ -1,4 +1,4 @@
-"""Hand each message of a peer to the task that it is for."""
+"""Dispatch each message from a peer to the task that handles its type."""
 
 import contextlib
 import typing
@@ -41,7 +41,7 @@
     member.WatchUpdate,
     member.VoterList,
 )
-# These travel from nodes to voters, between voters, and from voters to nodes.
+# These messages are sent from nodes to voters, between voters, and from voters to nodes.
 _TO_NODE_AND_REGISTRY = (member.SuspectReports,)
 _TO_REGISTRY = (
     member.Heartbeat,
@@ -61,7 +61,7 @@
 
 
 class Dispatcher(msgspec.Struct, eq=False):
-    """Hear of every link and message of the process; implements `links.Receiver`."""
+    """Receive the events of all links of the process; implements `links.Receiver`."""
 
     own_name: str
     hub: LinkHub | None = None
@@ -75,7 +75,7 @@
     handlers: dict[type, Callable[[Link, PeerMessage], None]] = msgspec.field(default_factory=dict)
 
     def send(self, to: str, message: PeerMessage) -> bool:
-        """Send a message to a peer or to this process itself; it may be lost."""
+        """Send a message to a peer or to this process itself; the message may be lost."""
         if to == self.own_name:
             handler = self._find_handler(type(message))
             if handler is not None:
@@ -84,7 +84,7 @@
         return self.hub.send(to, message)
 
     def link_opened(self, link: Link, hello: Hello) -> None:
-        """Tell the owner node of entry nodes, and membership of a peer's version."""
+        """Report a peer's version to membership, and an entry node's link to the owner node."""
         self.membership.handle_peer_version(
             hello.sender.name, hello.version, hello.confirmed_age_ms
         )
@@ -92,7 +92,7 @@
             self.owner.link_opened(link)
 
     def link_closed(self, link: Link) -> None:
-        """Tell the tasks that relied on the link."""
+        """Notify the tasks that used the link."""
         if link.is_dialed:
             self.entry.link_closed(link)
         else:
@@ -101,18 +101,18 @@
             self.membership.handle_link_lost(link.peer.name)
 
     def dial_failed(self, peer: str, unsent: tuple[PeerMessage, ...]) -> None:
-        """Tell the entry node which of its messages never left."""
+        """Report to the entry node which of its messages were never sent."""
         self.entry.dial_failed(unsent)
         self.membership.handle_link_lost(peer)
 
     def receive(self, link: Link, message: PeerMessage) -> None:
-        """Hand a message to its task; one that this process has no task for is dropped."""
+        """Dispatch a message to its task, or drop it if this process has no task for it."""
         handler = self._find_handler(type(message))
         if handler is not None:
             handler(link, message)
 
     def is_idle(self, peer: str) -> bool:
-        """Tell whether the entry node awaits nothing from an owner."""
+        """Return whether the entry node has no attempts at an owner."""
         return not self.entry.has_attempts_at(peer)
 
     def _find_handler(self, kind: type) -> Callable[[Link, PeerMessage], None] | None:
@@ -145,7 +145,8 @@
         return self._dispatch_to_claims if kind in _TO_CLAIMS else None
 
     def _dispatch_body(self, link: Link, message: PeerMessage) -> None:
-        # The dialer of a link is the entry node: what comes back on it belongs to an answer.
+        # The entry node is the side that dials a link: body messages received on a dialed link
+        # belong to an answer.
         if link.is_dialed:
             self.entry.receive(link, message)
         else:
@@ -185,7 +186,7 @@
 
 
 class _OwnLink:
-    """Stand for the link of a process to itself; only the sender's name is read."""
+    """Represent the link of a process to itself; handlers read only the sender's name."""
 
     __slots__ = ("is_dialed", "peer")
 
@@ -195,6 +196,7 @@
 
 
 def _enqueue(inbox: trio.MemorySendChannel, item: object) -> None:
-    # Every sender of these repeats what is not answered, so a full inbox may drop.
+    # The senders of these messages repeat them until they are answered, so that a message may be
+    # dropped if the inbox is full.
     with contextlib.suppress(trio.WouldBlock, trio.BrokenResourceError):
         inbox.send_nowait(item)
--- a/packages/bendwind-node/src/bendwind_node/daemon/extension.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/extension.py
@@ -1,4 +1,4 @@
-"""Describe what a deployment adds to a process: its headers, its servers, its settings file."""
+"""Define what a deployment adds to a process: headers, servers and a settings file."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -17,10 +17,10 @@
 
 
 class Extension(msgspec.Struct, frozen=True):
-    """Hold what `run_daemon` needs beside the settings.
+    """Hold the options of `run_daemon` besides the settings.
 
-    `serve` opens further servers before the process counts as started. With `settings_file` the
-    file is read anew, by `load`, on SIGHUP and when it changes.
+    `serve` opens additional servers before the process counts as started. If `settings_file` is
+    set, `load` reads the file again on SIGHUP and when the file changes.
     """
 
     dialect: Dialect = BENDWIND_DIALECT
--- a/packages/bendwind-node/src/bendwind_node/daemon/listeners.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/listeners.py
@@ -1,4 +1,4 @@
-"""Open every listening socket before any task starts, so that a taken port stops the start."""
+"""Open every listening socket before any task starts: a port already in use fails the start."""
 
 import msgspec
 import trio
@@ -8,7 +8,10 @@
 
 
 class Listeners(msgspec.Struct):
-    """Hold the open listening sockets of one process; `extra` are those of an extension."""
+    """Hold the open listening sockets of one process.
+
+    `extra` holds the sockets of the extension and of the metrics server.
+    """
 
     peers: list[trio.SocketListener]
     callers: list[trio.SocketListener] = msgspec.field(default_factory=list)
@@ -19,14 +22,17 @@
 
 
 def find_port(listeners: list[trio.SocketListener]) -> int:
-    """Return the port that a listener got, which settles port 0; 0 if there is no listener."""
+    """Return the port that a listener is bound to, also if it was opened on port 0.
+
+    The result is 0 if there is no listener.
+    """
     return listeners[0].socket.getsockname()[1] if listeners else 0
 
 
 async def open_listeners(settings: Settings) -> Result[Listeners, str]:
-    """Open a listening socket for each of the tables that the settings hold.
+    """Open a listening socket for each server table in the settings.
 
-    Errors: a text that names the table whose address cannot be had.
+    Errors: a text that names the table whose address cannot be bound.
     """
     opened: dict[str, list[trio.SocketListener]] = {}
     for name in ("peers", "callers", "upstreams", "operators", "readiness"):
--- a/packages/bendwind-node/src/bendwind_node/daemon/metrics_page.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/metrics_page.py
@@ -1,4 +1,4 @@
-"""Serve a process's metrics on an address of their own."""
+"""Serve a process's metrics on a separate address."""
 
 import trio
 
@@ -16,7 +16,7 @@
 
 
 class MetricsPage:
-    """Answer scrapes."""
+    """Answer HTTP requests for the metrics."""
 
     __slots__ = ("metrics", "path")
 
@@ -39,7 +39,10 @@
 
 
 async def serve_metrics(daemon: Daemon, table: MetricsTable, nursery: trio.Nursery) -> None:
-    """Start to serve metrics; without their port the process goes on, since calls matter more."""
+    """Start to serve metrics.
+
+    If their port cannot be opened the process continues, since calls are more important.
+    """
     try:
         listeners = await trio.open_tcp_listeners(table.port, host=table.host)
     except OSError as error:
--- a/packages/bendwind-node/src/bendwind_node/daemon/readiness.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/readiness.py
@@ -1,4 +1,4 @@
-"""Tell whoever sends callers here whether this process takes them."""
+"""Answer readiness checks, for the component that routes callers to this process."""
 
 from bendwind_node.calls.caller_exchange import CallerExchange
 from bendwind_node.daemon.state import Daemon
@@ -9,12 +9,12 @@
 
 
 def is_ready(daemon: Daemon) -> bool:
-    """Tell whether this process has a configuration and has not been told to stop."""
+    """Return whether this process has a configuration and no request to stop."""
     return daemon.dispatcher.membership.view.version > 0 and not daemon.stopping.is_set()
 
 
 class ReadinessPage:
-    """Answer questions of readiness."""
+    """Answer HTTP readiness checks."""
 
     __slots__ = ("daemon", "path")
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/reload.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Read the settings file anew on SIGHUP and when it changes, and take over what may change."""
+"""Reload the settings file on SIGHUP and when it changes; apply the reloadable settings."""
 
 import os
 from pathlib import Path
@@ -14,12 +14,12 @@
 from bendwind_node.early_signals import RELOAD_SIGNALS, is_reload_asked
 from bendwind_node.settings import Settings
 
-# A look at the file costs one system call; voters that changed are needed within seconds.
+# A check of the file costs one system call, and changed voters are needed within seconds.
 FILE_CHECK_INTERVAL: Seconds = 1.0
 
 
 async def watch_settings(daemon: Daemon, file: Path, load: LoadSettings) -> None:
-    """Take over changed settings until cancelled."""
+    """Apply changed settings until cancelled."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_watch_signal, daemon, file, load)
         nursery.start_soon(_watch_file, daemon, file, load)
@@ -28,7 +28,7 @@
 async def _watch_signal(daemon: Daemon, file: Path, load: LoadSettings) -> None:
     with trio.open_signal_receiver(*RELOAD_SIGNALS) as signals:
         if is_reload_asked():
-            # The file may have been read before it changed.
+            # The file may have been read before the change that the early signal reported.
             reload_settings(daemon, file, load)
         async for _ in signals:
             reload_settings(daemon, file, load)
@@ -53,7 +53,7 @@
 
 
 def reload_settings(daemon: Daemon, file: Path, load: LoadSettings) -> None:
-    """Read the file; a faulty one changes nothing and is recorded."""
+    """Read the file and apply it; an invalid file changes nothing, and the error is recorded."""
     loaded = load(file)
     if loaded.is_error():
         daemon.recorder.record(EventKind.SETTINGS_REFUSED, detail=str(loaded.error))
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -1,4 +1,4 @@
-"""Run a process until a planned stop."""
+"""Start a process and run it until its planned stop."""
 
 import gc
 import signal
@@ -24,15 +24,16 @@
 
 LEADERSHIP_TRANSFER_TIMEOUT: Seconds = 2.0
 IDLE_POLL_INTERVAL: Seconds = 0.02
-# Calls to the other addresses take milliseconds; one that waits for the log may take longer.
+# Requests to the auxiliary servers take milliseconds; one that waits for the control log may take
+# longer.
 AUXILIARY_TIMEOUT: Seconds = 0.25
 LEASE_POLL_INTERVAL: Seconds = 0.5
 
 
 async def run_daemon(settings: Settings, extension: Extension = NO_EXTENSION) -> Result[None, str]:
-    """Run a process until it is told to stop.
+    """Run a process until it is requested to stop.
 
-    Errors: a text that says why it could not start.
+    Errors: a text with the reason why the process could not start.
     """
     opened = await open_listeners(settings)
     if opened.is_error():
@@ -47,7 +48,7 @@
         if built.is_error():
             return built
         if is_stop_asked():
-            # Nothing is served yet, so that nothing has to be finished.
+            # No server has started yet, so no request has to be finished.
             return Ok(None)
         await _start(daemon, nursery, extension)
         if extension.serve is not None:
@@ -88,8 +89,8 @@
     serve_all(daemon, nursery)
     if daemon.settings.metrics is not None:
         await serve_metrics(daemon, daemon.settings.metrics, nursery)
-    # What is built now lives as long as the process: the collector need not look at it again, nor
-    # now, while callers wait for the process to start.
+    # The objects created so far live as long as the process. Excluding them from garbage collection
+    # saves later scans, and also a scan now, while callers wait for the process to start.
     gc.freeze()
 
 
@@ -101,7 +102,7 @@
 
 
 async def _report_lease_proof(dispatcher: Dispatcher) -> None:
-    """Tell the claim holders until when the claim groups they know are proven the newest."""
+    """Report to the claim holders until when their claim groups are proven to be the newest."""
     membership = dispatcher.membership
     await dispatcher.claims.has_holders.wait()
     while True:
@@ -113,8 +114,8 @@
 
 
 async def _watch_signals(daemon: Daemon) -> None:
-    # Open until the process ends: without it a second signal would end the process while requests
-    # are in hand.
+    # The receiver stays open until the process ends: without it a second signal would end the
+    # process while requests are in progress.
     with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
         if is_stop_asked():
             daemon.stopping.set()
@@ -126,12 +127,12 @@
 
 
 async def _stop(daemon: Daemon) -> None:
-    """Stop as planned: drain, send callers away, hand claims over, finish what is in flight."""
+    """Stop as planned: drain, send callers elsewhere, leave claim groups, finish requests."""
     dispatcher = daemon.dispatcher
     limits = daemon.settings.stop
     daemon.recorder.record(EventKind.PROCESS_STOPPING)
-    # Time for callers to be sent elsewhere. The upstream stays in use: it runs on, and each second
-    # that it is spared is missing to its service.
+    # During this time callers are redirected to other nodes. The upstream stays in use: it keeps
+    # running, and draining it now would take its capacity from its service for that time.
     await trio.sleep(limits.notice_ms / MILLISECONDS_PER_SECOND)
     dispatcher.owner.register.drain()
     daemon.callers_drain.set()
@@ -139,33 +140,34 @@
         await dispatcher.claims.leave_groups()
     with trio.move_on_after(limits.drain_ms / MILLISECONDS_PER_SECOND):
         await _wait_for_calls(daemon)
-    # Cancelled requests are answered as not run or unknown, see H11Exchange.give_up.
+    # Cancelled requests are answered as not run or unknown, see H11Exchange.send_failure.
     daemon.callers_scope.cancel()
     await _close_auxiliary_servers(daemon)
     if dispatcher.control is not None:
-        # Otherwise the other voters wait out an election timeout without a leader.
+        # Without the transfer the other voters have no leader for an election timeout.
         with trio.move_on_after(LEADERSHIP_TRANSFER_TIMEOUT):
             await dispatcher.control.voter.transfer_leadership()
     for name in tuple(dispatcher.owner.register.owned):
         dispatcher.owner.register.left(name)
     await trio.sleep(IDLE_POLL_INTERVAL)
-    # Answers for other nodes' callers may be on their way.
+    # Answers to callers of other nodes may still be queued on links.
     await dispatcher.hub.flush()
 
 
 async def _close_auxiliary_servers(daemon: Daemon) -> None:
-    """Let the other addresses finish what they have in hand, then cancel the rest."""
+    """Let the auxiliary servers finish their requests, and cancel the rest after a timeout."""
     daemon.auxiliary_drain.set()
     with trio.move_on_after(AUXILIARY_TIMEOUT):
         for closed in daemon.auxiliary_closed:
             await closed.wait()
-    # What would begin from here on could not end; its caller is told that it has not run.
+    # A request that began after this point could not finish; its caller is told that it has not
+    # run.
     for scope in daemon.auxiliary_scopes:
         scope.cancel()
 
 
 async def _wait_for_calls(daemon: Daemon) -> None:
-    # Once no caller is connected, no request can come after the last look at the work.
+    # Once no caller is connected, no request can arrive after the last check for work.
     if daemon.settings.callers is not None:
         await daemon.callers_closed.wait()
     while _has_work(daemon):
@@ -176,5 +178,5 @@
     dispatcher = daemon.dispatcher
     has_requests = any(account.in_flight for account in daemon.accounts)
     has_calls = bool(dispatcher.entry.runs) or not dispatcher.owner.is_idle()
-    # An outcome that no claim holder has confirmed yet would be told as unknown to a resend.
+    # A resent request would be answered as unknown if no claim holder has confirmed its outcome.
     return has_requests or has_calls or bool(dispatcher.claims.entry.pending_settlements)
--- a/packages/bendwind-node/src/bendwind_node/daemon/serve.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/serve.py
@@ -1,4 +1,4 @@
-"""Serve a process's HTTP: callers, the upstream beside it, operators."""
+"""Serve HTTP for callers, for the upstream beside the process and for operators."""
 
 import os
 from collections.abc import Awaitable, Callable
@@ -48,7 +48,7 @@
 
 
 def serve_all(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to serve whom the settings name addresses for."""
+    """Start a server for each address in the settings."""
     settings = daemon.settings
     if settings.readiness is not None:
         page = ReadinessPage(daemon, settings.readiness.path)
@@ -62,7 +62,10 @@
 
 
 def create_account(daemon: Daemon, address: str) -> RequestAccount:
-    """Create and register the account of one address; operators and upstreams have none."""
+    """Create and register the request account of one address.
+
+    The addresses for operators and upstreams have none.
+    """
     account = RequestAccount(address, daemon.recorder, daemon.dispatcher.entry.dialect)
     daemon.accounts.append(account)
     return account
@@ -75,7 +78,10 @@
     handle: Handle,
     nursery: trio.Nursery,
 ) -> None:
-    """Start to serve a few plain requests, until the calls of a stopping process have ended."""
+    """Start an auxiliary server, for few simple requests.
+
+    It serves until the calls of a stopping process have ended.
+    """
     server = H11Server(
         handle,
         KEEP_ALIVE,
@@ -106,7 +112,7 @@
 
 
 def serve_callers(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to serve callers by the HTTP server that the settings name."""
+    """Start to serve callers with the HTTP server that the settings select."""
     limits = daemon.settings.limits
     entry = daemon.dispatcher.entry
     intake = CallIntake(entry, limits.in_flight, limits.body_bytes, daemon.body_budget)
@@ -127,19 +133,19 @@
             )
             run = partial(server.run, daemon.listeners.callers, daemon.callers_drain)
         case "hypercorn":
-            served = AsgiServer(
+            asgi_server = AsgiServer(
                 _duplicate_socket(daemon.listeners.callers),
                 limits.keep_alive_s,
                 limits.header_bytes,
                 daemon.callers_drain,
             )
             account = create_account(daemon, "callers")
-            run = partial(serve_callers_asgi, task.handle, served, account)
+            run = partial(serve_callers_asgi, task.handle, asgi_server, account)
     nursery.start_soon(_run_until_closed, run, daemon.callers_closed, daemon.callers_scope)
 
 
 def _apply_caller_limits(server: H11Server, entry: EntryNode, effect: ViewEffect) -> None:
-    """Take over what the routes in force say of callers, where they say it."""
+    """Apply those caller limits that the active routing configuration sets."""
     if not isinstance(effect, ConfigurationApplied):
         return
     stated = entry.membership.routing.limits
@@ -152,19 +158,19 @@
 
 
 def serve_upstreams(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to hear the announcements of the upstream beside this process."""
+    """Start to receive the announcements of the upstream beside this process."""
     app = AnnounceApp(daemon.dispatcher.owner.register, daemon.settings.lease.lease_ms)
-    served = AsgiServer(
+    asgi_server = AsgiServer(
         _duplicate_socket(daemon.listeners.upstreams),
         KEEP_ALIVE,
         MAX_HEADER_BYTES,
         daemon.auxiliary_drain,
     )
-    _start_auxiliary(daemon, partial(serve_asgi, app, served), nursery)
+    _start_auxiliary(daemon, partial(serve_asgi, app, asgi_server), nursery)
 
 
 def serve_operators(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to serve operators."""
+    """Start the operators' API."""
     dispatcher = daemon.dispatcher
     table = daemon.settings.operators
     if table.token_file is not None:
@@ -187,18 +193,18 @@
         _find_suspects(daemon),
         None if dispatcher.control is None else dispatcher.control.quotas.quotas,
     )
-    served = AsgiServer(
+    asgi_server = AsgiServer(
         _duplicate_socket(daemon.listeners.operators),
         KEEP_ALIVE,
         MAX_HEADER_BYTES,
         daemon.auxiliary_drain,
         tls=None if daemon.keys is None else daemon.keys.operators,
     )
-    _start_auxiliary(daemon, partial(serve_asgi, app, served), nursery)
+    _start_auxiliary(daemon, partial(serve_asgi, app, asgi_server), nursery)
 
 
 def _find_suspects(daemon: Daemon) -> SuspectTable:
-    """Return all that is known against requests on a voter, else what this node knows."""
+    """Return the suspects that the voter knows; if this process has no voter, the node's own."""
     control = daemon.dispatcher.control
     if control is not None:
         return control.registry.registry.suspects
@@ -206,7 +212,7 @@
 
 
 def create_metrics(daemon: Daemon) -> Metrics:
-    """Make the metrics of a process; their values are read at each scrape."""
+    """Create the metrics of a process; their values are read at each scrape."""
     dispatcher = daemon.dispatcher
 
     def read():
@@ -236,5 +242,5 @@
 
 
 def _duplicate_socket(listeners: list[trio.SocketListener]) -> int:
-    # hypercorn takes a file number and owns it from then on.
+    # hypercorn takes a file descriptor and owns it from then on.
     return os.dup(listeners[0].socket.fileno())
--- a/packages/bendwind-node/src/bendwind_node/daemon/state.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/state.py
@@ -1,4 +1,4 @@
-"""Hold the tasks of one process and the events that end it."""
+"""Hold the tasks of one process and the events that control its stop."""
 
 import msgspec
 import trio
@@ -13,7 +13,7 @@
 
 
 class Daemon(msgspec.Struct, eq=False):
-    """Hold the tasks of one process; `keys` is None where its links are not encrypted.
+    """Hold the tasks of one process; `keys` is None if its links are not encrypted.
 
     `callers_drain` makes the callers' server drain, `callers_closed` is set when it has drained,
     and `callers_scope` cancels its remaining requests. `auxiliary_drain`, `auxiliary_closed` and
--- a/packages/bendwind-node/src/bendwind_node/daemon/status.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/status.py
@@ -1,4 +1,4 @@
-"""Tell operators what this process knows of itself and of the members."""
+"""Provide operators with the status of this process and of the members."""
 
 import msgspec
 
@@ -30,7 +30,10 @@
         )
 
     async def nodes(self) -> tuple[NodeVersion, ...]:
-        """Return the nodes attached to any voter that answers; none on another process."""
+        """Return the nodes attached to any voter that replies.
+
+        The result is empty if this process has no voter.
+        """
         if self.control is None:
             return ()
         rows = await self.control.registry.status()
@@ -40,16 +43,21 @@
         )
 
     def upstreams(self) -> tuple[Upstream, ...]:
-        """Return every upstream a voter knows, or those beside this process."""
+        """Return every upstream that the voter knows.
+
+        Without a voter, return the upstreams beside this process.
+        """
         if self.control is not None:
             return self.control.upstreams()
         return tuple(owned.upstream for owned in self.owner.register.owned.values())
 
     def notices(self) -> tuple[NoticeStatus, ...]:
-        """Return what upstreams beside this process have said of themselves, of those that did."""
+        """Return the notices of the upstreams beside this process that have sent any."""
         states = [(name, owned.owner_state) for name, owned in self.owner.register.owned.items()]
         notices = (
             NoticeStatus(name, state.rate_limit.per_second, state.is_leaving)
             for name, state in states
         )
-        return tuple(one for one in notices if one.limit_per_s is not None or one.is_leaving)
+        return tuple(
+            notice for notice in notices if notice.limit_per_s is not None or notice.is_leaving
+        )
