--- a/packages/bendwind-node/src/bendwind_node/control/tests/test_service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/tests/test_service.py
@@ -12,7 +12,7 @@
 
 
 class FakeVoter:
-    """Answer a proposal as told; `stops` before or while it is under way."""
+    """Answer a proposal with a fixed result; `stopped` is the reason if it had stopped before."""
 
     def __init__(self, answer, stopped=None):
         self.answer = answer
@@ -29,15 +29,16 @@
         client = LogClient(FakeVoter(answer, stopped), ControlState(), ())
         return trio.run(client.propose, b"", clock=trio.testing.MockClock(autojump_threshold=0.0))
 
-    def test_returns_what_applying_gave(self):
+    def test_propose_returns_the_result_of_applying(self):
         self.assertEqual(self.propose(Ok(Applied(3, "value"))).ok, "value")
 
-    def test_names_the_leader_where_nothing_was_proposed(self):
+    def test_error_names_the_leader_if_this_voter_does_not_lead(self):
         refused = Error(consensus.NotLeader("b"))
         self.assertEqual(self.propose(refused).error, NotLeader("b"))
 
-    def test_says_nothing_was_accepted_only_if_the_voter_had_stopped_before(self):
-        # It was said too when the voter stopped with the command already on its way to others.
+    def test_no_quorum_is_reported_only_if_the_voter_stopped_before_the_proposal(self):
+        # NoQuorum was also reported if the voter stopped after it had sent the command to others,
+        # where the command could still be committed.
         stopped = Error(VoterStopped("disk failed"))
         self.assertIsInstance(self.propose(stopped, "disk failed").error, NoQuorum)
         self.assertIsInstance(self.propose(stopped).error, OutcomeUnknown)
--- a/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
@@ -19,12 +19,12 @@
 )
 
 
-def second_of(lost):
+def find_other_name(lost):
     return next(name for name in NAMES if name != lost)
 
 
-class Register:
-    """Keep every command, as a state machine would."""
+class RecordingStateMachine:
+    """Record every applied command."""
 
     def __init__(self):
         self.commands = []
@@ -40,8 +40,8 @@
         self.commands = data.split(b",") if data else []
 
 
-class Deployment:
-    """Run voters on real folders with links in memory."""
+class VoterCluster:
+    """Run voters with data in real folders and links in memory."""
 
     def __init__(self, nursery: trio.Nursery, folder: Path):
         self.nursery = nursery
@@ -49,20 +49,27 @@
         self.voters: dict[str, ControlVoter] = {}
         self.scopes: dict[str, trio.CancelScope] = {}
         self.recorders = {name: Recorder(name, lambda: 0, 1000) for name in NAMES}
-        self.cut: set[str] = set()
-        self.runs = 0
+        self.disconnected: set[str] = set()
+        self.start_count = 0
 
     def start(self, name: str, folder: str | None = None) -> ControlVoter:
-        self.runs += 1
+        self.start_count += 1
         files = open_folder(self.folder / (folder or name))
-        rng = random.Random(self.runs)
+        rng = random.Random(self.start_count)
 
         def send(to, message):
-            if to in self.voters and not {name, to} & self.cut:
+            if to in self.voters and not {name, to} & self.disconnected:
                 self.voters[to].deliver(name, message)
 
         opened = open_voter(
-            VoterPlace(name), NAMES, files, Register(), send, self.recorders[name], rng, SETTINGS
+            VoterPlace(name),
+            NAMES,
+            files,
+            RecordingStateMachine(),
+            send,
+            self.recorders[name],
+            rng,
+            SETTINGS,
         )
         self.voters[name] = opened.ok
         self.scopes[name] = trio.CancelScope()
@@ -87,10 +94,10 @@
             await trio.sleep(0.01)
 
     async def propose(self, command: bytes) -> Applied:
-        """Propose until a confirmed leader holds the command, each of which is proposed once.
+        """Propose a command until a confirmed leader has it; each command may be used only once.
 
-        Elections take 0.2 s here: on a busy machine a leader may lose its office before it answers,
-        and has told so by an error.
+        The election timeout is 0.2 s here: on a busy machine a leader may lose its leadership
+        before it answers, and then returns an error.
         """
         result = await (await self.leader()).propose(command)
         while result.is_error():
@@ -103,163 +110,164 @@
 
 
 class VoterTest(unittest.TestCase):
-    def test_place_of_whoever_offers_itself_is_learned(self):
-        # A voter that was replaced while it was away offers itself by another one's hand. A leader
-        # that did not know where to reach it answered nobody, and it stayed outside for good.
-        async def scenario(deployment):
-            learned = []
-            voter = deployment.start("a")
-            voter.update_member_address = learned.append
+    def test_address_of_an_offering_voter_is_reported(self):
+        # A voter that was replaced during an outage sends its offer through another voter. A leader
+        # that did not know the address of the sender could not reply, and the voter never rejoined.
+        async def scenario(cluster):
+            reported = []
+            voter = cluster.start("a")
+            voter.update_member_address = reported.append
             replaced = Voter("d", 7, "127.0.0.1", 4444)
             voter.deliver("b", Offer(replaced, is_passed_on=True))
-            self.assertEqual(learned, [replaced])
+            self.assertEqual(reported, [replaced])
 
-        self.run_deployment(scenario)
+        self.run_scenario(scenario)
 
-    def run_deployment(self, scenario) -> None:
+    def run_scenario(self, scenario) -> None:
         async def run():
             with tempfile.TemporaryDirectory() as folder, trio.fail_after(30):
                 async with trio.open_nursery() as nursery:
-                    await scenario(Deployment(nursery, Path(folder)))
+                    await scenario(VoterCluster(nursery, Path(folder)))
                     nursery.cancel_scope.cancel()
 
         trio.run(run)
 
-    def test_three_empty_voters_form_commit_and_survive_a_restart_of_all(self):
-        async def scenario(deployment):
+    def test_three_empty_voters_form_a_cluster_and_keep_commands_over_a_restart_of_all(self):
+        async def scenario(cluster):
             for name in NAMES:
-                deployment.start(name)
+                cluster.start(name)
             for number in range(50):
-                applied = await deployment.propose(b"%d" % number)
+                applied = await cluster.propose(b"%d" % number)
                 self.assertEqual(applied.value, number + 1)
-            leader = await deployment.leader()
+            leader = await cluster.leader()
             await leader.transfer_leadership()
             self.assertFalse(leader.is_leader)
             for name in NAMES:
-                await deployment.stop(name)
+                await cluster.stop(name)
             for name in NAMES:
-                deployment.start(name)
-            await deployment.leader()
-            for voter in deployment.voters.values():
+                cluster.start(name)
+            await cluster.leader()
+            for voter in cluster.voters.values():
                 self.assertTrue((await voter.barrier()).is_ok())
                 expected = [b"%d" % number for number in range(50)]
                 self.assertEqual(voter.state_machine.commands, expected)
 
-        self.run_deployment(scenario)
+        self.run_scenario(scenario)
 
-    def test_an_emptied_voter_learns_then_votes_and_its_old_disk_never_does_again(self):
-        async def scenario(deployment):
+    def test_voter_with_an_empty_disk_rejoins_and_its_old_disk_stays_removed(self):
+        async def scenario(cluster):
             for name in NAMES:
-                deployment.start(name)
-            await deployment.propose(b"x")
-            lost = next(name for name in NAMES if deployment.voters[name].is_leader)
-            old_id = deployment.voters[lost].replica.voter.voter_id
-            await deployment.stop(lost)
+                cluster.start(name)
+            await cluster.propose(b"x")
+            lost = next(name for name in NAMES if cluster.voters[name].is_leader)
+            old_id = cluster.voters[lost].replica.voter.voter_id
+            await cluster.stop(lost)
             for number in range(40):
-                await deployment.propose(b"%d" % number)
-            new = deployment.start(lost, lost + "-new")
-            # As long as both count, a second voter that stops holds the change up until it is back.
+                await cluster.propose(b"%d" % number)
+            new = cluster.start(lost, lost + "-new")
+            # While the old and the new voter both count, the change is blocked if a second voter
+            # stops, until that voter is back.
             while new.replica.voter not in new.replica.voters.voters:
                 await trio.sleep(0.02)
-            kinds = {event.kind for event in deployment.recorders[second_of(lost)].events}
+            kinds = {event.kind for event in cluster.recorders[find_other_name(lost)].events}
             self.assertIn(EventKind.VOTER_REPLACEMENT_BEGUN, kinds)
-            second = second_of(lost)
-            await deployment.stop(second)
-            await deployment.propose(b"y")
+            second = find_other_name(lost)
+            await cluster.stop(second)
+            await cluster.propose(b"y")
             self.assertTrue((await new.barrier()).is_ok())
             self.assertEqual(len(new.state_machine.commands), 42)
-            await deployment.stop(lost)
-            deployment.start(second)
-            await deployment.leader()
-            old = deployment.start(lost)
+            await cluster.stop(lost)
+            cluster.start(second)
+            await cluster.leader()
+            old = cluster.start(lost)
             while old.replica.role != "removed":
                 await trio.sleep(0.02)
             self.assertEqual(old.replica.voter.voter_id, old_id)
-            kinds = {event.kind for event in deployment.recorders[lost].events}
+            kinds = {event.kind for event in cluster.recorders[lost].events}
             self.assertIn(EventKind.VOTER_REPLACED, kinds)
 
-        self.run_deployment(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_failing_disk_stops_the_voter_and_answers_its_callers(self):
-        async def scenario(deployment):
+    def test_disk_failure_stops_the_voter_and_fails_its_requests(self):
+        async def scenario(cluster):
             for name in NAMES:
-                deployment.start(name)
-            leader = await deployment.leader()
+                cluster.start(name)
+            leader = await cluster.leader()
 
             leader.store.files = FailingFiles(leader.store.files)
             error = (await leader.propose(b"z")).error
             self.assertIsInstance(error, VoterStopped)
             self.assertIn("No space left", error.reason)
             name = leader.replica.voter.name
-            kinds = {event.kind for event in deployment.recorders[name].events}
+            kinds = {event.kind for event in cluster.recorders[name].events}
             self.assertIn(EventKind.DISK_FAILED, kinds)
-            del deployment.voters[name]
-            self.assertIsNotNone(await deployment.propose(b"z"))
+            del cluster.voters[name]
+            self.assertIsNotNone(await cluster.propose(b"z"))
 
-        self.run_deployment(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_voter_whose_disk_takes_writes_again_takes_part_again(self):
-        # It stayed away until its process was restarted, which nobody did: one loss was used up
-        # for good by a disk that had been full for some seconds.
-        async def scenario(deployment):
+    def test_voter_resumes_when_its_disk_accepts_writes_again(self):
+        # Such a voter stayed stopped until its process was restarted. A disk that was full for some
+        # seconds thus permanently used up one of the losses that the cluster tolerates.
+        async def scenario(cluster):
             for name in NAMES:
-                deployment.start(name)
-            leader = await deployment.leader()
+                cluster.start(name)
+            leader = await cluster.leader()
             name = leader.replica.voter.name
             for number in range(8):
-                await deployment.propose(b"%d" % number)
+                await cluster.propose(b"%d" % number)
             files = leader.store.files = FailingFiles(leader.store.files)
             await leader.propose(b"lost")
             self.assertIsNotNone(leader.stopped)
             others = [other for other in NAMES if other != name]
             for number in range(8, 8 + 3 * SETTINGS.snapshot_entries):
-                await deployment.propose(b"%d" % number)
+                await cluster.propose(b"%d" % number)
             files.is_full = False
             while leader.stopped is not None:
                 await trio.sleep(0.05)
-            kinds = {event.kind for event in deployment.recorders[name].events}
+            kinds = {event.kind for event in cluster.recorders[name].events}
             self.assertIn(EventKind.DISK_RECOVERED, kinds)
-            await deployment.stop(others[0])
-            await deployment.propose(b"last")
+            await cluster.stop(others[0])
+            await cluster.propose(b"last")
             while b"last" not in leader.state_machine.commands:
                 await trio.sleep(0.02)
-            expected = deployment.voters[others[1]].state_machine.commands
+            expected = cluster.voters[others[1]].state_machine.commands
             self.assertEqual(leader.state_machine.commands, expected)
             self.assertEqual(len(set(expected)), len(expected))
 
-        self.run_deployment(scenario)
+        self.run_scenario(scenario)
 
-    def test_what_was_applied_before_a_disk_failed_is_not_applied_again(self):
-        async def scenario(deployment):
+    def test_entries_applied_before_a_disk_failure_are_not_applied_again(self):
+        async def scenario(cluster):
             for name in NAMES:
-                deployment.start(name)
+                cluster.start(name)
             for number in range(8):
-                await deployment.propose(b"%d" % number)
-            for voter in list(deployment.voters.values()):
-                await deployment.propose(b"before %d" % voter.replica.voter.voter_id)
+                await cluster.propose(b"%d" % number)
+            for voter in list(cluster.voters.values()):
+                await cluster.propose(b"before %d" % voter.replica.voter.voter_id)
                 files = voter.store.files = FailingFiles(voter.store.files)
                 while voter.stopped is None:
-                    deployment.nursery.start_soon(self.propose_once, deployment)
+                    cluster.nursery.start_soon(self.propose_once, cluster)
                     await trio.sleep(0.02)
                 files.is_full = False
                 while voter.stopped is not None:
                     await trio.sleep(0.05)
-            await deployment.propose(b"last")
-            for voter in deployment.voters.values():
+            await cluster.propose(b"last")
+            for voter in cluster.voters.values():
                 self.assertTrue((await voter.barrier()).is_ok())
                 commands = [c for c in voter.state_machine.commands if c != b"filler"]
                 self.assertEqual(len(set(commands)), len(commands))
 
-        self.run_deployment(scenario)
+        self.run_scenario(scenario)
 
-    async def propose_once(self, deployment):
-        for voter in deployment.voters.values():
+    async def propose_once(self, cluster):
+        for voter in cluster.voters.values():
             if voter.is_leader and voter.stopped is None:
                 await voter.propose(b"filler")
 
 
 class FailingFiles:
-    """Pass everything on to real files, but refuse writes while the disk is full."""
+    """Forward every call to real files, but refuse writes while the disk is full."""
 
     def __init__(self, files):
         self.files = files
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_daemon.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_daemon.py
@@ -15,7 +15,7 @@
 from bendwind_node.daemon import run_daemon
 from bendwind_node.settings import load_settings
 
-# One voter needs no link to itself, so that the port in [[voters]] is never dialed.
+# A single voter needs no link to itself, so the port in [[voters]] is never dialed.
 VOTER = """
 [instance]
 name = "a"
@@ -55,8 +55,8 @@
 INTENT = '[[services]]\nname = "emisor"\nupstreams = ["emisor-*"]\n'
 
 
-class PortWatch(logging.Handler):
-    """Hear from the log at which ports a process serves."""
+class PortRecorder(logging.Handler):
+    """Record the ports of a process from its log."""
 
     def __init__(self):
         super().__init__(logging.INFO)
@@ -72,7 +72,7 @@
             self.is_started.set()
 
 
-def run_line(*arguments) -> tuple[int, str]:
+def run_command(*arguments) -> tuple[int, str]:
     out = io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
         code = run_arguments(list(arguments))
@@ -93,7 +93,7 @@
             self.assertTrue(make_keys(command).is_ok())
         (self.folder / "a.toml").write_text(VOTER)
         (self.folder / "intent.toml").write_text(INTENT)
-        self.log = PortWatch()
+        self.log = PortRecorder()
         logger = logging.getLogger("bendwind")
         logger.addHandler(self.log)
         self.addCleanup(logger.removeHandler, self.log)
@@ -106,38 +106,40 @@
         return f"--settings={file}"
 
     async def operate(self, *arguments, code=0) -> str:
-        found, text = await trio.to_thread.run_sync(run_line, *arguments)
-        self.assertEqual(found, code, text)
+        actual_code, text = await trio.to_thread.run_sync(run_command, *arguments)
+        self.assertEqual(actual_code, code, text)
         return text
 
-    async def use(self):
+    async def operate_voter(self):
         await self.log.is_started.wait()
         self.assertIn(" data_centre=x", self.log.detail)
-        line = self.write_client("operator-oncall")
-        plan = await self.operate("plan", str(self.folder / "intent.toml"), line)
+        settings_option = self.write_client("operator-oncall")
+        plan = await self.operate("plan", str(self.folder / "intent.toml"), settings_option)
         id = re.search(r"bendwind confirm (\S+)", plan)[1]
-        self.assertIn("confirmed as version", await self.operate("confirm", id, line))
-        status = await self.operate("status", "--json", line)
+        self.assertIn("confirmed as version", await self.operate("confirm", id, settings_option))
+        status = await self.operate("status", "--json", settings_option)
         self.assertIn(f'"operators":"127.0.0.1:{self.log.operators}"', status)
-        self.assertIn("PLAN_CONFIRMED", await self.operate("timeline", f"--plan={id}", line))
-        # Another instance's key is a key of the deployment, and no operator's.
+        self.assertIn(
+            "PLAN_CONFIRMED", await self.operate("timeline", f"--plan={id}", settings_option)
+        )
+        # An instance's key is a valid key of the deployment but not that of an operator.
         await self.operate("status", self.write_client("a"), code=7)
-        refused = await self.operate("timeline", "--event=HANDSHAKE_REFUSED", line)
+        refused = await self.operate("timeline", "--event=HANDSHAKE_REFUSED", settings_option)
         self.assertIn("expected the certificate of an operator", refused)
-        await self.operate("stop", "a", line)
+        await self.operate("stop", "a", settings_option)
 
-    async def run_both(self):
+    async def run_daemon_and_operator(self):
         settings = load_settings(self.folder / "a.toml").ok
         with trio.fail_after(120):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.use)
+                nursery.start_soon(self.operate_voter)
                 ended = await run_daemon(settings)
         self.assertTrue(ended.is_ok())
 
-    def test_an_operator_with_a_certificate_plans_watches_and_stops_a_voter(self):
-        trio.run(self.run_both)
+    def test_operator_with_a_certificate_plans_inspects_and_stops_a_voter(self):
+        trio.run(self.run_daemon_and_operator)
 
-    def test_keys_that_cannot_be_used_stop_the_start(self):
+    def test_unusable_keys_fail_the_start(self):
         (self.folder / "keys/a.key").write_text("garbage")
         settings = load_settings(self.folder / "a.toml").ok
         ended = trio.run(run_daemon, settings)
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_dispatcher.py
@@ -9,7 +9,7 @@
 from bendwind_core.quotas import QuotaLoan, QuotaLoanRequest, QuotaReply, QuotaRequest, QuotaReturn
 from bendwind_node.daemon.dispatcher import Dispatcher
 
-TO_NODE = (
+MEMBERSHIP_MESSAGES = (
     member.HeartbeatReply,
     member.ConfigurationChanged,
     member.WatchUpdate,
@@ -23,32 +23,36 @@
         self.dispatcher.entry = types.SimpleNamespace(receive="entry")
         self.dispatcher.owner = types.SimpleNamespace(receive="owner")
 
-    def find(self, kind):
+    def choose_handler(self, kind):
         return self.dispatcher._choose_handler(kind)
 
-    def test_all_that_a_voter_tells_a_node_reaches_its_membership(self):
-        for kind in TO_NODE:
-            self.assertEqual(self.find(kind), self.dispatcher._dispatch_to_membership, kind)
+    def test_messages_from_voters_to_nodes_reach_membership(self):
+        for kind in MEMBERSHIP_MESSAGES:
+            self.assertEqual(
+                self.choose_handler(kind), self.dispatcher._dispatch_to_membership, kind
+            )
 
-    def test_only_claim_messages_reach_the_claims(self):
-        taken = {
+    def test_only_claim_messages_reach_the_claim_task(self):
+        dispatched = {
             kind
             for kind in typing.get_args(PeerMessage)
-            if self.find(kind) == self.dispatcher._dispatch_to_claims
+            if self.choose_handler(kind) == self.dispatcher._dispatch_to_claims
         }
-        self.assertLessEqual(taken, set(typing.get_args(ClaimMessage)))
+        self.assertLessEqual(dispatched, set(typing.get_args(ClaimMessage)))
 
-    def test_questions_about_quotas_reach_the_voter_and_answers_the_node(self):
-        self.assertEqual(self.find(QuotaReply), self.dispatcher._dispatch_to_quotas)
+    def test_quota_requests_reach_the_voter_and_quota_replies_the_node(self):
+        self.assertEqual(self.choose_handler(QuotaReply), self.dispatcher._dispatch_to_quotas)
         for kind in (QuotaRequest, QuotaReturn, QuotaLoan, QuotaLoanRequest):
-            self.assertIsNone(self.find(kind), kind)
+            self.assertIsNone(self.choose_handler(kind), kind)
         self.dispatcher.control = types.SimpleNamespace()
         for kind in (QuotaRequest, QuotaReturn, QuotaLoan, QuotaLoanRequest):
-            self.assertEqual(self.find(kind), self.dispatcher._dispatch_to_voter_quotas, kind)
+            self.assertEqual(
+                self.choose_handler(kind), self.dispatcher._dispatch_to_voter_quotas, kind
+            )
 
-    def test_greetings_have_no_task(self):
-        self.assertIsNone(self.find(Hello))
-        self.assertIsNone(self.find(Goodbye))
+    def test_hello_and_goodbye_have_no_handler(self):
+        self.assertIsNone(self.choose_handler(Hello))
+        self.assertIsNone(self.choose_handler(Goodbye))
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_metrics_page.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_metrics_page.py
@@ -11,7 +11,7 @@
 
 
 class MetricsPageTest(unittest.TestCase):
-    def test_only_its_own_path_answers_with_the_metrics(self):
+    def test_only_the_configured_path_returns_metrics(self):
         async def main():
             for path, status in (("/x", 200), ("/other", 404)):
                 page = MetricsPage(Metrics(lambda: [Sample(Metric.FRESH, 1)]), path)
@@ -22,10 +22,10 @@
 
         trio.run(main)
 
-    def test_process_without_its_port_goes_on_and_says_so(self):
+    def test_process_continues_and_records_an_occupied_metrics_port(self):
         async def main():
-            taken = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            port = taken[0].socket.getsockname()[1]
+            occupied = await trio.open_tcp_listeners(0, host="127.0.0.1")
+            port = occupied[0].socket.getsockname()[1]
             recorder = Recorder("a", lambda: 1, 10)
             daemon = types.SimpleNamespace(recorder=recorder)
             async with trio.open_nursery() as nursery:
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
@@ -13,7 +13,7 @@
 
 
 class FakeRegister:
-    """Note when the owner stops to take attempts, and hold one upstream."""
+    """Record when the owner stops accepting attempts, and hold one upstream."""
 
     def __init__(self):
         self.drained_at = None
@@ -25,9 +25,9 @@
 
     def left(self, name):
         self.has_left = True
-        self.note_left()
+        self.on_left()
 
-    def note_left(self):
+    def on_left(self):
         pass
 
 
@@ -70,17 +70,18 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    def test_request_that_comes_after_the_last_look_at_the_work_is_not_left_unanswered(self):
-        # The process looked, found no work, and ended some milliseconds later; it read on from kept
-        # connections meanwhile, and what came there was passed on and cut:
+    def test_request_after_the_last_check_for_work_is_not_left_unanswered(self):
+        # The process checked for work, found none, and ended some milliseconds later. Meanwhile it
+        # still read from keep-alive connections: requests received there were sent to upstreams and
+        # then cut. The times in seconds of one such case:
         #      9.9502  UPSTREAM_DRAINED, UPSTREAM_GONE
-        #      9.9592  a request that came after that starts at its upstream
-        #      9.9793  PROCESS_STOPPED; no CALL_FINISHED for it
+        #      9.9592  a request received later starts at its upstream
+        #      9.9793  PROCESS_STOPPED, without CALL_FINISHED for that request
         account = RequestAccount("callers")
-        has_looked = trio.Event()
+        has_checked = trio.Event()
 
         def is_idle():
-            has_looked.set()
+            has_checked.set()
             return True
 
         async def handle(exchange):
@@ -104,7 +105,7 @@
                 daemon.callers_closed.set()
 
             async def use_kept_connection(stream):
-                await has_looked.wait()
+                await has_checked.wait()
                 await call(stream)
 
             async with trio.open_nursery() as nursery:
@@ -118,9 +119,10 @@
         trio.run(main)
         self.assertEqual((account.received, account.ended), (1, {Ending.ANSWERED: 1}))
 
-    def test_request_without_an_attempt_is_waited_for(self):
-        # What a stopping node counted were attempts. A request that had none yet, since its
-        # body was being read, or that was being answered ended with the process, unanswered.
+    def test_stop_waits_for_a_request_without_an_attempt(self):
+        # A stopping node counted attempts only. A request that had no attempt yet, since its body
+        # was still being read, or whose answer was being sent remained unanswered when the process
+        # ended.
         account = RequestAccount("callers")
         account.record_received()
         daemon = make_daemon(FakeRegister(), [account])
@@ -137,20 +139,21 @@
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_request_that_is_half_in_does_not_begin_after_the_last_look(self):
-        # The rest of an operator's change came some milliseconds before the process ended: it
-        # began, was given up at once, and its caller could not know what had become of it.
+    def test_partially_received_request_does_not_begin_after_the_last_check(self):
+        # The rest of an operator's change arrived some milliseconds before the process ended. The
+        # change began and was cancelled immediately, and its caller could not know the outcome.
         register = FakeRegister()
         daemon = make_daemon(register)
         daemon.auxiliary_closed.append(trio.Event())
         daemon.auxiliary_scopes.append(trio.CancelScope())
         ended = []
-        register.note_left = lambda: ended.append(daemon.auxiliary_scopes[0].cancel_called)
+        register.on_left = lambda: ended.append(daemon.auxiliary_scopes[0].cancel_called)
         trio.run(_stop, daemon, clock=trio.testing.MockClock(autojump_threshold=0))
         self.assertEqual(ended, [True])
 
-    def test_upstream_stays_in_use_until_callers_have_been_sent_elsewhere(self):
-        # It was drained at once, and its service did without it for the whole notice.
+    def test_upstream_stays_in_use_until_callers_have_been_redirected(self):
+        # The upstream was drained immediately, and its service lacked its capacity for the whole
+        # notice period.
         register = FakeRegister()
         daemon = make_daemon(register)
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_quotas.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Take tokens through two whole processes: a voter and a node, over a link."""
+"""Test the acquisition of tokens with two complete processes, a voter and a node, over a link."""
 
 import math
 import tempfile
@@ -40,22 +40,22 @@
         self.folder = Path(folder.name)
 
     async def start(self, nursery, name, port, tables=""):
-        """Start a process and return its parts once it serves."""
+        """Start a process and return its Daemon once it serves."""
         file = self.folder / f"{name}.toml"
         file.write_text(SETTINGS.format(name=name, port=port) + tables)
         started = trio.Event()
-        parts = []
+        daemons = []
 
         async def serve(daemon, _):
-            parts.append(daemon)
+            daemons.append(daemon)
             started.set()
             return Ok(None)
 
         nursery.start_soon(run_daemon, load_settings(file).ok, Extension(serve=serve))
         await started.wait()
-        return parts[0]
+        return daemons[0]
 
-    async def play(self):
+    async def run_processes(self):
         with trio.fail_after(120):
             async with trio.open_nursery() as nursery:
                 voter = await self.start(nursery, "a", 1, CONTROL)
@@ -66,25 +66,25 @@
                 control.client.state.configuration = Configuration(1, customers=(MARIA,))
                 quotas = node.dispatcher.quotas
                 quotas.find_customer = {"maria": MARIA}.get
-                await self.check(quotas)
+                await self.check_quota(quotas)
                 nursery.cancel_scope.cancel()
 
-    async def check(self, quotas):
-        # Until the voter has applied the limit and fills its buckets there is no token.
+    async def check_quota(self, quotas):
+        # No token is available until the voter has applied the limit and refills its buckets.
         while (await quotas.acquire_token("maria", None, math.inf)).is_error():
             await trio.sleep(0.05)
-        taken, refusal = 1, None
+        acquired, refusal = 1, None
         while refusal is None:
             outcome = await quotas.acquire_token("maria", None, math.inf)
-            taken += outcome.is_ok()
+            acquired += outcome.is_ok()
             refusal = outcome.error if outcome.is_error() else None
         self.assertEqual((refusal.reason, refusal.voter), (NotRunReason.OVER_QUOTA, "a"))
-        self.assertGreaterEqual(taken, 30)
+        self.assertGreaterEqual(acquired, 30)
         await trio.sleep(refusal.retry_after_ms / MILLISECONDS_PER_SECOND)
         self.assertTrue((await quotas.acquire_token("maria", None, math.inf)).is_ok())
 
-    def test_a_node_takes_what_its_voter_holds_and_no_more(self):
-        trio.run(self.play)
+    def test_node_acquires_as_many_tokens_as_its_voter_grants(self):
+        trio.run(self.run_processes)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_reload.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_reload.py
@@ -12,16 +12,16 @@
 
 class FakeDispatcher:
     def __init__(self):
-        self.hub = types.SimpleNamespace(learn_address=self.note)
-        self.membership = types.SimpleNamespace(set_seeds=self.take)
+        self.hub = types.SimpleNamespace(learn_address=self.record_address)
+        self.membership = types.SimpleNamespace(set_seeds=self.record_seeds)
         self.control = None
         self.addresses = {}
         self.seeds = None
 
-    def note(self, name, host, port, data_centre):
+    def record_address(self, name, host, port, data_centre):
         self.addresses[name] = (host, port)
 
-    def take(self, seeds):
+    def record_seeds(self, seeds):
         self.seeds = seeds
 
 
@@ -40,7 +40,7 @@
     def reload(self):
         reload_settings(self.daemon, self.file, load_settings)
 
-    def test_changed_voters_are_taken_over(self):
+    def test_changed_voters_are_applied(self):
         more = '[[voters]]\nname = "b"\nhost = "127.0.0.2"\nport = 7102\n'
         self.file.write_text(PLAIN + more)
         self.reload()
@@ -50,7 +50,7 @@
         self.assertEqual(len(self.daemon.settings.voters), 2)
         self.assertEqual(self.daemon.recorder.counts[EventKind.SETTINGS_RELOADED], 1)
 
-    def test_faulty_file_changes_nothing_and_is_recorded(self):
+    def test_invalid_file_changes_nothing_and_is_recorded(self):
         before = self.daemon.settings
         self.file.write_text("[peers")
         self.reload()
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_suspension.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_suspension.py
@@ -1,7 +1,8 @@
-"""Stop a process for longer than its lease, and check that nothing outlives that.
+"""Test that proofs of freshness expire while a process is suspended for longer than its lease.
 
-A machine stood still for seconds. The clock that the process went by left that time out: its proof
-that it had the newest configuration, its leases and its callers' deadlines were as young as before.
+A machine was suspended for seconds, and the clock of the process did not count that time. After it
+the process still considered its proof of the newest configuration, its leases and its callers'
+deadlines as valid as before.
 """
 
 import json
@@ -42,7 +43,7 @@
 
 
 class SuspendedClock(SteadyClock):
-    """Go by a steady clock that can be made to have stood still for a time."""
+    """Return the time of a steady clock plus the simulated time of suspensions."""
 
     __slots__ = ("omitted",)
 
@@ -56,24 +57,24 @@
         return deadline - self.current_time()
 
 
-class Events(logging.Handler):
-    """Keep the events that a process records, and wake whoever waits for one."""
+class EventCollector(logging.Handler):
+    """Record the kinds of events that a process logs, and wake the tasks that wait for one."""
 
     def __init__(self):
         super().__init__(logging.INFO)
         self.kinds = []
-        self.news = trio.Event()
+        self.has_new_event = trio.Event()
 
     def emit(self, record):
         event = getattr(record, "event", None)
         if event is not None:
             self.kinds.append(event.kind)
-            self.news.set()
+            self.has_new_event.set()
 
     async def wait(self, kind, since=0):
         while kind not in self.kinds[since:]:
-            self.news = trio.Event()
-            await self.news.wait()
+            self.has_new_event = trio.Event()
+            await self.has_new_event.wait()
 
 
 class SuspensionTest(unittest.TestCase):
@@ -83,8 +84,8 @@
         self.file = Path(folder.name, "a.toml")
         self.file.write_text(SETTINGS)
 
-    def test_proof_does_not_outlive_a_suspension_that_the_waiting_clock_leaves_out(self):
-        events = Events()
+    def test_proof_expires_in_a_suspension_that_the_sleep_clock_leaves_out(self):
+        events = EventCollector()
         clock = SuspendedClock()
         logger = logging.getLogger("bendwind")
         logger.addHandler(events)
@@ -108,19 +109,19 @@
         lost = events.kinds.count(EventKind.FRESHNESS_LOST)
         self.assertGreaterEqual(lost, 3)
 
-    def test_stopped_process_knows_on_waking_that_its_proof_is_over(self):
+    def test_resumed_process_detects_that_its_proof_has_expired(self):
         async def main():
             command = [sys.executable, "-m", "bendwind_node.main", "--config", str(self.file)]
             with trio.fail_after(600):
                 process = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE)
                 names = read_names(process.stdout)
                 try:
-                    await read_up_to(names, "FRESHNESS_GAINED")
+                    await read_until(names, "FRESHNESS_GAINED")
                     process.send_signal(signal.SIGSTOP)
                     await trio.sleep(3 * LEASE_S)
                     process.send_signal(signal.SIGCONT)
-                    await read_up_to(names, "FRESHNESS_LOST")
-                    await read_up_to(names, "FRESHNESS_GAINED")
+                    await read_until(names, "FRESHNESS_LOST")
+                    await read_until(names, "FRESHNESS_GAINED")
                 finally:
                     process.kill()
                     await process.wait()
@@ -129,7 +130,7 @@
 
 
 async def read_names(stream):
-    """Yield the names of the events that a process logs."""
+    """Yield the name of each event that a process logs."""
     data = b""
     async for part in stream:
         data += part
@@ -139,7 +140,7 @@
                 yield json.loads(line)["name"]
 
 
-async def read_up_to(names, wanted):
+async def read_until(names, wanted):
     async for name in names:
         if name == wanted:
             return
