--- a/packages/bendwind-node/src/bendwind_node/control/service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/service.py
@@ -166,10 +166,10 @@
 
         Before a cluster has formed, these are the voters that the settings name.
         """
-        configured_voters = {place.name: place for place in self.configured_voters}
+        configured_by_name = {place.name: place for place in self.configured_voters}
         present = self.voter.replica.voters.former
         return (
-            tuple(_find_place(member, configured_voters) for member in present)
+            tuple(_find_place(member, configured_by_name) for member in present)
             or self.configured_voters
         )
 
@@ -178,9 +178,9 @@
         return (await self.voter.barrier()).is_ok()
 
 
-def _find_place(voter: consensus.Voter, configured_voters: Mapping[str, VoterPlace]) -> VoterPlace:
+def _find_place(voter: consensus.Voter, configured_by_name: Mapping[str, VoterPlace]) -> VoterPlace:
     if not voter.host:
-        return configured_voters.get(voter.name, VoterPlace(voter.name))
+        return configured_by_name.get(voter.name, VoterPlace(voter.name))
     return VoterPlace(voter.name, voter.data_centre, voter.host, voter.port)
 
 
@@ -228,7 +228,7 @@
         )
 
     def _update_incarnations(self, now: Seconds) -> None:
-        """Record the nodes seen since the start or since the last period without a quorum.
+        """Record the nodes that were alive since the start or the last period without a quorum.
 
         Nodes that find no voter with a quorum retry at increasing intervals. For a few leases after
         such a period, a node that has sent no heartbeat is therefore not considered lost.
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -178,5 +178,5 @@
     dispatcher = daemon.dispatcher
     has_requests = any(account.in_flight for account in daemon.accounts)
     has_calls = bool(dispatcher.entry.runs) or not dispatcher.owner.is_idle()
-    # A resent request would be answered as unknown if no claim holder has confirmed its outcome.
+    # While no claim holder has confirmed an outcome, a resent request would be answered as unknown.
     return has_requests or has_calls or bool(dispatcher.claims.entry.pending_settlements)
