--- a/packages/bendwind-node/src/bendwind_node/control/service.py
+++ b/packages/bendwind-node/src/bendwind_node/control/service.py
@@ -1,4 +1,4 @@
-"""Run a control voter's tasks: the log, the registry of nodes, the placement of claims."""
+"""Run a control voter's tasks: log, registry of nodes, placement of claims, quotas."""
 
 import random
 from collections.abc import Callable, Iterable, Mapping
@@ -38,26 +38,27 @@
 from bendwind_node.storage import StoreError, open_folder
 
 PROPOSAL_TIMEOUT: Seconds = 5.0
-SETTLING_LEASES = 3.0
-DEFAULT_BOUNDS = QuotaBounds()
+RETURN_PERIOD_LEASES = 3.0
+DEFAULT_QUOTA_BOUNDS = QuotaBounds()
 
 
 class LogClient(msgspec.Struct, eq=False):
-    """Propose to the log and read its state, as the operators' API and the registry ask.
+    """Propose to the log and read its state, for the operators' API and the registry.
 
-    `listed` are the voters that the settings name, `stated_data_centres` the data centres;
-    `list_seen` gives those of the processes that are alive.
+    `configured_voters` and `configured_data_centres` come from the settings.
+    `list_alive_data_centres` returns the data centres of the processes that are alive.
     """
 
     voter: ControlVoter
     state: ControlState
-    listed: tuple[VoterPlace, ...]
-    stated_data_centres: frozenset[str] = frozenset()
-    list_seen: Callable[[], Iterable[str]] = lambda: ()
+    configured_voters: tuple[VoterPlace, ...]
+    configured_data_centres: frozenset[str] = frozenset()
+    list_alive_data_centres: Callable[[], Iterable[str]] = lambda: ()
 
     async def propose(self, command: bytes) -> Result[CommandResult, ControlError]:
-        """Propose a command and return its result once it has been applied here."""
-        # A voter that stops in between may have handed the command to others before.
+        """Propose a command and return its result once it is applied on this voter."""
+        # A voter that stops during the proposal may already have sent the command to others, so
+        # the outcome is unknown then.
         was_running = self.voter.stopped is None
         with trio.move_on_after(PROPOSAL_TIMEOUT):
             match await self.voter.propose(command):
@@ -66,41 +67,44 @@
                 case Result(error=consensus.NotLeader() as error):
                     return Error(NotLeader(error.leader))
                 case Result(error=consensus.Refused()):
-                    return Error(NoQuorum("the leader takes no commands now"))
+                    return Error(NoQuorum("the leader does not accept commands at present"))
                 case Result(error=VoterStopped(reason=reason)) if not was_running:
                     return Error(NoQuorum(f"this voter has stopped: {reason}"))
         return Error(OutcomeUnknown("leadership was lost or no quorum answered in time"))
 
     async def barrier(self) -> Result[int, ControlError]:
-        """Return an applied index that a quorum has confirmed as the newest since the call."""
+        """Return an applied index that a quorum confirmed as the newest after the call began."""
         with trio.move_on_after(PROPOSAL_TIMEOUT):
             match await self.voter.barrier():
                 case Result(tag="ok", ok=confirmed):
                     return Ok(confirmed.index)
                 case Result(error=Unconfirmed(leader=leader)):
-                    return Error(NoQuorum(f"no quorum confirmed it; last leader: {leader}"))
+                    return Error(NoQuorum(f"no quorum confirmed the state; last leader: {leader}"))
                 case Result(error=VoterStopped(reason=reason)):
                     return Error(NoQuorum(f"this voter has stopped: {reason}"))
         return Error(NoQuorum("no quorum answered in time"))
 
     def data_centres(self) -> frozenset[str]:
-        """Return the data centres of the settings, else those of voters and of processes alive."""
-        if self.stated_data_centres:
-            return self.stated_data_centres
+        """Return the data centres from the settings.
+
+        Without them, return the data centres of the voters and of the processes that are alive.
+        """
+        if self.configured_data_centres:
+            return self.configured_data_centres
         voters = {place.data_centre for place in self.voter_places}
-        return frozenset(voters.union(self.list_seen())) - {""}
+        return frozenset(voters.union(self.list_alive_data_centres())) - {""}
 
     def leader(self) -> str | None:
-        """Return the name of the leader, or None where it is not known."""
+        """Return the name of the leader, or None if it is unknown."""
         return self.voter.leader_name
 
     def voters(self) -> tuple[VoterStatus, ...]:
-        """Return every voter as this one sees it."""
+        """Return the status of every voter as known to this one."""
         own = self.voter.status()
         return tuple(self._describe(member.name, own) for member in own.voters.members)
 
     def replacement(self) -> ReplacementStatus | None:
-        """Return the replacement of a voter that is under way, as this voter sees it."""
+        """Return the voter replacement in progress as known to this voter, or None."""
         own = self.voter.status()
         if not own.voters.is_joint:
             return None
@@ -141,9 +145,10 @@
 
     @property
     def voter_id(self) -> int | None:
-        """Return this process's id among the committed voters, None if it is none of them.
+        """Return this process's id among the committed voters, or None if it is not a voter.
 
-        A voter that is being replaced counts until its successor alone does: never both at once.
+        A voter that is being replaced counts until only its successor counts: the two never count
+        at the same time.
         """
         replica = self.voter.replica
         own = replica.voter.voter_id
@@ -157,36 +162,42 @@
 
     @property
     def voter_places(self) -> tuple[VoterPlace, ...]:
-        """Return the present voters and where they are; those of the settings before any formed."""
-        listed = {place.name: place for place in self.listed}
+        """Return the current voters with their addresses.
+
+        Before a cluster has formed, these are the voters that the settings name.
+        """
+        configured_by_name = {place.name: place for place in self.configured_voters}
         present = self.voter.replica.voters.old_voters
-        return tuple(_place(member, listed) for member in present) or self.listed
+        return (
+            tuple(_find_place(member, configured_by_name) for member in present)
+            or self.configured_voters
+        )
 
     async def confirm(self) -> bool:
-        """Run a quorum round; after True, all that was accepted before the call is applied."""
+        """Run a quorum round; True means that all entries accepted before the call are applied."""
         return (await self.voter.barrier()).is_ok()
 
 
-def _place(voter: consensus.Voter, listed: Mapping[str, VoterPlace]) -> VoterPlace:
+def _find_place(voter: consensus.Voter, configured_by_name: Mapping[str, VoterPlace]) -> VoterPlace:
     if not voter.host:
-        return listed.get(voter.name, VoterPlace(voter.name))
+        return configured_by_name.get(voter.name, VoterPlace(voter.name))
     return VoterPlace(voter.name, voter.data_centre, voter.host, voter.port)
 
 
 class ControlService(msgspec.Struct, eq=False):
-    """Own the tasks of a control voter."""
+    """Hold and run the tasks of a control voter."""
 
     voter: ControlVoter
     client: LogClient
     registry: RegistryTask
     placer: ClaimPlacer
     quotas: VoterQuotaTask
-    led_since: Seconds | None = None
-    settled_at: Seconds | None = None
-    heard: dict[str, int] = msgspec.field(default_factory=dict)
+    leader_since: Seconds | None = None
+    return_period_ends_at: Seconds | None = None
+    newest_incarnations: dict[str, int] = msgspec.field(default_factory=dict)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run until cancelled; a voter whose disk fails rests until it takes writes again."""
+        """Run until cancelled; a voter whose disk fails pauses until the disk accepts writes."""
         async with trio.open_nursery() as nursery:
             await nursery.start(run_voter, self.voter)
             await nursery.start(self.registry.run)
@@ -195,44 +206,44 @@
             task_status.started()
 
     def view_placement(self) -> PlacementView | None:
-        """Return what the placement of claims needs; None while this voter does not lead."""
+        """Return the input for the placement of claims, or None if this voter is not the leader."""
         now = trio.current_time()
-        self._note_heard(now)
+        self._update_incarnations(now)
         if not self.voter.is_leader:
-            self.led_since = None
+            self.leader_since = None
             return None
-        if self.led_since is None:
-            self.led_since = now
+        if self.leader_since is None:
+            self.leader_since = now
         owners: dict[str, set[str]] = {}
         for upstream in self.upstreams():
             owners.setdefault(upstream.service, set()).add(upstream.owner.name)
         return PlacementView(
-            now - self.led_since,
+            now - self.leader_since,
             self.client.configuration.services,
             self.client.claim_groups,
             self.registry.alive(),
             {service: frozenset(names) for service, names in owners.items()},
-            self.heard,
-            now >= self.settled_at,
+            self.newest_incarnations,
+            now >= self.return_period_ends_at,
         )
 
-    def _note_heard(self, now: Seconds) -> None:
-        """Follow which nodes were heard of since the start or the last time without a quorum.
+    def _update_incarnations(self, now: Seconds) -> None:
+        """Record the nodes that were alive since the start or the last period without a quorum.
 
-        Nodes that found no voter with a quorum come back at longer and longer intervals, so for a
-        few leases after such a time silence does not mean that they are gone.
+        Nodes that find no voter with a quorum retry at increasing intervals. For a few leases after
+        such a period, a node that has sent no heartbeat is therefore not considered lost.
         """
         registry = self.registry.registry
         lease = registry.times.lease
         confirmed = registry.confirmed_round_started_at
-        if confirmed is None or now - confirmed > lease or self.settled_at is None:
-            self.settled_at = now + SETTLING_LEASES * lease
-            self.heard.clear()
+        if confirmed is None or now - confirmed > lease or self.return_period_ends_at is None:
+            self.return_period_ends_at = now + RETURN_PERIOD_LEASES * lease
+            self.newest_incarnations.clear()
         for instance in self.registry.alive():
-            self.heard[instance.name] = instance.incarnation
+            self.newest_incarnations[instance.name] = instance.incarnation
 
     def upstreams(self) -> tuple[Upstream, ...]:
-        """Return every upstream that the registry knows."""
+        """Return every upstream in the registry."""
         members = self.registry.registry.members.values()
         return tuple(
             upstream
@@ -242,17 +253,18 @@
         )
 
 
-def _find_confirmed_for(settings: consensus.ReplicaSettings, times: LeaseTimes) -> Seconds:
-    """Return for how long a voter may grant tokens after a quorum has confirmed it.
+def _find_grant_period(settings: consensus.ReplicaSettings, times: LeaseTimes) -> Seconds:
+    """Return for how long a voter may grant tokens after a quorum confirmation.
 
-    Nodes leave it after that time anyway, and one that was silent for shorter is not replaced.
+    After this time nodes detach from the voter anyway, and a voter is not replaced before it has
+    been silent for this time.
     """
     return min(times.confirmation_limit, SILENT_TIMEOUTS * settings.election_s)
 
 
 def open_control(
     own: VoterPlace,
-    listed: tuple[VoterPlace, ...],
+    configured_voters: tuple[VoterPlace, ...],
     data_folder: Path,
     replica_settings: consensus.ReplicaSettings,
     times: LeaseTimes,
@@ -260,43 +272,43 @@
     recorder: Recorder,
     rng: random.Random,
     data_centres: tuple[str, ...] = (),
-    quota_bounds: QuotaBounds = DEFAULT_BOUNDS,
-    run: int = 0,
+    quota_bounds: QuotaBounds = DEFAULT_QUOTA_BOUNDS,
+    incarnation: int = 0,
 ) -> Result[ControlService, StoreError]:
-    """Read the disk and make a control voter's tasks; call it inside a trio run.
+    """Read the disk and create a control voter's tasks; call it inside a trio run.
 
-    `run` is the incarnation of the process.
+    `incarnation` is that of the process.
     Errors: StoreError.
     """
     state = ControlState()
-    names = tuple(place.name for place in listed)
+    names = tuple(place.name for place in configured_voters)
     files = open_folder(data_folder)
     opened = open_voter(own, names, files, state, send, recorder, rng, replica_settings)
     if opened.is_error():
         return opened
     voter = opened.ok
-    client = LogClient(voter, state, listed, frozenset(data_centres))
+    client = LogClient(voter, state, configured_voters, frozenset(data_centres))
     registry = create_registry_task(own.name, client, times, send, recorder, rng)
-    client.list_seen = lambda: (instance.data_centre for instance in registry.alive())
+    client.list_alive_data_centres = lambda: (instance.data_centre for instance in registry.alive())
     service: ControlService
 
     async def propose(command: ChangeClaimGroup) -> object:
         outcome = await client.propose(encode_command(command))
         if command.group.lost and outcome.is_ok() and isinstance(outcome.ok, GroupChanged):
-            # No member is left to record it.
+            # No member of the group is left that could record the loss.
             recorder.record(EventKind.CLAIM_GROUP_LOST, detail=command.group.service)
         return outcome
 
     placer = ClaimPlacer(lambda: service.view_placement(), propose, rng, times.lease)
     quotas = create_voter_quota_task(
         own.name,
-        run,
+        incarnation,
         quota_bounds,
-        replica_settings.open_to or len(listed),
-        _find_confirmed_for(replica_settings, times),
+        replica_settings.open_to or len(configured_voters),
+        _find_grant_period(replica_settings, times),
         client,
         send,
     )
-    registry.followers.append(quotas)
+    registry.observers.append(quotas)
     service = ControlService(voter, client, registry, placer, quotas)
     return Ok(service)
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -1,4 +1,4 @@
-"""Build a process's tasks from its settings; none of them runs yet."""
+"""Create a process's tasks from its settings without starting them."""
 
 import random
 import time
@@ -56,14 +56,14 @@
 
 
 def read_wall_ms() -> int:
-    """Return wall-clock time in milliseconds since 1970."""
+    """Return the wall-clock time in milliseconds since 1970."""
     return time.time_ns() // _NANOSECONDS_PER_MILLISECOND
 
 
 def prepare_daemon(settings: Settings, listeners: Listeners) -> Result[Daemon, str]:
-    """Make what needs no task: the recorder and the keys.
+    """Create the parts that need no running task, such as the recorder and the keys.
 
-    Errors: a text that names the file that cannot be used.
+    Errors: a text that names the unusable file.
     """
     name = settings.instance.name
     recorder = Recorder(name, read_wall_ms, settings.timeline.capacity, read_steady_us)
@@ -78,11 +78,11 @@
 
 
 async def choose_incarnation(daemon: Daemon) -> int:
-    """Return a number for this run above those that the voters know of earlier ones."""
+    """Return an incarnation greater than those of earlier runs that the voters know."""
     settings = daemon.settings
-    own_place = (settings.peers.host, find_port(daemon.listeners.peers))
+    own_address = (settings.peers.host, find_port(daemon.listeners.peers))
     voters = [Address(voter.host, voter.port) for voter in settings.voters]
-    others = [voter for voter in voters if (voter.host, voter.port) != own_place]
+    others = [voter for voter in voters if (voter.host, voter.port) != own_address]
     secure = None if daemon.keys is None else daemon.keys.client
     known = await ask_incarnation(settings.instance.name, others, secure)
     return max(read_wall_ms(), known + 1)
@@ -94,9 +94,9 @@
     extension: Extension,
     incarnation: int,
 ) -> Result[Daemon, str]:
-    """Build every task; those of calls start theirs in the nursery.
+    """Create every task; the tasks that handle calls start child tasks in the nursery.
 
-    Errors: a text that names the folder that cannot be used.
+    Errors: a text that names the unusable folder.
     """
     rng = random.Random()
     own = _create_instance(daemon.settings, daemon.listeners, incarnation)
@@ -116,26 +116,26 @@
     )
 
 
-def _find_times(settings: Settings) -> LeaseTimes:
+def _make_lease_times(settings: Settings) -> LeaseTimes:
     lease = settings.lease
     return LeaseTimes(
         lease.heartbeat_ms / MILLISECONDS_PER_SECOND, lease.lease_ms / MILLISECONDS_PER_SECOND
     )
 
 
-def _find_claim_limits(settings: Settings) -> ClaimLimits:
+def _make_claim_limits(settings: Settings) -> ClaimLimits:
     claims = settings.claims
     return ClaimLimits(claims.retention_s, claims.keys, claims.key_bytes, claims.answer_bytes)
 
 
-def _find_suspicion_limits(settings: Settings) -> SuspicionLimits:
+def _make_suspicion_limits(settings: Settings) -> SuspicionLimits:
     suspicion = settings.suspicion
     return SuspicionLimits(
         suspicion.apart_from, suspicion.quarantine_from, suspicion.quarantine_s, suspicion.keep_s
     )
 
 
-def _find_quota_bounds(settings: Settings) -> QuotaBounds:
+def _make_quota_bounds(settings: Settings) -> QuotaBounds:
     quotas = settings.quotas
     return QuotaBounds(quotas.window_s, quotas.overage, quotas.slack)
 
@@ -160,14 +160,14 @@
     dispatcher = daemon.dispatcher
     voters = list_voters(settings)
     names = tuple(voter.name for voter in voters)
-    times = _find_times(settings)
+    times = _make_lease_times(settings)
     membership = create_membership_task(
         own, voters, times, dispatcher.send, recorder, rng, settings.watch.services
     )
     dispatcher.membership = membership
     dispatcher.hub = _build_hub(daemon, own, membership)
     dispatcher.claims = create_claim_task(
-        own, names, dispatcher.send, membership.watch, recorder, _find_claim_limits(settings)
+        own, names, dispatcher.send, membership.watch, recorder, _make_claim_limits(settings)
     )
     measuring = settings.measuring
     budget = ProbeBudget(measuring.messages_per_s, measuring.bytes_per_s)
@@ -183,7 +183,7 @@
         lambda service: _find_warm_up(membership, service),
         WarmUpLimits(settings.limits.warm_up_overage, settings.limits.warm_up_slack),
         trio.current_time() - (read_steady() - STARTED_AT),
-        SuspectTable(own.name, _find_suspicion_limits(settings)),
+        SuspectTable(own.name, _make_suspicion_limits(settings)),
     )
     assemblies = AssemblyTable(settings.limits.body_bytes, daemon.body_budget)
     dispatcher.owner = OwnerNode(
@@ -197,7 +197,7 @@
         membership.send_suspects,
     )
     dispatcher.quotas = create_node_quota_task(
-        _find_quota_bounds(settings),
+        _make_quota_bounds(settings),
         own.incarnation,
         membership.list_voters,
         dispatcher.send,
@@ -221,11 +221,11 @@
         quotas=dispatcher.quotas,
     )
     dispatcher.probes = ProbeTask(dispatcher.entry, dispatcher.owner, budget)
-    membership.listeners.append(lambda effect: _hear_membership(dispatcher, effect))
+    membership.listeners.append(lambda effect: _handle_view_effect(dispatcher, effect))
 
 
-def learn_places(hub: LinkHub, places: Iterable[VoterPlace | Voter]) -> None:
-    """Have links find voters and learners, as far as it is known where they are."""
+def update_addresses(hub: LinkHub, places: Iterable[VoterPlace | Voter]) -> None:
+    """Give the links the addresses of voters and learners, where these are known."""
     for place in places:
         if place.host:
             hub.learn_address(place.name, place.host, place.port, place.data_centre)
@@ -245,12 +245,12 @@
         compresses_far=daemon.settings.peers.compresses_far,
         link_mbps=daemon.settings.peers.link_mbps,
     )
-    hub.find_registered = lambda name: _find_registered(daemon, name)
-    learn_places(hub, list_voters(daemon.settings))
+    hub.find_registered = lambda name: _find_registered_incarnation(daemon, name)
+    update_addresses(hub, list_voters(daemon.settings))
     return hub
 
 
-def _find_registered(daemon: Daemon, name: str) -> int:
+def _find_registered_incarnation(daemon: Daemon, name: str) -> int:
     control = daemon.dispatcher.control
     member = None if control is None else control.registry.registry.members.get(name)
     return 0 if member is None else member.state.node.incarnation
@@ -267,18 +267,18 @@
         list_voters(settings),
         folder,
         _make_replica_settings(settings.control),
-        _find_times(settings),
+        _make_lease_times(settings),
         dispatcher.send,
         daemon.recorder,
         rng,
         settings.control.data_centres,
-        _find_quota_bounds(settings),
+        _make_quota_bounds(settings),
         own.incarnation,
     )
     if opened.is_error():
         return Error(f"{folder}: {opened.error}")
     dispatcher.control = opened.ok
-    _follow_members(daemon, opened.ok.voter)
+    _track_members(daemon, opened.ok.voter)
     return Ok(daemon)
 
 
@@ -290,12 +290,12 @@
     )
 
 
-def _follow_members(daemon: Daemon, voter: ControlVoter) -> None:
-    """Have links find every voter and learner that the log names, also those no settings list."""
+def _track_members(daemon: Daemon, voter: ControlVoter) -> None:
+    """Give the links the addresses of all voters and learners in the log, configured or not."""
 
     hub = daemon.dispatcher.hub
-    voter.learn_member = lambda member: learn_places(hub, (member,))
-    learn_places(hub, voter.replica.voters.members)
+    voter.update_member_address = lambda member: update_addresses(hub, (member,))
+    update_addresses(hub, voter.replica.voters.members)
 
 
 def _find_health_path(membership: MembershipTask, name: str) -> str:
@@ -309,29 +309,30 @@
 
 
 def _announce(membership: MembershipTask, upstream: Upstream) -> None:
-    # An owner watches what it serves: drain marks reach it with the service's upstreams.
+    # An owner watches the services of its upstreams, since drain marks are sent to it together with
+    # the upstreams of a watched service.
     membership.watch(upstream.service)
     membership.announce(upstream)
 
 
-def _learn_instance(hub: LinkHub, instance: Instance) -> None:
+def _update_instance_address(hub: LinkHub, instance: Instance) -> None:
     hub.learn_address(instance.name, instance.host, instance.port, instance.data_centre)
 
 
-def _hear_membership(dispatcher: Dispatcher, effect: ViewEffect) -> None:
+def _handle_view_effect(dispatcher: Dispatcher, effect: ViewEffect) -> None:
     match effect:
         case InstancesReceived(instances=instances):
             for instance in instances:
-                _learn_instance(dispatcher.hub, instance)
+                _update_instance_address(dispatcher.hub, instance)
         case UpstreamsChanged(service=service):
             for upstream in dispatcher.membership.upstreams(service):
-                _learn_instance(dispatcher.hub, upstream.owner)
+                _update_instance_address(dispatcher.hub, upstream.owner)
                 dispatcher.owner.register.handle_pushed_upstream(upstream)
             dispatcher.entry.refresh_upstreams(service)
         case SuspectsReceived(suspects=suspects):
             dispatcher.entry.merge_suspect_reports(suspects)
         case VotersReceived(voters=voters):
-            learn_places(dispatcher.hub, voters)
+            update_addresses(dispatcher.hub, voters)
         case ConfigurationApplied():
             dispatcher.owner.register.handle_configuration(dispatcher.membership.evacuated)
             dispatcher.entry.refresh_routing()
--- a/packages/bendwind-node/src/bendwind_node/daemon/metrics_page.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/metrics_page.py
@@ -1,11 +1,11 @@
-"""Serve a process's metrics on an address of their own."""
+"""Serve a process's metrics on a separate address."""
 
 import trio
 
 from bendwind_core.timeline import EventKind
 from bendwind_node.calls import headers as names
 from bendwind_node.calls.caller_exchange import CallerExchange
-from bendwind_node.daemon.serve import create_metrics, serve_page
+from bendwind_node.daemon.serve import create_metrics, serve_auxiliary
 from bendwind_node.daemon.state import Daemon
 from bendwind_node.metrics import Metrics
 from bendwind_node.settings.tables import MetricsTable
@@ -16,7 +16,7 @@
 
 
 class MetricsPage:
-    """Answer scrapes."""
+    """Answer HTTP requests for the metrics."""
 
     __slots__ = ("metrics", "path")
 
@@ -39,7 +39,10 @@
 
 
 async def serve_metrics(daemon: Daemon, table: MetricsTable, nursery: trio.Nursery) -> None:
-    """Start to serve metrics; without their port the process goes on, since calls matter more."""
+    """Start to serve metrics.
+
+    If their port cannot be opened the process continues, since calls are more important.
+    """
     try:
         listeners = await trio.open_tcp_listeners(table.port, host=table.host)
     except OSError as error:
@@ -48,4 +51,4 @@
         return
     daemon.listeners.extra["metrics"] = listeners
     page = MetricsPage(create_metrics(daemon), table.path)
-    serve_page(daemon, "metrics", listeners, page.handle, nursery)
+    serve_auxiliary(daemon, "metrics", listeners, page.handle, nursery)
--- a/packages/bendwind-node/src/bendwind_node/daemon/serve.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/serve.py
@@ -1,4 +1,4 @@
-"""Serve a process's HTTP: callers, the upstream beside it, operators."""
+"""Serve HTTP for callers, for the upstream beside the process and for operators."""
 
 import os
 from collections.abc import Awaitable, Callable
@@ -44,15 +44,15 @@
 
 KEEP_ALIVE: Seconds = 30.0
 MAX_HEADER_BYTES = 16 * 1024
-PAGE_CONNECTIONS = 64
+MAX_AUXILIARY_CONNECTIONS = 64
 
 
 def serve_all(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to serve whom the settings name addresses for."""
+    """Start a server for each address in the settings."""
     settings = daemon.settings
     if settings.readiness is not None:
         page = ReadinessPage(daemon, settings.readiness.path)
-        serve_page(daemon, "readiness", daemon.listeners.readiness, page.handle, nursery)
+        serve_auxiliary(daemon, "readiness", daemon.listeners.readiness, page.handle, nursery)
     if settings.upstreams is not None:
         serve_upstreams(daemon, nursery)
     if settings.operators is not None:
@@ -61,41 +61,49 @@
         serve_callers(daemon, nursery)
 
 
-def open_account(daemon: Daemon, address: str) -> RequestAccount:
-    """Create and register the account of one address; operators and upstreams have none."""
+def create_account(daemon: Daemon, address: str) -> RequestAccount:
+    """Create and register the request account of one address.
+
+    The addresses for operators and upstreams have none.
+    """
     account = RequestAccount(address, daemon.recorder, daemon.dispatcher.entry.dialect)
     daemon.accounts.append(account)
     return account
 
 
-def serve_page(
+def serve_auxiliary(
     daemon: Daemon,
     address: str,
     listeners: list[trio.SocketListener],
     handle: Handle,
     nursery: trio.Nursery,
 ) -> None:
-    """Start to serve a few plain requests, until the calls of a stopping process have ended."""
+    """Start an auxiliary server, for few simple requests.
+
+    It serves until the calls of a stopping process have ended.
+    """
     server = H11Server(
         handle,
         KEEP_ALIVE,
         MAX_HEADER_BYTES,
-        PAGE_CONNECTIONS,
+        MAX_AUXILIARY_CONNECTIONS,
         recorder=daemon.recorder,
-        account=open_account(daemon, address),
+        account=create_account(daemon, address),
     )
-    run = partial(server.run, listeners, daemon.pages_done)
-    _start_page(daemon, run, nursery)
+    run = partial(server.run, listeners, daemon.auxiliary_drain)
+    _start_auxiliary(daemon, run, nursery)
 
 
-def _start_page(daemon: Daemon, run: Callable[[], Awaitable[None]], nursery: trio.Nursery) -> None:
+def _start_auxiliary(
+    daemon: Daemon, run: Callable[[], Awaitable[None]], nursery: trio.Nursery
+) -> None:
     closed, scope = trio.Event(), trio.CancelScope()
-    daemon.pages_closed.append(closed)
-    daemon.pages_scopes.append(scope)
-    nursery.start_soon(_run_to_end, run, closed, scope)
+    daemon.auxiliary_closed.append(closed)
+    daemon.auxiliary_scopes.append(scope)
+    nursery.start_soon(_run_until_closed, run, closed, scope)
 
 
-async def _run_to_end(
+async def _run_until_closed(
     run: Callable[[], Awaitable[None]], closed: trio.Event, scope: trio.CancelScope
 ) -> None:
     with scope:
@@ -104,7 +112,7 @@
 
 
 def serve_callers(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to serve callers by the HTTP server that the settings name."""
+    """Start to serve callers with the HTTP server that the settings select."""
     limits = daemon.settings.limits
     entry = daemon.dispatcher.entry
     intake = CallIntake(entry, limits.in_flight, limits.body_bytes, daemon.body_budget)
@@ -117,27 +125,27 @@
                 limits.header_bytes,
                 limits.connections,
                 recorder=daemon.recorder,
-                account=open_account(daemon, "callers"),
+                account=create_account(daemon, "callers"),
                 stopping=daemon.stopping,
             )
             daemon.dispatcher.membership.listeners.append(
-                lambda effect: _follow_limits(server, entry, effect)
+                lambda effect: _apply_caller_limits(server, entry, effect)
             )
-            run = partial(server.run, daemon.listeners.callers, daemon.callers_done)
+            run = partial(server.run, daemon.listeners.callers, daemon.callers_drain)
         case "hypercorn":
-            served = AsgiServer(
-                _detach(daemon.listeners.callers),
+            asgi_server = AsgiServer(
+                _duplicate_socket(daemon.listeners.callers),
                 limits.keep_alive_s,
                 limits.header_bytes,
-                daemon.callers_done,
+                daemon.callers_drain,
             )
-            account = open_account(daemon, "callers")
-            run = partial(serve_callers_asgi, task.handle, served, account)
-    nursery.start_soon(_run_to_end, run, daemon.callers_closed, daemon.callers_scope)
+            account = create_account(daemon, "callers")
+            run = partial(serve_callers_asgi, task.handle, asgi_server, account)
+    nursery.start_soon(_run_until_closed, run, daemon.callers_closed, daemon.callers_scope)
 
 
-def _follow_limits(server: H11Server, entry: EntryNode, effect: ViewEffect) -> None:
-    """Take over what the routes in force say of callers, where they say it."""
+def _apply_caller_limits(server: H11Server, entry: EntryNode, effect: ViewEffect) -> None:
+    """Apply those caller limits that the active routing configuration sets."""
     if not isinstance(effect, ConfigurationApplied):
         return
     stated = entry.membership.routing.limits
@@ -150,16 +158,19 @@
 
 
 def serve_upstreams(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to hear the announcements of the upstream beside this process."""
+    """Start to receive the announcements of the upstream beside this process."""
     app = AnnounceApp(daemon.dispatcher.owner.register, daemon.settings.lease.lease_ms)
-    served = AsgiServer(
-        _detach(daemon.listeners.upstreams), KEEP_ALIVE, MAX_HEADER_BYTES, daemon.pages_done
+    asgi_server = AsgiServer(
+        _duplicate_socket(daemon.listeners.upstreams),
+        KEEP_ALIVE,
+        MAX_HEADER_BYTES,
+        daemon.auxiliary_drain,
     )
-    _start_page(daemon, partial(serve_asgi, app, served), nursery)
+    _start_auxiliary(daemon, partial(serve_asgi, app, asgi_server), nursery)
 
 
 def serve_operators(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to serve operators."""
+    """Start the operators' API."""
     dispatcher = daemon.dispatcher
     table = daemon.settings.operators
     if table.token_file is not None:
@@ -182,18 +193,18 @@
         _find_suspects(daemon),
         None if dispatcher.control is None else dispatcher.control.quotas.quotas,
     )
-    served = AsgiServer(
-        _detach(daemon.listeners.operators),
+    asgi_server = AsgiServer(
+        _duplicate_socket(daemon.listeners.operators),
         KEEP_ALIVE,
         MAX_HEADER_BYTES,
-        daemon.pages_done,
+        daemon.auxiliary_drain,
         tls=None if daemon.keys is None else daemon.keys.operators,
     )
-    _start_page(daemon, partial(serve_asgi, app, served), nursery)
+    _start_auxiliary(daemon, partial(serve_asgi, app, asgi_server), nursery)
 
 
 def _find_suspects(daemon: Daemon) -> SuspectTable:
-    """Return all that is known against requests on a voter, else what this node knows."""
+    """Return the suspects that the voter knows; if this process has no voter, the node's own."""
     control = daemon.dispatcher.control
     if control is not None:
         return control.registry.registry.suspects
@@ -201,7 +212,7 @@
 
 
 def create_metrics(daemon: Daemon) -> Metrics:
-    """Make the metrics of a process; their values are read at each scrape."""
+    """Create the metrics of a process; their values are read at each scrape."""
     dispatcher = daemon.dispatcher
 
     def read():
@@ -230,6 +241,6 @@
     return render
 
 
-def _detach(listeners: list[trio.SocketListener]) -> int:
-    # hypercorn takes a file number and owns it from then on.
+def _duplicate_socket(listeners: list[trio.SocketListener]) -> int:
+    # hypercorn takes a file descriptor and owns it from then on.
     return os.dup(listeners[0].socket.fileno())
