--- a/packages/bendwind-node/src/bendwind_node/control/voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter.py
@@ -57,8 +57,8 @@
     CorruptData,
     DiskFailed,
     Files,
-    Opened,
-    Recovered,
+    OpenedStore,
+    RecoveredState,
     StoreError,
     open_store,
 )
@@ -118,7 +118,7 @@
     own: Voter,
     names: tuple[str, ...],
     settings: ReplicaSettings,
-    recovered: Recovered,
+    recovered: RecoveredState,
     rng: random.Random,
 ) -> Replica:
     return create_replica(
@@ -133,7 +133,7 @@
     )
 
 
-def _record_recovery(recorder: Recorder, recovered: Recovered) -> None:
+def _record_recovery(recorder: Recorder, recovered: RecoveredState) -> None:
     if recovered.cut_bytes:
         recorder.record(EventKind.LOG_TAIL_CUT, detail=f"{recovered.cut_bytes} bytes")
 
@@ -197,7 +197,7 @@
             return Error(opened.error)
 
 
-def _resume(voter: ControlVoter, opened: Opened) -> None:
+def _resume(voter: ControlVoter, opened: OpenedStore) -> None:
     """Begin anew with what a disk holds; what was applied before is not applied again."""
     _record_recovery(voter.recorder, opened.recovered)
     former = voter.replica
--- a/packages/bendwind-node/src/bendwind_node/storage/replay.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/replay.py
@@ -18,7 +18,7 @@
 )
 
 
-class Recovered(msgspec.Struct):
+class RecoveredState(msgspec.Struct):
     """Hold what the disk knows of the log; `cut_bytes` counts a torn tail that was dropped."""
 
     hard_state: HardState = HardState()
@@ -30,7 +30,7 @@
     is_log_void: bool = False
 
 
-def replay_frame(recovered: Recovered, file: str, frame: Frame) -> Result[int, CorruptData]:
+def replay_frame(recovered: RecoveredState, file: str, frame: Frame) -> Result[int, CorruptData]:
     """Apply one record; return the index of the entry it holds, or 0.
 
     Errors: CorruptData when the record does not follow from those before it.
@@ -59,7 +59,7 @@
     return Ok(0)
 
 
-def align_with_snapshot(recovered: Recovered) -> Result[None, CorruptData]:
+def align_with_snapshot(recovered: RecoveredState) -> Result[None, CorruptData]:
     """Drop a log that an installed snapshot voided; refuse any other that does not fit it."""
     snapshot = recovered.snapshot
     if recovered.is_snapshot_installed and recovered.reset_index != snapshot.index:
--- a/packages/bendwind-node/src/bendwind_node/storage/store.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/store.py
@@ -29,7 +29,7 @@
     decode_record,
     encode_record,
 )
-from bendwind_node.storage.replay import Recovered, align_with_snapshot, replay_frame
+from bendwind_node.storage.replay import RecoveredState, align_with_snapshot, replay_frame
 
 SEGMENT_BYTES = 256 * 1024
 VOTER_ID_BITS = 63
@@ -167,14 +167,14 @@
         self.files.close()
 
 
-class Opened(msgspec.Struct, frozen=True):
+class OpenedStore(msgspec.Struct, frozen=True):
     """Hold an open store and what it recovered."""
 
     store: Store
-    recovered: Recovered
+    recovered: RecoveredState
 
 
-def open_store(files: Files, segment_bytes: int = SEGMENT_BYTES) -> Result[Opened, StoreError]:
+def open_store(files: Files, segment_bytes: int = SEGMENT_BYTES) -> Result[OpenedStore, StoreError]:
     """Read everything back, cut a torn tail, and make what was read durable again.
 
     Errors: CorruptData when synced data is damaged or missing, DiskFailed when a file operation is.
@@ -185,7 +185,7 @@
         return Error(DiskFailed("open", str(error)))
 
 
-def _open(files: Files, segment_bytes: int) -> Result[Opened, StoreError]:
+def _open(files: Files, segment_bytes: int) -> Result[OpenedStore, StoreError]:
     names = sorted(files.names())
     if _TEMPORARY in names:
         files.remove(_TEMPORARY)
@@ -193,7 +193,7 @@
     if identity.is_error():
         return identity
     store = Store(files, identity.ok, segment_bytes)
-    recovered = Recovered()
+    recovered = RecoveredState()
     for step in (_read_snapshot, _read_segments):
         outcome = step(store, names, recovered)
         if outcome.is_error():
@@ -207,7 +207,7 @@
     if recovered.is_log_void:
         store._append([ResetTo(recovered.snapshot.index)])
         files.sync(store.segments[-1].name)
-    return Ok(Opened(store, recovered))
+    return Ok(OpenedStore(store, recovered))
 
 
 def _read_identity(files: Files, names: list[str]) -> Result[Identity, StoreError]:
@@ -228,7 +228,7 @@
 
 
 def _read_snapshot(
-    store: Store, names: list[str], recovered: Recovered
+    store: Store, names: list[str], recovered: RecoveredState
 ) -> Result[None, StoreError]:
     found = [name for name in names if name.startswith(_SNAPSHOT_PREFIX)]
     if not found:
@@ -249,7 +249,7 @@
 
 
 def _read_segments(
-    store: Store, names: list[str], recovered: Recovered
+    store: Store, names: list[str], recovered: RecoveredState
 ) -> Result[None, StoreError]:
     found = [name for name in names if name.startswith(_SEGMENT_PREFIX)]
     if found:
@@ -271,7 +271,7 @@
 
 
 def _replay_run(
-    store: Store, name: str, run: FrameRun, recovered: Recovered
+    store: Store, name: str, run: FrameRun, recovered: RecoveredState
 ) -> Result[None, StoreError]:
     segment = Segment(name, size=run.end)
     for frame in run.frames:
@@ -284,7 +284,7 @@
     return Ok(None)
 
 
-def _renew_tail(store: Store, data: bytes, recovered: Recovered) -> None:
+def _renew_tail(store: Store, data: bytes, recovered: RecoveredState) -> None:
     """Write the last segment anew, with a mark: what was read may never have reached the disk."""
     if not data:
         empty = store.segments.pop()
