--- a/packages/bendwind-node/src/bendwind_node/storage/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the durable store of a control voter."""
+"""Durable store of a control voter."""
 
 from bendwind_node.storage.errors import CorruptData, DiskFailed, StoreError
 from bendwind_node.storage.files import DiskFiles, Files, open_folder
--- a/packages/bendwind-node/src/bendwind_node/storage/errors.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/errors.py
@@ -1,10 +1,10 @@
-"""Define how the store can fail."""
+"""Errors of the store."""
 
 import msgspec
 
 
 class CorruptData(msgspec.Struct, frozen=True):
-    """Tell that a file does not hold what was synced to it."""
+    """Report that a file does not contain the data that was synced to it."""
 
     file: str
     offset: int
@@ -12,7 +12,7 @@
 
 
 class DiskFailed(msgspec.Struct, frozen=True):
-    """Tell that an operation on a file failed, as on a full disk."""
+    """Report that a file operation failed, for example because the disk is full."""
 
     operation: str
     reason: str
--- a/packages/bendwind-node/src/bendwind_node/storage/files.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/files.py
@@ -1,4 +1,4 @@
-"""Put the file operations of the store behind one seam, so that tests can make them fail."""
+"""File operations of the store, behind an interface with which tests inject failures."""
 
 import fcntl
 import os
@@ -10,107 +10,107 @@
 
 
 class Files(Protocol):
-    """Name the operations on the files of one folder; each raises OSError when it fails."""
+    """Define the operations on the files of one folder; each raises OSError on failure."""
 
     def names(self) -> list[str]:
-        """List the files."""
+        """Return the names of the files."""
 
     def read(self, name: str) -> bytes:
-        """Read a whole file."""
+        """Return the content of a file."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file, which is made when missing; nothing is synced."""
+        """Append data to a file without syncing it; create the file if it is missing."""
 
     def sync(self, name: str) -> None:
-        """Make a file's data durable."""
+        """Make the data of a file durable."""
 
     def replace(self, old: str, new: str) -> None:
-        """Rename a file over another atomically; durable after sync_folder."""
+        """Rename a file atomically, replacing any existing one; durable after sync_folder."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync_folder(self) -> None:
-        """Make the names in the folder durable."""
+        """Make all created, renamed and removed file names durable."""
 
     def close(self) -> None:
-        """Release every handle."""
+        """Close all files."""
 
 
 class DiskFiles:
-    """Carry the operations out on a real folder, which one process at a time may own."""
+    """Operate on a folder of the file system, which one process at a time may lock."""
 
-    __slots__ = ("folder", "handles", "lock")
+    __slots__ = ("descriptors", "folder", "lock")
 
     def __init__(self, folder: Path, lock: int):
         self.folder = folder
         self.lock = lock
-        self.handles: dict[str, int] = {}
+        self.descriptors: dict[str, int] = {}
 
     def names(self) -> list[str]:
-        """List the files."""
+        """Return the names of the files."""
         return [name for name in os.listdir(self.folder) if name != _LOCK_NAME]
 
     def read(self, name: str) -> bytes:
-        """Read a whole file."""
+        """Return the content of a file."""
         return (self.folder / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file, which is made when missing."""
+        """Append data to a file; create the file if it is missing."""
         rest = memoryview(data)
         while rest:
-            written = os.write(self._handle(name), rest)
+            written = os.write(self._find_or_open(name), rest)
             rest = rest[written:]
 
     def sync(self, name: str) -> None:
-        """Make a file's data durable."""
-        os.fsync(self._handle(name))
+        """Make the data of a file durable."""
+        os.fsync(self._find_or_open(name))
 
     def replace(self, old: str, new: str) -> None:
-        """Rename a file over another atomically."""
-        self._release(old)
-        self._release(new)
+        """Rename a file atomically, replacing any existing one."""
+        self._close_file(old)
+        self._close_file(new)
         os.replace(self.folder / old, self.folder / new)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._release(name)
+        self._close_file(name)
         os.remove(self.folder / name)
 
     def sync_folder(self) -> None:
-        """Make the names in the folder durable."""
+        """Make all created, renamed and removed file names durable."""
         _sync_folder(self.folder)
 
     def close(self) -> None:
-        """Release every handle and the folder."""
-        for name in list(self.handles):
-            self._release(name)
+        """Close all files and unlock the folder."""
+        for name in list(self.descriptors):
+            self._close_file(name)
         os.close(self.lock)
 
-    def _handle(self, name: str) -> int:
-        if name not in self.handles:
+    def _find_or_open(self, name: str) -> int:
+        if name not in self.descriptors:
             flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
-            self.handles[name] = os.open(self.folder / name, flags, _FILE_MODE)
-        return self.handles[name]
+            self.descriptors[name] = os.open(self.folder / name, flags, _FILE_MODE)
+        return self.descriptors[name]
 
-    def _release(self, name: str) -> None:
-        handle = self.handles.pop(name, None)
-        if handle is not None:
-            os.close(handle)
+    def _close_file(self, name: str) -> None:
+        descriptor = self.descriptors.pop(name, None)
+        if descriptor is not None:
+            os.close(descriptor)
 
 
 def _sync_folder(folder: Path) -> None:
-    handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 def open_folder(folder: Path) -> DiskFiles:
-    """Make the folder when it is missing, and lock it against a second process.
+    """Create the folder if it is missing, and lock it against other processes.
 
-    Errors: raises OSError when the folder cannot be made or another process holds it.
+    Errors: raises OSError if the folder cannot be created or another process holds the lock.
     """
     if not folder.is_dir():
         folder.mkdir(parents=True)
--- a/packages/bendwind-node/src/bendwind_node/storage/frames.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/frames.py
@@ -1,4 +1,4 @@
-"""Frame records with a sequence number and a checksum, and find where a file stops being whole."""
+"""Frame records with a sequence number and a checksum, and find the last valid frame of a file."""
 
 import io
 import zlib
@@ -10,20 +10,20 @@
 from bendwind_node.storage.errors import CorruptData
 
 # A frame is the CBOR array [sequence, checksum, payload].
-_ARRAY_OF_THREE = b"\x83"
+_THREE_ITEM_ARRAY = b"\x83"
 _DECODE_ERRORS = (cbor2.CBORError, ValueError, OverflowError, MemoryError, RecursionError)
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """Hold one record's bytes and where its frame ends in the file."""
+    """Hold the encoded bytes of one record and the file offset where its frame ends."""
 
     sequence: int
     payload: bytes
     end: int
 
 
-class FrameRun(msgspec.Struct, frozen=True):
-    """Hold a file's whole frames, and the offset where they end."""
+class ValidFrames(msgspec.Struct, frozen=True):
+    """Hold the leading valid frames of a file and the offset where they end."""
 
     frames: tuple[Frame, ...]
     end: int
@@ -43,8 +43,8 @@
 
 
 def read_frame(data: bytes, start: int) -> Frame | None:
-    """Read the frame at an offset, or return None when there is no whole one."""
-    if data[start : start + 1] != _ARRAY_OF_THREE:
+    """Read the frame at an offset; return None if no valid frame starts there."""
+    if data[start : start + 1] != _THREE_ITEM_ARRAY:
         return None
     stream = io.BytesIO(data)
     stream.seek(start)
@@ -59,14 +59,14 @@
 
 
 def read_frames(
-    file: str, data: bytes, sequence: int, mark: bytes, *, is_last: bool
-) -> Result[FrameRun, CorruptData]:
-    """Read a file's frames, numbered from a sequence on, up to the first that is not whole.
-
-    A frame that holds the payload `mark` tells that all before it was synced. Only the last file
-    may end sooner than its data, and only when no mark follows: of writes that were not synced, a
-    loss of power may take one and leave a later one.
-    Errors: CorruptData for anything else that is not whole.
+    file: str, data: bytes, sequence: int, sync_mark: bytes, *, is_last: bool
+) -> Result[ValidFrames, CorruptData]:
+    """Read the frames of a file, numbered from `sequence` on, up to the first invalid one.
+
+    A frame with the payload `sync_mark` means that all data before it was synced. Invalid data is
+    accepted only in the last file, and only if no sync mark follows it: a power loss may destroy
+    one unsynced write and keep a later one.
+    Errors: CorruptData for any other invalid data.
     """
     frames: list[Frame] = []
     end = 0
@@ -75,22 +75,22 @@
         if frame is None or frame.sequence != sequence:
             if not is_last:
                 return Error(CorruptData(file, end, "a record is damaged"))
-            if _has_later_mark(data, end, sequence, mark):
+            if _has_later_sync_mark(data, end, sequence, sync_mark):
                 return Error(CorruptData(file, end, "a record that was synced is damaged"))
             break
         frames.append(frame)
         sequence += 1
         end = frame.end
-    return Ok(FrameRun(tuple(frames), end))
+    return Ok(ValidFrames(tuple(frames), end))
 
 
-def _has_later_mark(data: bytes, start: int, sequence: int, mark: bytes) -> bool:
-    position = data.find(_ARRAY_OF_THREE, start)
+def _has_later_sync_mark(data: bytes, start: int, sequence: int, sync_mark: bytes) -> bool:
+    position = data.find(_THREE_ITEM_ARRAY, start)
     while position >= 0:
         frame = read_frame(data, position)
-        if frame is not None and frame.sequence >= sequence and frame.payload == mark:
+        if frame is not None and frame.sequence >= sequence and frame.payload == sync_mark:
             return True
-        # Within a whole frame nothing else can begin.
+        # No other frame can start inside a valid frame.
         after = position + 1 if frame is None else frame.end
-        position = data.find(_ARRAY_OF_THREE, after)
+        position = data.find(_THREE_ITEM_ARRAY, after)
     return False
--- a/packages/bendwind-node/src/bendwind_node/storage/measure.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/measure.py
@@ -1,4 +1,4 @@
-"""Measure a store's write time, disk use and restart time as changes grow; print JSON."""
+"""Measure write time, disk use and restart time of a store by number of changes; print JSON."""
 
 import json
 import os
@@ -31,14 +31,15 @@
 from bendwind_node.storage import Store, open_folder, open_store
 
 CHANGES = (100, 1000, 10_000)
-# About the size of one service with a few rules, and how many services the state keeps.
+# Approximate size of the command for a service with a few rules.
 COMMAND_BYTES = 400
+# Number of services in the state.
 SERVICES = 650
 _TICK_S = 0.05
 
 
 class Measurement(msgspec.Struct, frozen=True):
-    """Hold the figures of one number of changes.
+    """Hold the results for one number of changes.
 
     Units: milliseconds and bytes.
     """
@@ -52,8 +53,8 @@
     snapshot_bytes: int
 
 
-class _Services:
-    """Keep the newest command of each service, as the real state does."""
+class _ServiceState:
+    """Keep the newest command of each service, as the control state does."""
 
     __slots__ = ("commands",)
 
@@ -67,25 +68,25 @@
         return b"".join(self.commands.values())
 
 
-def _drive(store: Store, changes: int) -> None:
-    """Commit changes one by one on a single voter, each synced before the next."""
+def _commit_changes(store: Store, changes: int) -> None:
+    """Commit changes one by one on a single voter; each is synced before the next."""
     rng = random.Random(1)
     voter = Voter("a", store.identity.voter_id)
     replica = create_replica(voter, ("a",), ReplicaSettings(), 0.0, rng)
-    services = _Services()
+    service_state = _ServiceState()
     now = 0.0
     while not replica.is_leader:
         now += _TICK_S
-        _carry_out(replica, store, services, Tick(), now, rng)
+        _handle_event(replica, store, service_state, Tick(), now, rng)
     for number in range(changes):
         command = number.to_bytes(4, "big") * (COMMAND_BYTES // 4)
-        _carry_out(replica, store, services, Propose(number, command), now, rng)
+        _handle_event(replica, store, service_state, Propose(number, command), now, rng)
 
 
-def _carry_out(
+def _handle_event(
     replica: Replica,
     store: Store,
-    services: _Services,
+    service_state: _ServiceState,
     event: ReplicaEvent,
     now: Seconds,
     rng: random.Random,
@@ -98,16 +99,16 @@
                     events.append(Persisted(store.write([effect]).ok))
                 case Apply(entries=entries):
                     for entry in entries:
-                        services.apply(entry.index, entry.command)
+                        service_state.apply(entry.index, entry.command)
                 case TakeSnapshot(index=index):
-                    events.append(SnapshotTaken(index, services.snapshot()))
+                    events.append(SnapshotTaken(index, service_state.snapshot()))
 
 
 def measure(changes: int, folder: Path) -> Measurement:
-    """Write this many changes, close, and open again."""
+    """Write this many changes, close the store, and reopen it."""
     store = open_store(open_folder(folder)).ok.store
     started = time.perf_counter()
-    _drive(store, changes)
+    _commit_changes(store, changes)
     written = time.perf_counter()
     store.close()
     sizes = [entry.stat().st_size for entry in os.scandir(folder)]
@@ -127,7 +128,7 @@
 
 
 def main() -> None:
-    """Measure each number of changes in a folder of its own."""
+    """Measure each number of changes in a separate folder."""
     found = []
     for changes in CHANGES:
         with tempfile.TemporaryDirectory() as folder:
--- a/packages/bendwind-node/src/bendwind_node/storage/records.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/records.py
@@ -1,4 +1,4 @@
-"""Define the records that the log's segment files hold."""
+"""Records that are stored in the files of a voter."""
 
 import cbor2
 import msgspec
@@ -8,51 +8,57 @@
 
 
 class Identity(Record, frozen=True, array_like=True, tag="identity"):
-    """Hold the disk's voter id; `is_formed` tells that a log was written beside it."""
+    """Hold the voter id of the disk.
+
+    `is_formed` means that a log exists beside this file; it is set before the first log write.
+    """
 
     voter_id: int
     is_formed: bool
 
 
 class SegmentHead(Record, frozen=True, array_like=True, tag="head"):
-    """Start a segment with the hard state, so that older segments can go."""
+    """Start a segment with the current hard state, so that older segments can be removed."""
 
     hard_state: HardState
 
 
 class HardStateWritten(Record, frozen=True, array_like=True, tag="hard-state"):
-    """Change the hard state."""
+    """Replace the hard state."""
 
     hard_state: HardState
 
 
 class EntryWritten(Record, frozen=True, array_like=True, tag="entry"):
-    """Add the next entry."""
+    """Append the next entry."""
 
     entry: Entry
 
 
 class Truncated(Record, frozen=True, array_like=True, tag="truncate"):
-    """Drop the entries from an index on."""
+    """Remove all entries from an index on."""
 
     start: int
 
 
 class ResetTo(Record, frozen=True, array_like=True, tag="reset"):
-    """Drop all entries, because a snapshot as of this index took their place."""
+    """Remove all entries, because an installed snapshot as of this index replaces them."""
 
     index: int
 
 
 class Synced(Record, frozen=True, array_like=True, tag="synced"):
-    """Mark that every record before was synced; the mark itself need not be.
+    """Mark that all earlier records were synced; the mark itself may be unsynced.
 
-    A damaged record before a mark is then told from a torn tail.
+    The mark distinguishes damage to a synced record from a torn tail of unsynced writes.
     """
 
 
 class SnapshotFile(Record, frozen=True, array_like=True, tag="snapshot"):
-    """Hold a snapshot; one that was installed voids the log until a ResetTo of its index."""
+    """Hold a snapshot.
+
+    An installed snapshot supersedes the log until the log contains a ResetTo of its index.
+    """
 
     snapshot: Snapshot
     is_installed: bool
@@ -76,7 +82,7 @@
 
 
 def decode_record(data: bytes) -> StoredRecord:
-    """Decode a record whose checksum was right.
+    """Decode a record whose checksum is correct.
 
     Errors: raises msgspec.ValidationError or cbor2.CBORError.
     """
--- a/packages/bendwind-node/src/bendwind_node/storage/replay.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/replay.py
@@ -1,4 +1,4 @@
-"""Rebuild the log from the records of its segments."""
+"""Rebuild the log from the records in its segment files."""
 
 import cbor2
 import msgspec
@@ -19,7 +19,12 @@
 
 
 class RecoveredState(msgspec.Struct):
-    """Hold what the disk knows of the log; `cut_bytes` counts a torn tail that was dropped."""
+    """Hold the state that was read from disk.
+
+    `cut_bytes` is the size of the torn tail that was discarded. `reset_index` is the index of the
+    last ResetTo record, or 0. `is_log_superseded` means that the log was replaced by an installed
+    snapshot whose ResetTo record is still missing.
+    """
 
     hard_state: HardState = HardState()
     snapshot: Snapshot = EMPTY_SNAPSHOT
@@ -27,13 +32,13 @@
     cut_bytes: int = 0
     is_snapshot_installed: bool = False
     reset_index: int = 0
-    is_log_void: bool = False
+    is_log_superseded: bool = False
 
 
 def replay_frame(recovered: RecoveredState, file: str, frame: Frame) -> Result[int, CorruptData]:
-    """Apply one record; return the index of the entry it holds, or 0.
+    """Apply one record, and return the index of its entry, or 0 if it holds none.
 
-    Errors: CorruptData when the record does not follow from those before it.
+    Errors: CorruptData if the record cannot follow the records before it.
     """
     try:
         record = decode_record(frame.payload)
@@ -55,25 +60,32 @@
             recovered.entries.append(entry)
             return Ok(entry.index)
         case _:
-            return Error(CorruptData(file, frame.end, "a record of another file"))
+            return Error(
+                CorruptData(file, frame.end, "record type does not belong in a log segment")
+            )
     return Ok(0)
 
 
 def align_with_snapshot(recovered: RecoveredState) -> Result[None, CorruptData]:
-    """Drop a log that an installed snapshot voided; refuse any other that does not fit it."""
+    """Clear a log that an installed snapshot supersedes.
+
+    Errors: CorruptData if any other log does not match the snapshot.
+    """
     snapshot = recovered.snapshot
     if recovered.is_snapshot_installed and recovered.reset_index != snapshot.index:
         recovered.entries.clear()
-        recovered.is_log_void = True
+        recovered.is_log_superseded = True
         return Ok(None)
     if not recovered.entries:
         return Ok(None)
     first = recovered.entries[0].index
     last = recovered.entries[-1].index
     if not first <= snapshot.index + 1 <= last + 1:
-        reason = f"entries {first} to {last} do not join the snapshot at {snapshot.index}"
+        reason = (
+            f"entries {first} to {last} are not contiguous with the snapshot at {snapshot.index}"
+        )
         return Error(CorruptData("log", 0, reason))
     if first <= snapshot.index and recovered.entries[snapshot.index - first].term != snapshot.term:
-        reason = f"entry {snapshot.index} is not of the snapshot's term"
+        reason = f"entry {snapshot.index} does not have the term of the snapshot"
         return Error(CorruptData("log", 0, reason))
     return Ok(None)
--- a/packages/bendwind-node/src/bendwind_node/storage/store.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/store.py
@@ -1,8 +1,9 @@
-"""Keep a voter's log, votes, snapshot and id on disk, synced before anything is acknowledged.
+"""Store a voter's log, votes, snapshot and id on disk, synced before they are acknowledged.
 
-Segment files hold frames in order; the newest is appended to. Snapshot and identity files are
-written aside, synced, renamed and the folder synced. After any failed operation nothing more is
-written: what the failed sync left behind is not known.
+Segment files contain frames in order; frames are appended to the newest segment. Snapshot and
+identity files are written to a temporary file, which is synced and renamed, and then the folder is
+synced. After a failed operation the store writes nothing more, because it is unknown which data a
+failed sync has made durable.
 """
 
 import secrets
@@ -14,7 +15,7 @@
 from bendwind_core.consensus import HardState, Persist, SaveSnapshot
 from bendwind_node.storage.errors import CorruptData, DiskFailed, StoreError
 from bendwind_node.storage.files import Files
-from bendwind_node.storage.frames import FrameRun, encode_frame, read_frame, read_frames
+from bendwind_node.storage.frames import ValidFrames, encode_frame, read_frame, read_frames
 from bendwind_node.storage.records import (
     SYNCED_MARK,
     EntryWritten,
@@ -40,7 +41,11 @@
 
 
 class Segment(msgspec.Struct):
-    """Describe a segment file: the last entry it holds, or 0, and its size."""
+    """Describe a segment file.
+
+    `last_index` is the index of the last entry that it contains, or 0.
+    Units: bytes for `size`.
+    """
 
     name: str
     last_index: int = 0
@@ -48,7 +53,7 @@
 
 
 class Store(msgspec.Struct):
-    """Own the files of one voter."""
+    """Write the files of one voter."""
 
     files: Files
     identity: Identity
@@ -62,21 +67,21 @@
     def write(self, batch: Sequence[Persist | SaveSnapshot]) -> Result[int, DiskFailed]:
         """Write a batch in order, sync once, and return the last token.
 
-        Errors: DiskFailed, then and ever after.
+        Errors: DiskFailed, also for every later call.
         """
         if self.failure is not None:
             return Error(self.failure)
         try:
             for request in batch:
-                self._write_one(request)
+                self._write_request(request)
             self.files.sync(self.segments[-1].name)
-            self._append([Synced()])
+            self._append_records([Synced()])
         except OSError as error:
             self.failure = DiskFailed("write", str(error))
             return Error(self.failure)
         return Ok(batch[-1].token)
 
-    def _write_one(self, request: Persist | SaveSnapshot) -> None:
+    def _write_request(self, request: Persist | SaveSnapshot) -> None:
         match request:
             case Persist():
                 self._persist(request)
@@ -96,16 +101,16 @@
         if request.truncate_from is not None:
             records.append(Truncated(request.truncate_from))
         records += [EntryWritten(entry) for entry in request.entries]
-        self._append(records)
+        self._append_records(records)
         if request.entries:
             segment = self.segments[-1]
             segment.last_index = max(segment.last_index, request.entries[-1].index)
 
     def _mark_formed(self) -> None:
         self.identity = Identity(self.identity.voter_id, True)
-        replace_file(self.files, _IDENTITY, encode_frame(0, encode_record(self.identity)))
+        write_file_atomically(self.files, _IDENTITY, encode_frame(0, encode_record(self.identity)))
 
-    def _append(self, records: list[StoredRecord]) -> None:
+    def _append_records(self, records: list[StoredRecord]) -> None:
         data = bytearray()
         for record in records:
             data += encode_frame(self.sequence, encode_record(record))
@@ -116,21 +121,21 @@
 
     def _start_segment(self) -> None:
         self.segments.append(Segment(_segment_name(self.sequence)))
-        self._append([SegmentHead(self.hard_state)])
+        self._append_records([SegmentHead(self.hard_state)])
         self.files.sync(self.segments[-1].name)
         self.files.sync_folder()
 
     def _save_snapshot(self, request: SaveSnapshot) -> None:
-        # The entries that the snapshot stands for must be durable before it.
+        # The entries that the snapshot covers must be durable before the snapshot is.
         self.files.sync(self.segments[-1].name)
         name = f"{_SNAPSHOT_PREFIX}{request.snapshot.index:020d}"
         data = encode_frame(
             request.snapshot.index,
             encode_record(SnapshotFile(request.snapshot, request.is_installed)),
         )
-        replace_file(self.files, name, data)
+        write_file_atomically(self.files, name, data)
         if request.is_installed:
-            self._append([ResetTo(request.snapshot.index)])
+            self._append_records([ResetTo(request.snapshot.index)])
             self.files.sync(self.segments[-1].name)
             for segment in self.segments:
                 segment.last_index = 0
@@ -142,42 +147,46 @@
     def _remove_segments(self, first_index: int) -> None:
         while len(self.segments) > 1 and self.segments[0].last_index < first_index:
             self.files.remove(self.segments[0].name)
-            # A later segment must not go before an earlier one: that would read as a gap.
+            # Each removal must be durable before the next. If a later segment disappeared before an
+            # earlier one, the log would be read as having a gap.
             self.files.sync_folder()
             del self.segments[0]
 
     def renew_identity(self) -> Result[int, DiskFailed]:
-        """Give this disk a new id, since the former may never vote again; the log stays.
+        """Assign a new voter id to this disk, because the former id may never vote again.
 
-        The log holds nothing that is false under the new id: a vote given in a term binds it too.
-        Errors: DiskFailed, then and ever after.
+        The log is kept. It stays correct under the new id: a vote that was cast in a term is also
+        binding for the new id.
+        Errors: DiskFailed, also for every later call.
         """
         if self.failure is not None:
             return Error(self.failure)
         try:
             self.identity = Identity(secrets.randbits(VOTER_ID_BITS), self.identity.is_formed)
-            replace_file(self.files, _IDENTITY, encode_frame(0, encode_record(self.identity)))
+            write_file_atomically(
+                self.files, _IDENTITY, encode_frame(0, encode_record(self.identity))
+            )
         except OSError as error:
             self.failure = DiskFailed("renew identity", str(error))
             return Error(self.failure)
         return Ok(self.identity.voter_id)
 
     def close(self) -> None:
-        """Release the files."""
+        """Close the files."""
         self.files.close()
 
 
 class OpenedStore(msgspec.Struct, frozen=True):
-    """Hold an open store and what it recovered."""
+    """Hold an open store and the state that was recovered from disk."""
 
     store: Store
     recovered: RecoveredState
 
 
 def open_store(files: Files, segment_bytes: int = SEGMENT_BYTES) -> Result[OpenedStore, StoreError]:
-    """Read everything back, cut a torn tail, and make what was read durable again.
+    """Read all files, discard a torn tail, and make the data that was read durable again.
 
-    Errors: CorruptData when synced data is damaged or missing, DiskFailed when a file operation is.
+    Errors: CorruptData if synced data is damaged or missing, DiskFailed if a file operation fails.
     """
     try:
         return _open(files, segment_bytes)
@@ -189,7 +198,7 @@
     names = sorted(files.names())
     if _TEMPORARY in names:
         files.remove(_TEMPORARY)
-    identity = _read_identity(files, names)
+    identity = _read_or_create_identity(files, names)
     if identity.is_error():
         return identity
     store = Store(files, identity.ok, segment_bytes)
@@ -204,18 +213,18 @@
     store.hard_state = recovered.hard_state
     if not store.segments:
         store._start_segment()
-    if recovered.is_log_void:
-        store._append([ResetTo(recovered.snapshot.index)])
+    if recovered.is_log_superseded:
+        store._append_records([ResetTo(recovered.snapshot.index)])
         files.sync(store.segments[-1].name)
     return Ok(OpenedStore(store, recovered))
 
 
-def _read_identity(files: Files, names: list[str]) -> Result[Identity, StoreError]:
+def _read_or_create_identity(files: Files, names: list[str]) -> Result[Identity, StoreError]:
     if _IDENTITY not in names:
         if any(name.startswith((_SEGMENT_PREFIX, _SNAPSHOT_PREFIX)) for name in names):
-            return Error(CorruptData(_IDENTITY, 0, "missing beside a log"))
+            return Error(CorruptData(_IDENTITY, 0, "missing although a log or snapshot exists"))
         identity = Identity(secrets.randbits(VOTER_ID_BITS), False)
-        replace_file(files, _IDENTITY, encode_frame(0, encode_record(identity)))
+        write_file_atomically(files, _IDENTITY, encode_frame(0, encode_record(identity)))
         return Ok(identity)
     frame = read_frame(files.read(_IDENTITY), 0)
     if frame is None:
@@ -223,7 +232,7 @@
     identity = decode_record(frame.payload)
     has_log = any(name.startswith(_SEGMENT_PREFIX) for name in names)
     if identity.is_formed and not has_log:
-        return Error(CorruptData(_IDENTITY, 0, "the log that was beside it is missing"))
+        return Error(CorruptData(_IDENTITY, 0, "a log was formed, but its segments are missing"))
     return Ok(identity)
 
 
@@ -241,7 +250,8 @@
     recovered.snapshot = record.snapshot
     recovered.is_snapshot_installed = record.is_installed
     if found[:-1]:
-        # The newest may have been renamed by a process that was killed before it synced the folder.
+        # The process that renamed the newest snapshot may have been killed before it synced the
+        # folder. Its name must be durable before the older snapshots are removed.
         store.files.sync_folder()
     for name in found[:-1]:
         store.files.remove(name)
@@ -258,34 +268,36 @@
         if name != _segment_name(store.sequence):
             return Error(CorruptData(name, 0, f"record {store.sequence} is missing before it"))
         data = store.files.read(name)
-        run = read_frames(name, data, store.sequence, SYNCED_MARK, is_last=name == found[-1])
-        if run.is_error():
-            return run
-        outcome = _replay_run(store, name, run.ok, recovered)
+        valid_frames = read_frames(
+            name, data, store.sequence, SYNCED_MARK, is_last=name == found[-1]
+        )
+        if valid_frames.is_error():
+            return valid_frames
+        outcome = _replay_segment(store, name, valid_frames.ok, recovered)
         if outcome.is_error():
             return outcome
     if found:
-        recovered.cut_bytes = len(data) - run.ok.end
-        _renew_tail(store, data[: run.ok.end], recovered)
+        recovered.cut_bytes = len(data) - valid_frames.ok.end
+        _rewrite_last_segment(store, data[: valid_frames.ok.end], recovered)
     return Ok(None)
 
 
-def _replay_run(
-    store: Store, name: str, run: FrameRun, recovered: RecoveredState
+def _replay_segment(
+    store: Store, name: str, valid_frames: ValidFrames, recovered: RecoveredState
 ) -> Result[None, StoreError]:
-    segment = Segment(name, size=run.end)
-    for frame in run.frames:
+    segment = Segment(name, size=valid_frames.end)
+    for frame in valid_frames.frames:
         outcome = replay_frame(recovered, name, frame)
         if outcome.is_error():
             return outcome
         segment.last_index = max(segment.last_index, outcome.ok)
-    store.sequence += len(run.frames)
+    store.sequence += len(valid_frames.frames)
     store.segments.append(segment)
     return Ok(None)
 
 
-def _renew_tail(store: Store, data: bytes, recovered: RecoveredState) -> None:
-    """Write the last segment anew, with a mark: what was read may never have reached the disk."""
+def _rewrite_last_segment(store: Store, data: bytes, recovered: RecoveredState) -> None:
+    """Rewrite the last segment with a sync mark; the data that was read may not be durable yet."""
     if not data:
         empty = store.segments.pop()
         store.files.remove(empty.name)
@@ -295,15 +307,15 @@
     marked = data + encode_frame(store.sequence, SYNCED_MARK)
     store.sequence += 1
     store.segments[-1].size = len(marked)
-    replace_file(store.files, store.segments[-1].name, marked)
+    write_file_atomically(store.files, store.segments[-1].name, marked)
 
 
 def _segment_name(sequence: int) -> str:
     return f"{_SEGMENT_PREFIX}{sequence:020d}"
 
 
-def replace_file(files: Files, name: str, data: bytes) -> None:
-    """Write a file aside, sync it, rename it into place and sync the folder."""
+def write_file_atomically(files: Files, name: str, data: bytes) -> None:
+    """Write and sync a temporary file, rename it to its final name, and sync the folder."""
     if _TEMPORARY in files.names():
         files.remove(_TEMPORARY)
     files.append(_TEMPORARY, data)
