--- a/packages/bendwind-node/src/bendwind_node/storage/errors.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the store."""
+"""Define the errors of the store."""
 
 import msgspec
 
--- a/packages/bendwind-node/src/bendwind_node/storage/files.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/files.py
@@ -1,4 +1,4 @@
-"""File operations of the store, behind an interface with which tests inject failures."""
+"""Define the file operations of the store as an interface, so that tests can inject failures."""
 
 import fcntl
 import os
--- a/packages/bendwind-node/src/bendwind_node/storage/measure.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/measure.py
@@ -129,11 +129,11 @@
 
 def main() -> None:
     """Measure each number of changes in a separate folder."""
-    found = []
+    measurements = []
     for changes in CHANGES:
         with tempfile.TemporaryDirectory() as folder:
-            found.append(asdict(measure(changes, Path(folder))))
-    json.dump(found, sys.stdout, indent=1)
+            measurements.append(asdict(measure(changes, Path(folder))))
+    json.dump(measurements, sys.stdout, indent=1)
     sys.stdout.write("\n")
 
 
--- a/packages/bendwind-node/src/bendwind_node/storage/records.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/records.py
@@ -1,4 +1,4 @@
-"""Records that are stored in the files of a voter."""
+"""Define the records in the files of a voter."""
 
 import cbor2
 import msgspec
--- a/packages/bendwind-node/src/bendwind_node/storage/store.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/store.py
@@ -239,21 +239,21 @@
 def _read_snapshot(
     store: Store, names: list[str], recovered: RecoveredState
 ) -> Result[None, StoreError]:
-    found = [name for name in names if name.startswith(_SNAPSHOT_PREFIX)]
-    if not found:
+    snapshot_names = [name for name in names if name.startswith(_SNAPSHOT_PREFIX)]
+    if not snapshot_names:
         return Ok(None)
-    store.snapshot_name = found[-1]
-    frame = read_frame(store.files.read(found[-1]), 0)
+    store.snapshot_name = snapshot_names[-1]
+    frame = read_frame(store.files.read(snapshot_names[-1]), 0)
     if frame is None:
-        return Error(CorruptData(found[-1], 0, "damaged"))
+        return Error(CorruptData(snapshot_names[-1], 0, "damaged"))
     record = decode_record(frame.payload)
     recovered.snapshot = record.snapshot
     recovered.is_snapshot_installed = record.is_installed
-    if found[:-1]:
+    if snapshot_names[:-1]:
         # The process that renamed the newest snapshot may have been killed before it synced the
         # folder. Its name must be durable before the older snapshots are removed.
         store.files.sync_folder()
-    for name in found[:-1]:
+    for name in snapshot_names[:-1]:
         store.files.remove(name)
     return Ok(None)
 
@@ -261,22 +261,22 @@
 def _read_segments(
     store: Store, names: list[str], recovered: RecoveredState
 ) -> Result[None, StoreError]:
-    found = [name for name in names if name.startswith(_SEGMENT_PREFIX)]
-    if found:
-        store.sequence = int(found[0].removeprefix(_SEGMENT_PREFIX))
-    for name in found:
+    segment_names = [name for name in names if name.startswith(_SEGMENT_PREFIX)]
+    if segment_names:
+        store.sequence = int(segment_names[0].removeprefix(_SEGMENT_PREFIX))
+    for name in segment_names:
         if name != _segment_name(store.sequence):
             return Error(CorruptData(name, 0, f"record {store.sequence} is missing before it"))
         data = store.files.read(name)
         valid_frames = read_frames(
-            name, data, store.sequence, SYNCED_MARK, is_last=name == found[-1]
+            name, data, store.sequence, SYNCED_MARK, is_last=name == segment_names[-1]
         )
         if valid_frames.is_error():
             return valid_frames
         outcome = _replay_segment(store, name, valid_frames.ok, recovered)
         if outcome.is_error():
             return outcome
-    if found:
+    if segment_names:
         recovered.cut_bytes = len(data) - valid_frames.ok.end
         _rewrite_last_segment(store, data[: valid_frames.ok.end], recovered)
     return Ok(None)
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/fake_cluster.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/fake_cluster.py
@@ -1,4 +1,4 @@
-"""Run replicas on fake disks and a lossy network in one thread, and judge what they apply."""
+"""Run replicas on fake disks and a lossy network in one thread, and check what they apply."""
 
 import collections
 import random
@@ -52,56 +52,62 @@
 
 
 class Oracle:
-    """Remember what was committed, and refuse anything that contradicts it."""
+    """Record what was committed, and fail an assertion on anything that contradicts it.
+
+    `voters` is the newest committed voter set with the index of its entry, or None.
+    """
 
     def __init__(self):
         self.log = {}
-        self.accepted = {}
+        self.acknowledged = {}
         self.leaders = {}
-        self.floor = 0
+        self.highest_committed = 0
         self.voters = None
 
-    def commit(self, entry):
+    def record_committed(self, entry):
         known = self.log.setdefault(entry.index, (entry.term, entry.command))
         assert known == (entry.term, entry.command), f"index {entry.index} reverted from {known}"
-        self.floor = max(self.floor, entry.index)
+        self.highest_committed = max(self.highest_committed, entry.index)
 
-    def accept(self, index, command):
-        assert self.log[index][1] == command, f"accepted {command} is not at {index}"
-        self.accepted[index] = command
+    def record_acknowledged(self, index, command):
+        assert self.log[index][1] == command, f"acknowledged {command} is not at {index}"
+        self.acknowledged[index] = command
 
-    def lead(self, term, voter):
+    def record_leader(self, term, voter):
         known = self.leaders.setdefault(term, voter)
         assert known == voter, f"two leaders of term {term}: {known} and {voter}"
 
-    def commands(self, index):
+    def list_committed(self, index):
         return [self.log[at] for at in range(1, index + 1)]
 
 
 class Member:
-    """Hold one process: its replica, store and state machine, or nothing while it is down."""
+    """Hold one process: its replica, store and state machine.
+
+    `replica` is None while the process is down.
+    """
 
     def __init__(self, name, cluster):
         self.name = name
         self.cluster = cluster
         self.files = FakeFiles(cluster.rng)
-        self.skew = cluster.rng.uniform(0.5, 2.0)
+        self.clock_rate = cluster.rng.uniform(0.5, 2.0)
         self.disk_speed = 0.8
-        self.offset = cluster.rng.uniform(0, 1000)
+        self.clock_offset = cluster.rng.uniform(0, 1000)
         self.replica = None
-        self.retired = []
-        self.removals = {}
+        self.former_disks = []
+        self.removal_outcomes = {}
 
     def now(self):
-        return self.offset + self.cluster.time * self.skew
+        return self.clock_offset + self.cluster.time * self.clock_rate
 
-    def change_skew(self, skew):
-        """Let the clock run at another pace from now on."""
-        self.offset += self.cluster.time * (self.skew - skew)
-        self.skew = skew
+    def change_clock_rate(self, clock_rate):
+        """Change the rate of the clock from now on."""
+        self.clock_offset += self.cluster.time * (self.clock_rate - clock_rate)
+        self.clock_rate = clock_rate
 
     def open(self):
-        """Open the store, over again when the disk fails at that too."""
+        """Open the store, and retry if the disk fails while it is opened."""
         while True:
             try:
                 opened = open_store(self.files, segment_bytes=200)
@@ -115,30 +121,30 @@
     def start(self):
         opened = self.open()
         self.store = opened.ok.store
-        found = opened.ok.recovered
+        recovered = opened.ok.recovered
         self.replica = create_replica(
             Voter(self.name, self.store.identity.voter_id),
-            self.cluster.listed,
+            self.cluster.listed_names,
             self.cluster.settings,
             self.now(),
             self.cluster.rng,
-            hard_state=found.hard_state,
-            snapshot=found.snapshot,
-            entries=tuple(found.entries),
+            hard_state=recovered.hard_state,
+            snapshot=recovered.snapshot,
+            entries=tuple(recovered.entries),
         )
         self.applied = 0
         self.state = []
         self.writes = []
         self.events = collections.deque()
-        self.proposed = {}
-        self.floors = {}
-        if found.snapshot.index:
-            self.restore(found.snapshot.index, found.snapshot.data)
+        self.proposals = {}
+        self.min_barrier_indexes = {}
+        if recovered.snapshot.index:
+            self.restore(recovered.snapshot.index, recovered.snapshot.data)
 
     def restore(self, index, data):
         self.state = [tuple(item) for item in cbor2.loads(data)]
         self.applied = index
-        assert self.state == self.cluster.oracle.commands(index), "snapshot differs"
+        assert self.state == self.cluster.oracle.list_committed(index), "snapshot differs"
 
     def crash(self):
         self.replica = None
@@ -149,15 +155,15 @@
         self.files.lose_power()
 
     def handle(self, event):
-        """Take an event, and then those that it causes here, as the voter's task does."""
+        """Handle an event and then the local events that it causes, as the voter task does."""
         self.events.append(event)
         while self.events and self.replica is not None:
             effects = step(self.replica, self.events.popleft(), self.now(), self.cluster.rng)
             for effect in effects:
                 if self.replica is not None:
-                    self.carry_out(effect)
+                    self.apply_effect(effect)
 
-    def carry_out(self, effect):
+    def apply_effect(self, effect):
         oracle = self.cluster.oracle
         match effect:
             case Send():
@@ -166,39 +172,43 @@
                 self.writes.append(effect)
             case Apply(entries=entries):
                 for entry in entries:
-                    assert entry.index == self.applied + 1, "gap in what is applied"
-                    oracle.commit(entry)
+                    assert entry.index == self.applied + 1, "gap in the applied entries"
+                    oracle.record_committed(entry)
                     self.applied = entry.index
                     self.state.append((entry.term, entry.command))
             case TakeSnapshot(index=index):
                 self.events.append(SnapshotTaken(index, cbor2.dumps(self.state)))
             case InstallSnapshot(index=index, data=data):
-                assert index > self.applied, "snapshot older than what is applied"
+                assert index > self.applied, "snapshot is older than the applied state"
                 self.restore(index, data)
             case ProposalDone(request_id=request_id, outcome=outcome) if (
-                request_id in self.removals
+                request_id in self.removal_outcomes
             ):
-                self.removals[request_id] = outcome
+                self.removal_outcomes[request_id] = outcome
             case ProposalDone(request_id=request_id, outcome=outcome):
-                command = self.proposed.pop(request_id)
+                command = self.proposals.pop(request_id)
                 if isinstance(outcome, Committed):
-                    oracle.accept(outcome.index, command)
+                    oracle.record_acknowledged(outcome.index, command)
             case BarrierDone():
-                floor = self.floors.pop(effect.request_id)
-                assert effect.index >= floor, f"barrier {effect.index} is older than {floor}"
-                assert self.applied >= effect.index, "barrier ended before it was applied"
+                min_index = self.min_barrier_indexes.pop(effect.request_id)
+                assert (
+                    effect.index >= min_index
+                ), f"barrier {effect.index} is older than {min_index}"
+                assert (
+                    self.applied >= effect.index
+                ), "barrier completed before its index was applied"
             case BarrierFailed():
-                self.floors.pop(effect.request_id)
+                self.min_barrier_indexes.pop(effect.request_id)
             case VotersChanged(index=index, voters=voters):
                 if oracle.voters is None or index > oracle.voters[0]:
                     oracle.voters = (index, voters)
             case SelfRemoved() if self.cluster.settings.open_to:
                 self.renew_identity()
             case LeaderChanged(leader=leader) if leader == self.replica.voter:
-                oracle.lead(effect.term, leader)
+                oracle.record_leader(effect.term, leader)
 
     def renew_identity(self):
-        """Take a new identity; a disk that refuses it ends the process, which asks again later."""
+        """Renew the identity; a disk failure ends the process, which retries after a restart."""
         try:
             renewed = self.store.renew_identity()
         except CrashError:
@@ -210,7 +220,7 @@
         self.events.append(IdentityRenewed(Voter(self.name, renewed.ok)))
 
     def write(self):
-        """Write some of what is requested; a fault in the middle ends the process."""
+        """Write a random number of the pending requests; a disk fault ends the process."""
         count = self.cluster.rng.randint(1, len(self.writes))
         batch, self.writes = self.writes[:count], self.writes[count:]
         try:
@@ -225,196 +235,206 @@
 
 
 class FakeCluster:
-    """Own the members, the messages between them and the time."""
+    """Hold the members, the messages between them and the time.
+
+    `partition` names the members on one side of a network partition. `blocked_links` are pairs of
+    a sender and a receiver. `paused` maps each paused member to the messages that wait for it.
+    `decoders` maps a member to the function that converts each message that it receives.
+    """
 
     def __init__(self, size, seed, settings=SETTINGS):
         self.rng = random.Random(seed)
         self.names = tuple("abcde"[:size])
-        self.listed = self.names
+        self.listed_names = self.names
         self.settings = settings
         self.time = 0.0
         self.network = []
         self.oracle = Oracle()
-        self.cut = set()
-        self.cut_one_way = set()
-        self.still = {}
-        self.read_by = {}
-        self.loss = 0.0
-        self.request = 0
+        self.partition = set()
+        self.blocked_links = set()
+        self.paused = {}
+        self.decoders = {}
+        self.loss_rate = 0.0
+        self.last_request_id = 0
         self.members = {name: Member(name, self) for name in self.names}
         for member in self.members.values():
             member.start()
 
-    def join(self, name):
-        """Start a member that no settings list; it knows the listed ones."""
+    def add_member(self, name):
+        """Start a member that is not listed in the settings; it knows the listed members."""
         self.names = (*self.names, name)
         self.members[name] = Member(name, self)
         self.members[name].start()
 
-    def lose(self, name):
-        """Take a member away for good."""
+    def remove_member(self, name):
+        """Remove a member permanently."""
         self.names = tuple(kept for kept in self.names if kept != name)
         self.members[name].replica = None
         del self.members[name]
 
     def voter_names(self):
-        """Return the names of all whose votes count in the newest committed voter set."""
+        """Return the names of all voting members of the newest committed voter set."""
         return {voter.name for voter in self.oracle.voters[1].voting}
 
     def run(self, ticks):
         for _ in range(ticks):
             self.time += TICK_S
             for member in self.members.values():
-                if member.name in self.still:
+                if member.name in self.paused:
                     continue
                 member.handle(Tick())
                 if member.replica and member.writes and self.rng.random() < member.disk_speed:
                     member.write()
             self.deliver()
 
-    def run_busy(self, ticks):
-        """Run with a proposal and now and then a barrier on everyone."""
+    def run_with_requests(self, ticks):
+        """Run with a proposal on each member at each tick, and a barrier at some ticks."""
         for _ in range(ticks):
             self.run(1)
             for name in self.names:
                 self.propose(name)
                 if self.rng.random() < 0.2:
-                    self.barrier(name)
+                    self.request_barrier(name)
 
-    def leaders(self):
-        """List who leads, the one of the newest term last."""
+    def list_leaders(self):
+        """List the leaders, ordered by term."""
         members = [member for member in self.members.values() if member.replica]
         found = [member for member in members if member.replica.is_leader]
         return sorted(found, key=lambda member: member.replica.hard.term)
 
-    def run_to_new_leader(self):
-        """Run until someone leads a term that nobody led before, and return its name."""
+    def run_until_new_leader(self):
+        """Run until a member leads a newer term than any leader before it, and return its name.
+
+        Return None if no member does so within 80 ticks.
+        """
         newest = max(self.oracle.leaders, default=0)
         for _ in range(80):
-            found = self.leaders()
+            found = self.list_leaders()
             if found and found[-1].replica.hard.term > newest:
                 return found[-1].name
             self.run(1)
         return None
 
     def deliver(self):
-        """Deliver most messages in random order; lose, keep back or repeat the others."""
+        """Deliver most messages in random order; drop, delay or repeat the others."""
         pending, self.network = self.network, []
         self.rng.shuffle(pending)
         for message in pending:
             sender, to, content = message
-            if (sender in self.cut) != (to in self.cut) or self.rng.random() < self.loss:
+            if (sender in self.partition) != (
+                to in self.partition
+            ) or self.rng.random() < self.loss_rate:
                 continue
-            if (sender, to) in self.cut_one_way:
+            if (sender, to) in self.blocked_links:
                 continue
-            if to in self.still:
-                self.still[to].append(message)
+            if to in self.paused:
+                self.paused[to].append(message)
                 continue
-            if self.rng.random() < self.loss + 0.1:
+            if self.rng.random() < self.loss_rate + 0.1:
                 self.network.append(message)
                 if self.rng.random() < 0.5:
                     continue
             if to in self.members:
-                read = self.read_by.get(to, lambda message: message)
+                read = self.decoders.get(to, lambda message: message)
                 self.members[to].handle(Received(sender, read(content)))
 
-    def go_on(self, name):
-        """Let a process that stood still go on, with all that was sent to it in order."""
-        for sender, to, content in self.still.pop(name, ()):
+    def resume(self, name):
+        """Resume a paused process, and deliver the messages sent to it meanwhile in order."""
+        for sender, to, content in self.paused.pop(name, ()):
             if to in self.members:
                 self.members[to].handle(Received(sender, content))
 
     def propose(self, name):
         member = self.members[name]
-        self.request += 1
+        self.last_request_id += 1
         if member.replica:
-            member.proposed[self.request] = b"%d" % self.request
-            member.handle(Propose(self.request, b"%d" % self.request))
+            member.proposals[self.last_request_id] = b"%d" % self.last_request_id
+            member.handle(Propose(self.last_request_id, b"%d" % self.last_request_id))
 
     def remove_voter(self, leader, name):
-        """Ask a leader to remove a voter, and return the request's id."""
+        """Request the removal of a voter from a leader, and return the id of the request."""
         member = self.members[leader]
-        self.request += 1
-        member.removals[self.request] = None
-        member.handle(RemoveVoter(self.request, name))
-        return self.request
+        self.last_request_id += 1
+        member.removal_outcomes[self.last_request_id] = None
+        member.handle(RemoveVoter(self.last_request_id, name))
+        return self.last_request_id
 
-    def barrier(self, name):
+    def request_barrier(self, name):
         member = self.members[name]
-        self.request += 1
+        self.last_request_id += 1
         if member.replica:
-            member.floors[self.request] = self.oracle.floor
-            member.handle(BarrierRequested(self.request))
+            member.min_barrier_indexes[self.last_request_id] = self.oracle.highest_committed
+            member.handle(BarrierRequested(self.last_request_id))
 
-    def is_whole(self):
-        """Tell whether the committed voters are disks in place, as many as there may be."""
+    def has_full_voter_set(self):
+        """Return whether the committed voter set has full size and all its disks are present."""
         if self.oracle.voters is None:
             return False
-        present = {member.store.identity.voter_id for member in self.members.values()}
+        present_ids = {member.store.identity.voter_id for member in self.members.values()}
         voting = {voter.voter_id for voter in self.oracle.voters[1].voting}
-        limit = self.settings.open_to or len(present)
+        limit = self.settings.open_to or len(present_ids)
         is_settled = not self.oracle.voters[1].is_joint
-        return is_settled and voting <= present and len(voting) == min(limit, len(present))
+        return is_settled and voting <= present_ids and len(voting) == min(limit, len(present_ids))
 
     def replace_disk(self, name):
-        """Lose a disk that the others can do without, and start on an empty one."""
+        """Replace a disk that the cluster can afford to lose by an empty one, and restart."""
         member = self.members[name]
         member.replica = None
-        member.retired.append(member.files)
+        member.former_disks.append(member.files)
         member.files = FakeFiles(self.rng)
         member.start()
 
-    def swap_disk(self, name, ticks):
-        """Start the process on its former disk for a while, then on its present one."""
+    def run_on_former_disk(self, name, ticks):
+        """Run the process on its former disk for some ticks, and then on its current disk."""
         member = self.members[name]
-        present = member.files
-        for files in (member.retired[-1], present):
+        current_files = member.files
+        for files in (member.former_disks[-1], current_files):
             if member.replica:
                 member.crash()
             member.files = files
             member.start()
-            self.run_busy(ticks)
+            self.run_with_requests(ticks)
 
     def heal(self):
-        self.cut.clear()
-        self.cut_one_way.clear()
-        for name in list(self.still):
-            self.go_on(name)
-        self.loss = 0.0
+        self.partition.clear()
+        self.blocked_links.clear()
+        for name in list(self.paused):
+            self.resume(name)
+        self.loss_rate = 0.0
         for member in self.members.values():
-            member.files.budget = None
+            member.files.operations_left = None
             member.disk_speed = 0.8
             if member.replica is None:
                 member.start()
 
     def is_settled(self):
         members = list(self.members.values())
-        newest = max(self.oracle.accepted, default=0)
+        newest = max(self.oracle.acknowledged, default=0)
         return (
-            self.is_whole()
+            self.has_full_voter_set()
             and any(member.replica.is_leader for member in members)
             and len({member.applied for member in members}) == 1
             and members[0].applied >= newest
         )
 
     def settle(self):
-        """Heal all and run until everyone holds the same log with all that was accepted."""
+        """Heal all faults; run until all logs are equal and have all acknowledged commands."""
         self.heal()
-        accepted = len(self.oracle.accepted)
+        acknowledged = len(self.oracle.acknowledged)
         for _ in range(100):
             self.run(10)
             self.heal()
             for name in self.names:
                 self.propose(name)
             self.run(20)
-            if len(self.oracle.accepted) > accepted and self.is_settled():
+            if len(self.oracle.acknowledged) > acknowledged and self.is_settled():
                 break
         else:
             raise AssertionError(f"no progress after healing: {self.describe()}")
         for member in self.members.values():
-            assert member.state == self.oracle.commands(member.applied)
+            assert member.state == self.oracle.list_committed(member.applied)
             held = {command for _, command in member.state}
-            assert held >= set(self.oracle.accepted.values()), "an accepted command is lost"
+            assert held >= set(self.oracle.acknowledged.values()), "an acknowledged command is lost"
 
     def describe(self):
         return [
@@ -431,8 +451,8 @@
         ]
 
 
-def form(seed, size=5, settings=OPEN_TO_FIVE):
-    """Make a cluster that has formed and forms no other; disks write at once."""
+def form_cluster(seed, size=5, settings=OPEN_TO_FIVE):
+    """Create a formed cluster that forms no second one; its disks write at each tick."""
     cluster = FakeCluster(size, seed, settings)
     cluster.settle()
     cluster.settings = msgspec.structs.replace(settings, may_form=False)
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/loss_machine.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/loss_machine.py
@@ -1,4 +1,4 @@
-"""Drive a fake cluster by faults of disks, power, links and processes, and by changes of voters."""
+"""Test a fake cluster with disk, power, link and process faults and with voter changes."""
 
 import msgspec
 from hypothesis import strategies as st
@@ -9,45 +9,47 @@
 from bendwind_node.storage.tests.fake_cluster import SETTINGS, FakeCluster, Oracle
 from bendwind_node.storage.tests.fake_files import CrashError
 
-WHICH = st.integers(0, 4)
+MEMBER_NUMBERS = st.integers(0, 4)
 TICKS = st.integers(0, 20)
-# Some are longer than the silence after which a voter is replaced, and some are not.
+# The range includes times shorter and longer than the silence after which a voter is replaced.
 LONG_TICKS = st.integers(0, 120)
 DISK_SPEEDS = st.sampled_from([0.0, 0.05, 0.3, 0.8, 1.0])
 ORDERS = st.sampled_from(["oldest", "newest", "leader", "fullest followers"])
-SEEDS = 3
-REPLACED_TICKS = 200
-# A reply may be under way from a disk that is lost meanwhile.
-REPLY_S = 1.0
+CONTACT_COUNT = 3
+REPLACEMENT_TICKS = 200
+# During this time after a disk loss, a reply may still arrive that the lost disk has sent.
+REPLY_DELAY_S = 1.0
 CHECKED_SHARE = 0.2
 
 
-class CopiesOracle(Oracle):
-    """Look, besides, whether what is acknowledged is synced on the disks of a quorum of voters."""
+class DurabilityOracle(Oracle):
+    """Check in addition that acknowledged entries are synced on the disks of a voter quorum."""
 
     def __init__(self, cluster):
         super().__init__()
         self.cluster = cluster
         self.disk_lost_at = 0.0
 
-    def accept(self, index, command):
-        super().accept(index, command)
-        is_calm = self.cluster.time - self.disk_lost_at > REPLY_S
-        if is_calm and self.cluster.rng.random() < CHECKED_SHARE:
-            self.check_copies(index)
+    def record_acknowledged(self, index, command):
+        super().record_acknowledged(index, command)
+        is_after_replies = self.cluster.time - self.disk_lost_at > REPLY_DELAY_S
+        if is_after_replies and self.cluster.rng.random() < CHECKED_SHARE:
+            self.check_durable_copies(index)
 
-    def check_copies(self, index):
-        leader = self.cluster.leaders()[-1]
+    def check_durable_copies(self, index):
+        leader = self.cluster.list_leaders()[-1]
         sets = [at.voters for at in leader.replica.configurations[-2:]]
         members = self.cluster.members.values()
         holders = {
-            member.store.identity.voter_id for member in members if is_held(member.files, index)
+            member.store.identity.voter_id for member in members if is_durable(member.files, index)
         }
-        assert any(voters.is_quorum(holders) for voters in sets), f"{index} is held by {holders}"
+        assert any(
+            voters.is_quorum(holders) for voters in sets
+        ), f"{index} is durable only on {holders}"
 
 
-def is_held(files, index):
-    """Tell whether a folder holds an entry though all that was not synced is lost."""
+def is_durable(files, index):
+    """Return whether a folder still contains an entry after the loss of all unsynced data."""
     opened = open_store(files.copy_synced())
     assert opened.is_ok(), opened
     recovered = opened.ok.recovered
@@ -57,73 +59,79 @@
 
 
 class LossMachine(RuleBasedStateMachine):
-    """Lose disks of as many voters as must be borne; oracle: what was acknowledged is all there."""
+    """Lose as many disks as the cluster must tolerate; oracle: no acknowledged command is lost."""
 
     size = 5
-    borne = 1
+    tolerated_losses = 1
 
     @initialize(seed=st.integers(0, 2**32))
-    def form(self, seed):
+    def form_cluster(self, seed):
         settings = msgspec.structs.replace(SETTINGS, open_to=self.size, batch_entries=6)
         self.cluster = FakeCluster(self.size, seed, settings)
-        self.cluster.oracle = CopiesOracle(self.cluster)
+        self.cluster.oracle = DurabilityOracle(self.cluster)
         self.cluster.settle()
-        # What starts from now on joins, and asks some of those that are there at the time.
+        # Members that start from now on join the cluster, and contact some of the members that
+        # exist at that time.
         self.cluster.settings = msgspec.structs.replace(settings, may_form=False)
-        self.added = 0
-        self.unproven = {}
-        self.disks_lost = 0
+        self.newcomer_count = 0
+        self.recovering = {}
+        self.lost_disk_count = 0
 
-    def list_seeds(self):
-        self.cluster.listed = tuple(self.cluster.rng.sample(self.cluster.names, SEEDS))
+    def choose_contacts(self):
+        self.cluster.listed_names = tuple(
+            self.cluster.rng.sample(self.cluster.names, CONTACT_COUNT)
+        )
 
-    def name(self, which):
-        return self.cluster.names[which % len(self.cluster.names)]
+    def find_name(self, member_number):
+        return self.cluster.names[member_number % len(self.cluster.names)]
 
-    def member(self, which):
-        return self.cluster.members[self.name(which)]
+    def find_member(self, member_number):
+        return self.cluster.members[self.find_name(member_number)]
 
-    def lost(self):
-        """Count the disks that were lost and whose successors do not yet hold what they held.
+    def count_lost_disks(self):
+        """Count the lost disks whose successors do not yet hold the data of the lost disk.
 
-        A voter that is only down, or was taken out though its disk is in place, is no loss.
+        A voter that is only down is not a loss, nor is one that was removed while its disk is
+        still present.
         """
         members = self.cluster.members
-        for name, floor in list(self.unproven.items()):
+        for name, required_index in list(self.recovering.items()):
             replica = members[name].replica if name in members else None
-            if name not in members or (replica and replica.durable_index >= floor):
-                del self.unproven[name]
-        proven = [member for name, member in members.items() if name not in self.unproven]
-        present = {member.store.identity.voter_id for member in proven}
+            if name not in members or (replica and replica.durable_index >= required_index):
+                del self.recovering[name]
+        complete_members = [
+            member for name, member in members.items() if name not in self.recovering
+        ]
+        present = {member.store.identity.voter_id for member in complete_members}
         halves = self.cluster.oracle.voters[1].halves()
-        held = [len({voter.voter_id for voter in half} & present) for half in halves]
-        missing = self.size - min(held)
-        self.disks_lost = min(self.disks_lost, missing)
-        return self.disks_lost
+        present_counts = [len({voter.voter_id for voter in half} & present) for half in halves]
+        missing = self.size - min(present_counts)
+        self.lost_disk_count = min(self.lost_disk_count, missing)
+        return self.lost_disk_count
 
     def lose_disk(self, name):
-        self.disks_lost = self.lost() + 1
-        self.unproven[name] = max(self.cluster.oracle.accepted, default=0)
+        self.lost_disk_count = self.count_lost_disks() + 1
+        self.recovering[name] = max(self.cluster.oracle.acknowledged, default=0)
         self.cluster.oracle.disk_lost_at = self.cluster.time
         self.cluster.replace_disk(name)
 
     def choose_disks(self, count, order):
-        """Name the members whose disks are lost: as many as may still be, and no more."""
-        count = max(0, min(count, self.borne - self.lost()))
+        """Choose members whose disks are to be lost, up to the number that is still tolerated."""
+        count = max(0, min(count, self.tolerated_losses - self.count_lost_disks()))
         members = self.cluster.members.values()
         names = {member.store.identity.voter_id: member.name for member in members}
         ids = [voter.voter_id for voter in self.cluster.oracle.voters[1].voting]
         listed = [names[voter_id] for voter_id in ids if voter_id in names]
-        leaders = [member.name for member in self.cluster.leaders()[-1:]]
+        leaders = [member.name for member in self.cluster.list_leaders()[-1:]]
         if order == "newest":
             listed.reverse()
         if order == "leader":
             listed.sort(key=lambda name: name not in leaders)
         if order == "fullest followers":
-            listed.sort(key=lambda name: (name in leaders, -self.held(name)))
+            listed.sort(key=lambda name: (name in leaders, -self.find_durable_index(name)))
         return listed[:count]
 
-    def held(self, name):
+    def find_durable_index(self, name):
         replica = self.cluster.members[name].replica
         return replica.durable_index if replica else 0
 
@@ -138,45 +146,47 @@
                 self.cluster.propose(name)
             self.cluster.run(ticks)
 
-    @rule(which=WHICH, speed=DISK_SPEEDS)
-    def slow_or_stall_disk(self, which, speed):
-        self.member(which).disk_speed = speed
+    @rule(member_number=MEMBER_NUMBERS, speed=DISK_SPEEDS)
+    def change_disk_speed(self, member_number, speed):
+        self.find_member(member_number).disk_speed = speed
 
-    @rule(which=WHICH, operations=st.integers(0, 12), is_error=st.booleans())
-    def fail_disk_soon(self, which, operations, is_error):
-        files = self.member(which).files
-        files.budget = operations
+    @rule(member_number=MEMBER_NUMBERS, operations=st.integers(0, 12), is_error=st.booleans())
+    def fail_disk_after_operations(self, member_number, operations, is_error):
+        files = self.find_member(member_number).files
+        files.operations_left = operations
         files.failure = OSError(28, "No space left on device") if is_error else CrashError()
 
-    @rule(cut=st.sets(WHICH, max_size=3))
-    def cut_in_two(self, cut):
-        self.cluster.cut = {self.name(which) for which in cut}
+    @rule(partition=st.sets(MEMBER_NUMBERS, max_size=3))
+    def partition_network(self, partition):
+        self.cluster.partition = {self.find_name(member_number) for member_number in partition}
 
-    @rule(pairs=st.sets(st.tuples(WHICH, WHICH), max_size=6))
-    def cut_one_way(self, pairs):
-        self.cluster.cut_one_way = {(self.name(one), self.name(other)) for one, other in pairs}
+    @rule(pairs=st.sets(st.tuples(MEMBER_NUMBERS, MEMBER_NUMBERS), max_size=6))
+    def block_links(self, pairs):
+        self.cluster.blocked_links = {
+            (self.find_name(one), self.find_name(other)) for one, other in pairs
+        }
 
-    @rule(loss=st.sampled_from([0.0, 0.05, 0.3]))
-    def lose_messages(self, loss):
-        self.cluster.loss = loss
+    @rule(loss_rate=st.sampled_from([0.0, 0.05, 0.3]))
+    def lose_messages(self, loss_rate):
+        self.cluster.loss_rate = loss_rate
 
-    @rule(which=WHICH)
-    def stand_still(self, which):
-        self.cluster.still.setdefault(self.name(which), [])
+    @rule(member_number=MEMBER_NUMBERS)
+    def pause(self, member_number):
+        self.cluster.paused.setdefault(self.find_name(member_number), [])
 
-    @rule(which=WHICH)
-    def go_on(self, which):
-        self.cluster.go_on(self.name(which))
+    @rule(member_number=MEMBER_NUMBERS)
+    def resume(self, member_number):
+        self.cluster.resume(self.find_name(member_number))
 
-    @rule(which=WHICH)
-    def kill(self, which):
-        if self.member(which).replica:
-            self.member(which).crash()
+    @rule(member_number=MEMBER_NUMBERS)
+    def kill(self, member_number):
+        if self.find_member(member_number).replica:
+            self.find_member(member_number).crash()
 
-    @rule(which=WHICH)
-    def start(self, which):
-        if self.member(which).replica is None:
-            self.member(which).start()
+    @rule(member_number=MEMBER_NUMBERS)
+    def start(self, member_number):
+        if self.find_member(member_number).replica is None:
+            self.find_member(member_number).start()
 
     @rule()
     def lose_power_of_all(self):
@@ -185,33 +195,33 @@
         for member in self.cluster.members.values():
             member.start()
 
-    @rule(which=WHICH, ticks=LONG_TICKS, is_successor_first=st.booleans())
-    def replace_for_good(self, which, ticks, is_successor_first):
-        """Remove a machine and add one of another name, before or after."""
+    @rule(member_number=MEMBER_NUMBERS, ticks=LONG_TICKS, is_successor_first=st.booleans())
+    def replace_machine(self, member_number, ticks, is_successor_first):
+        """Replace a machine by one of another name, which joins before or after the removal."""
         if not self.choose_disks(1, "oldest"):
             return
-        former = self.name(which)
-        self.disks_lost = self.lost() + 1
-        self.list_seeds()
+        former = self.find_name(member_number)
+        self.lost_disk_count = self.count_lost_disks() + 1
+        self.choose_contacts()
         self.cluster.oracle.disk_lost_at = self.cluster.time
-        successor = self.name_newcomer()
+        successor = self.create_newcomer_name()
         if is_successor_first:
-            self.cluster.join(successor)
+            self.cluster.add_member(successor)
             self.cluster.run(ticks)
             self.cluster.oracle.disk_lost_at = self.cluster.time
-            self.cluster.lose(former)
+            self.cluster.remove_member(former)
             return
-        self.cluster.lose(former)
+        self.cluster.remove_member(former)
         self.cluster.run(ticks)
-        self.list_seeds()
-        self.cluster.join(successor)
+        self.choose_contacts()
+        self.cluster.add_member(successor)
 
-    def name_newcomer(self):
-        self.added += 1
-        return f"x{self.added}"
+    def create_newcomer_name(self):
+        self.newcomer_count += 1
+        return f"x{self.newcomer_count}"
 
     @rule(
-        which=WHICH,
+        member_number=MEMBER_NUMBERS,
         is_committed=st.booleans(),
         ticks=st.sampled_from([0, 0, 1, 2, 4]),
         changes=st.sampled_from([0, 0, 1, 3]),
@@ -219,24 +229,24 @@
         order=ORDERS,
         is_power_lost=st.booleans(),
     )
-    def lose_disks_while_a_voter_that_is_down_is_replaced(
-        self, which, is_committed, ticks, changes, count, order, is_power_lost
+    def lose_disks_while_stopped_voter_is_replaced(
+        self, member_number, is_committed, ticks, changes, count, order, is_power_lost
     ):
-        """End a voter, let whoever waits take its place, and bring a fault about on the way."""
+        """Stop a voter, and inject a fault while a waiting member replaces it."""
         self.cluster.settle()
         voters = self.cluster.oracle.voters[1].voters
-        down = self.cluster.members[voters[which % self.size].name]
+        down = self.cluster.members[voters[member_number % self.size].name]
         down.crash()
         if len(self.cluster.names) == self.size:
-            self.list_seeds()
-            self.cluster.join(self.name_newcomer())
-        self.run_to_change(down.store.identity.voter_id, is_committed)
+            self.choose_contacts()
+            self.cluster.add_member(self.create_newcomer_name())
+        self.run_until_voter_leaves(down.store.identity.voter_id, is_committed)
         self.cluster.run(ticks)
-        self.final_fault(changes, 0, count, order, is_power_lost, False)
+        self.lose_disks_and_power_after_proposals(changes, 0, count, order, is_power_lost, False)
 
-    def run_to_change(self, voter_id, is_committed):
-        """Run until a log holds, or commits, a set that a voter has left or is leaving."""
-        for _ in range(REPLACED_TICKS):
+    def run_until_voter_leaves(self, voter_id, is_committed):
+        """Run until a log has (or has committed) a voter set that the voter leaves or has left."""
+        for _ in range(REPLACEMENT_TICKS):
             replicas = [m.replica for m in self.cluster.members.values() if m.replica]
             sets = [each.committed_voters if is_committed else each.voters for each in replicas]
             staying = [[voter.voter_id for voter in each.voters] for each in sets]
@@ -246,7 +256,7 @@
 
     @rule(count=st.integers(1, 2), order=ORDERS)
     def lose_disks(self, count, order):
-        self.list_seeds()
+        self.choose_contacts()
         for name in self.choose_disks(count, order):
             self.lose_disk(name)
 
@@ -258,9 +268,14 @@
         is_power_lost=st.booleans(),
         is_leader_stalled=st.booleans(),
     )
-    def final_fault(self, changes, ticks, count, order, is_power_lost, is_leader_stalled):
-        """Send changes, lose disks soon after, end all others at that moment, and look."""
-        for leader in self.cluster.leaders():
+    def lose_disks_and_power_after_proposals(
+        self, changes, ticks, count, order, is_power_lost, is_leader_stalled
+    ):
+        """Propose changes, lose disks soon after, and check the result.
+
+        The members that keep their disks may lose power at the same moment.
+        """
+        for leader in self.cluster.list_leaders():
             leader.disk_speed = 0.0 if is_leader_stalled else leader.disk_speed
         for _ in range(changes):
             for name in self.cluster.names:
@@ -271,7 +286,7 @@
         for name, member in self.cluster.members.items():
             if is_power_lost and name not in chosen:
                 member.lose_power()
-        self.list_seeds()
+        self.choose_contacts()
         for name in chosen:
             self.lose_disk(name)
         self.cluster.settle()
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_fuzz_losses.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_fuzz_losses.py
@@ -3,11 +3,11 @@
 from bendwind_node.storage.tests.loss_machine import LossMachine
 
 
-class OneLossMachine(LossMachine):
-    borne = 1
+class LossOfOneMachine(LossMachine):
+    tolerated_losses = 1
 
 
-LossOfOneFuzzTest = OneLossMachine.TestCase
+LossOfOneFuzzTest = LossOfOneMachine.TestCase
 
 if __name__ == "__main__":
     unittest.main()
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_fuzz_losses_of_two.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_fuzz_losses_of_two.py
@@ -3,11 +3,11 @@
 from bendwind_node.storage.tests.loss_machine import LossMachine
 
 
-class TwoLossesMachine(LossMachine):
-    borne = 2
+class LossOfTwoMachine(LossMachine):
+    tolerated_losses = 2
 
 
-LossOfTwoFuzzTest = TwoLossesMachine.TestCase
+LossOfTwoFuzzTest = LossOfTwoMachine.TestCase
 
 if __name__ == "__main__":
     unittest.main()
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_fuzz_store.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_fuzz_store.py
@@ -13,10 +13,10 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Write, crash at any file operation, reopen; oracle: the states since the last sync."""
+    """Write, crash at any file operation and reopen; oracle: the states since the last sync."""
 
     @initialize(seed=st.integers(0, 2**32), segment_bytes=st.sampled_from([120, 4096]))
-    def prepare(self, seed, segment_bytes):
+    def open_empty_store(self, seed, segment_bytes):
         self.segment_bytes = segment_bytes
         self.files = FakeFiles(random.Random(seed))
         self.hard = HardState()
@@ -58,7 +58,7 @@
             self._restart()
             return
         if written.is_error():
-            assert self.store.write(batch).is_error(), "a failed store wrote again"
+            assert self.store.write(batch).is_error(), "a failed store accepted another write"
             self._restart()
             return
         assert written.ok == self.token
@@ -70,19 +70,19 @@
 
     @rule(
         sizes=st.lists(st.tuples(st.integers(0, 3), st.integers(0, 40)), min_size=1, max_size=3),
-        cut=st.integers(0, 3),
+        truncated_count=st.integers(0, 3),
         is_voting=st.booleans(),
     )
-    def persist(self, sizes, cut, is_voting):
+    def persist(self, sizes, truncated_count, is_voting):
         batch = []
         for count, size in sizes:
             self.token += 1
-            start = max(self.snapshot.index + 1, self._last() + 1 - cut)
-            is_cut = cut > 0 and start <= self._last()
+            start = max(self.snapshot.index + 1, self._last() + 1 - truncated_count)
+            is_truncated = truncated_count > 0 and start <= self._last()
             if is_voting:
                 self.hard = HardState(self.hard.term + 1, self.token, 7)
                 self.possible.append(self._state())
-            if is_cut:
+            if is_truncated:
                 self.entries = [entry for entry in self.entries if entry.index < start]
                 self.possible.append(self._state())
             added = []
@@ -91,7 +91,7 @@
                 added.append(Entry(index, self.hard.term, b"%d" % (self.token + number) * size))
                 self.entries.append(added[-1])
                 self.possible.append(self._state())
-            truncate_from = start if is_cut else None
+            truncate_from = start if is_truncated else None
             batch.append(Persist(self.token, self.hard, truncate_from, tuple(added)))
         self._write(batch)
 
@@ -109,9 +109,9 @@
         self.possible.append(self._state())
         self._write([SaveSnapshot(self.token, self.snapshot, first, is_installed)])
 
-    @rule(budget=st.integers(0, 12), is_error=st.booleans())
-    def fail_soon(self, budget, is_error):
-        self.files.budget = budget
+    @rule(operations=st.integers(0, 12), is_error=st.booleans())
+    def fail_after_operations(self, operations, is_error):
+        self.files.operations_left = operations
         self.files.failure = OSError(28, "No space left on device") if is_error else CrashError()
 
     @rule()
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_late_snapshot.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_late_snapshot.py
@@ -28,7 +28,7 @@
 
 
 def create_follower():
-    """Make a follower that holds the entries 1 to 6 and knows none but the first as committed."""
+    """Create a follower with the entries 1 to 6, which knows only the first to be committed."""
     entries = tuple(Entry(index, 1, b"%d" % index) for index in range(2, 7))
     return create_replica(
         OWN,
@@ -51,45 +51,46 @@
 
 
 class LateSnapshotTest(unittest.TestCase):
-    """A snapshot that comes after entries that were confirmed takes none of them back."""
+    """A snapshot that arrives after entries were confirmed must not remove any of them."""
 
-    def take(self, replica, message):
-        """Deliver a message, sync all that is written, and return all effects."""
+    def deliver_and_sync(self, replica, message):
+        """Deliver a message, sync all writes that it causes, and return all effects."""
         effects = step(replica, Received("a", message), 1.0, random.Random(1))
         writes = [effect for effect in effects if isinstance(effect, Persist | SaveSnapshot)]
         for write in writes:
             effects += step(replica, Persisted(write.token), 1.0, random.Random(1))
         return effects
 
-    def replies(self, effects):
+    def list_append_replies(self, effects):
         sent = [effect.message for effect in effects if isinstance(effect, Send)]
         return [reply for reply in sent if isinstance(reply, AppendReply)]
 
-    def test_entries_after_a_snapshot_that_the_log_agrees_with_are_kept(self):
-        # A follower had confirmed entries that a quorum rests on; a snapshot of an earlier index
-        # came late, from a time at which it seemed to lag. It was installed in place of the whole
-        # log, so that what the leader had acknowledged was on fewer disks than a quorum.
+    def test_entries_after_a_matching_snapshot_are_kept(self):
+        # A follower has confirmed entries that are needed for a quorum. A snapshot of an earlier
+        # index arrives late, because the leader sent it when the follower seemed to lag. If the
+        # snapshot replaced the whole log, acknowledged entries would be on fewer disks than a
+        # quorum.
         replica = create_follower()
         confirmed = Append(make_head(), 6, 1, (Entry(7, TERM, b"7"),), 1, 1)
-        (reply,) = self.replies(self.take(replica, confirmed))
+        (reply,) = self.list_append_replies(self.deliver_and_sync(replica, confirmed))
         self.assertEqual((reply.is_matching, reply.index), (True, 7))
-        (reply,) = self.replies(self.take(replica, send_chunk(4, 1)))
+        (reply,) = self.list_append_replies(self.deliver_and_sync(replica, send_chunk(4, 1)))
         self.assertTrue(reply.is_matching)
         self.assertEqual(replica.log.last_index, 7)
         self.assertEqual(replica.durable_index, 7)
         self.assertEqual(replica.commit, 4)
         self.assertEqual(replica.applied, 4)
 
-    def test_a_log_that_contradicts_a_snapshot_is_replaced_by_it(self):
+    def test_conflicting_log_is_replaced_by_the_snapshot(self):
         replica = create_follower()
-        self.take(replica, send_chunk(4, 2))
+        self.deliver_and_sync(replica, send_chunk(4, 2))
         self.assertEqual(replica.log.last_index, 4)
         self.assertEqual(replica.log.last_term, 2)
         self.assertEqual((replica.commit, replica.applied), (4, 4))
 
     def test_a_snapshot_beyond_the_log_is_installed(self):
         replica = create_follower()
-        (reply,) = self.replies(self.take(replica, send_chunk(9, 2)))
+        (reply,) = self.list_append_replies(self.deliver_and_sync(replica, send_chunk(9, 2)))
         self.assertEqual((reply.is_matching, reply.index), (True, 9))
         self.assertEqual(replica.log.last_index, 9)
 
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement.py
@@ -3,90 +3,92 @@
 import msgspec
 
 from bendwind_core.consensus import Append, Committed, Refused, SnapshotChunk
-from bendwind_node.storage.tests.fake_cluster import SETTINGS, form
+from bendwind_node.storage.tests.fake_cluster import SETTINGS, form_cluster
 
 SEEDS = range(4)
 
 
-def forget_joint_sets(message):
-    """Return a message as a process reads it that knows no joint sets."""
+def remove_joint_sets(message):
+    """Return a message as it is decoded by a process without support for joint sets."""
     match message:
         case Append(entries=entries):
-            read = [msgspec.structs.replace(e, voters=stay_only(e.voters)) for e in entries]
+            read = [
+                msgspec.structs.replace(e, voters=keep_staying_voters(e.voters)) for e in entries
+            ]
             return msgspec.structs.replace(message, entries=tuple(read))
         case SnapshotChunk(voters=voters):
-            return msgspec.structs.replace(message, voters=stay_only(voters))
+            return msgspec.structs.replace(message, voters=keep_staying_voters(voters))
     return message
 
 
-def stay_only(voters):
+def keep_staying_voters(voters):
     return voters and msgspec.structs.replace(voters, leaving=(), joining=())
 
 
 class ReplacementTest(unittest.TestCase):
-    """Replace a voter while faults fall into the middle of it; the oracle judges."""
+    """Replace a voter while faults occur; the oracle checks the results."""
 
-    def run_until(self, cluster, is_so, ticks=600):
+    def run_until(self, cluster, condition, ticks=600):
         for _ in range(ticks):
-            if is_so():
+            if condition():
                 return
             cluster.run(1)
         self.fail(cluster.describe())
 
-    def run_to_voters(self, cluster, names):
+    def run_until_voters_are(self, cluster, names):
         self.run_until(cluster, lambda: cluster.voter_names() == names)
 
     def join_as_learner(self, cluster, name):
-        cluster.join(name)
+        cluster.add_member(name)
         self.run_until(cluster, lambda: cluster.oracle.voters[1].learners)
 
-    def run_to_joint(self, cluster, down):
-        """End a voter, let a newcomer take its place, and stop once the joint set is committed."""
-        cluster.run_busy(5)
+    def run_until_joint_committed(self, cluster, down):
+        """Stop a voter, add a successor, and run until the joint set is committed."""
+        cluster.run_with_requests(5)
         cluster.members[down].crash()
-        cluster.join("x")
-        self.run_until(cluster, lambda: self.joint_leader(cluster))
-        return self.joint_leader(cluster)
+        cluster.add_member("x")
+        self.run_until(cluster, lambda: self.find_joint_leader(cluster))
+        return self.find_joint_leader(cluster)
 
-    def joint_leader(self, cluster):
-        found = [m for m in cluster.leaders() if m.replica.committed_voters.is_joint]
+    def find_joint_leader(self, cluster):
+        found = [m for m in cluster.list_leaders() if m.replica.committed_voters.is_joint]
         return found[-1] if found else None
 
-    def follower(self, cluster):
+    def find_follower(self, cluster):
         return next(name for name in cluster.names if not cluster.members[name].replica.is_leader)
 
-    def test_successor_that_loses_its_disk_is_given_up_when_the_voter_is_back(self):
-        # Otherwise a set that waits for a disk which is gone would hold up each further change.
+    def test_lost_successor_is_abandoned_when_the_voter_restarts(self):
+        # Otherwise a joint set that waits for a lost disk would block every later change.
         for seed in SEEDS:
-            cluster = form(seed)
-            down = self.follower(cluster)
-            self.run_to_joint(cluster, down)
-            cluster.lose("x")
+            cluster = form_cluster(seed)
+            down = self.find_follower(cluster)
+            self.run_until_joint_committed(cluster, down)
+            cluster.remove_member("x")
             cluster.members[down].start()
-            self.run_to_voters(cluster, set("abcde"))
+            self.run_until_voters_are(cluster, set("abcde"))
             self.assertFalse(cluster.oracle.voters[1].is_joint)
-            cluster.join("y")
-            cluster.lose(down)
-            self.run_to_voters(cluster, set(cluster.names))
+            cluster.add_member("y")
+            cluster.remove_member(down)
+            self.run_until_voters_are(cluster, set(cluster.names))
             cluster.settle()
 
-    def test_successor_and_voter_both_gone_hold_up_no_further_replacement(self):
+    def test_loss_of_successor_and_voter_does_not_block_later_replacements(self):
         for seed in SEEDS:
-            cluster = form(seed)
-            down = self.follower(cluster)
-            self.run_to_joint(cluster, down)
-            cluster.lose("x")
-            cluster.lose(down)
-            cluster.join("y")
-            self.run_to_voters(cluster, set(cluster.names))
+            cluster = form_cluster(seed)
+            down = self.find_follower(cluster)
+            self.run_until_joint_committed(cluster, down)
+            cluster.remove_member("x")
+            cluster.remove_member(down)
+            cluster.add_member("y")
+            self.run_until_voters_are(cluster, set(cluster.names))
             cluster.settle()
 
-    def test_leader_lost_in_the_middle_leaves_a_change_that_another_leader_ends(self):
+    def test_new_leader_completes_the_change_of_a_lost_leader(self):
         for seed in SEEDS:
-            cluster = form(seed)
-            down = self.follower(cluster)
-            leader = self.run_to_joint(cluster, down)
-            cluster.lose(leader.name)
+            cluster = form_cluster(seed)
+            down = self.find_follower(cluster)
+            leader = self.run_until_joint_committed(cluster, down)
+            cluster.remove_member(leader.name)
             wanted = set(cluster.names) - {down}
             self.run_until(
                 cluster,
@@ -95,43 +97,43 @@
             cluster.members[down].start()
             cluster.settle()
 
-    def test_joint_set_that_was_not_committed_is_undone_with_its_entry(self):
-        # A set counts from the moment that it stands in a log, and no longer than it does.
+    def test_uncommitted_joint_set_is_reverted_with_its_entry(self):
+        # A voter set is in force exactly as long as its entry is in the log.
         for seed in SEEDS:
-            cluster = form(seed)
-            down = self.follower(cluster)
+            cluster = form_cluster(seed)
+            down = self.find_follower(cluster)
             cluster.members[down].crash()
-            cluster.join("x")
+            cluster.add_member("x")
             self.run_until(
-                cluster, lambda c=cluster: any(m.replica.voters.learners for m in c.leaders())
+                cluster, lambda c=cluster: any(m.replica.voters.learners for m in c.list_leaders())
             )
-            leader = cluster.leaders()[-1]
-            self.run_until(cluster, lambda m=leader, c=cluster: self.cut_if_joint(c, m.name))
+            leader = cluster.list_leaders()[-1]
+            self.run_until(cluster, lambda m=leader, c=cluster: self.isolate_if_joint(c, m.name))
             others = [name for name in cluster.names if name not in (leader.name, down)]
             cluster.members[down].start()
-            self.assertIn(cluster.run_to_new_leader(), [*others, down])
-            cluster.cut.clear()
+            self.assertIn(cluster.run_until_new_leader(), [*others, down])
+            cluster.partition.clear()
             self.run_until(cluster, lambda m=leader: not m.replica.is_leader)
             cluster.run(20)
             cluster.settle()
 
-    def cut_if_joint(self, cluster, name):
-        """Cut a member off as soon as a leader's log holds a joint set, before anyone else's."""
-        is_joint = any(member.replica.voters.is_joint for member in cluster.leaders())
+    def isolate_if_joint(self, cluster, name):
+        """Isolate a member as soon as the log of a leader, and no other log, has a joint set."""
+        is_joint = any(member.replica.voters.is_joint for member in cluster.list_leaders())
         if is_joint:
             cluster.network.clear()
-            cluster.cut = {name}
+            cluster.partition = {name}
         return is_joint
 
-    def test_snapshot_and_restart_inside_the_change_go_on_with_it(self):
+    def test_change_continues_after_snapshot_and_restart(self):
         for seed in SEEDS:
-            cluster = form(seed)
-            down = self.follower(cluster)
+            cluster = form_cluster(seed)
+            down = self.find_follower(cluster)
             cluster.members[down].crash()
-            cluster.join("x")
-            self.run_until(cluster, lambda c=cluster: self.cut_if_joint(c, "x"))
-            self.run_until(cluster, lambda c=cluster: self.joint_leader(c))
-            leader = self.joint_leader(cluster)
+            cluster.add_member("x")
+            self.run_until(cluster, lambda c=cluster: self.isolate_if_joint(c, "x"))
+            self.run_until(cluster, lambda c=cluster: self.find_joint_leader(c))
+            leader = self.find_joint_leader(cluster)
             for _ in range(12):
                 cluster.propose(leader.name)
                 cluster.run(1)
@@ -141,33 +143,33 @@
                 member.start()
             sets = [member.replica.voters for member in cluster.members.values()]
             self.assertTrue(any(voters.is_joint for voters in sets))
-            cluster.cut.clear()
+            cluster.partition.clear()
             self.run_until(cluster, lambda c=cluster: not c.oracle.voters[1].is_joint)
             cluster.settle()
 
-    def test_voter_removed_by_an_operator_makes_room_for_a_learner_in_one_change(self):
-        # Taken out first, it left four voters of which three had to live.
+    def test_voter_removed_by_an_operator_is_replaced_by_a_learner_in_one_change(self):
+        # If the voter were removed first, three of the four voters left would have to be alive.
         for seed in SEEDS:
-            cluster = form(seed)
+            cluster = form_cluster(seed)
             self.join_as_learner(cluster, "x")
-            leader = cluster.leaders()[-1]
+            leader = cluster.list_leaders()[-1]
             cluster.run(20)
-            removed = leader.name if seed % 2 else self.follower(cluster)
+            removed = leader.name if seed % 2 else self.find_follower(cluster)
             request = cluster.remove_voter(leader.name, removed)
-            self.assertIsNone(leader.removals[request])
+            self.assertIsNone(leader.removal_outcomes[request])
             sizes = set()
             for _ in range(100):
                 cluster.run(1)
                 sizes |= {len(half) for half in cluster.oracle.voters[1].halves()}
             self.assertEqual(sizes, {5})
-            self.assertIsInstance(leader.removals[request], Committed)
+            self.assertIsInstance(leader.removal_outcomes[request], Committed)
             self.assertEqual(cluster.voter_names(), set("abcdex") - {removed})
 
-    def test_removed_leader_leads_until_the_set_without_it_is_committed_and_no_longer(self):
+    def test_removed_leader_leads_exactly_until_the_set_without_it_is_committed(self):
         for seed in SEEDS:
-            cluster = form(seed)
+            cluster = form_cluster(seed)
             self.join_as_learner(cluster, "x")
-            leader = cluster.leaders()[-1]
+            leader = cluster.list_leaders()[-1]
             cluster.run(20)
             former = leader.replica.voter
             cluster.remove_voter(leader.name, leader.name)
@@ -175,47 +177,48 @@
                 self.assertTrue(leader.replica.is_leader)
                 cluster.run(1)
             self.assertFalse(leader.replica.is_leader)
-            self.assertIsNotNone(cluster.run_to_new_leader())
+            self.assertIsNotNone(cluster.run_until_new_leader())
 
-    def test_removal_whose_learner_falls_silent_is_refused_and_the_voter_stays(self):
+    def test_removal_is_refused_and_the_voter_stays_if_the_learner_becomes_silent(self):
         for seed in SEEDS:
-            cluster = form(seed)
+            cluster = form_cluster(seed)
             self.join_as_learner(cluster, "x")
-            leader = cluster.leaders()[-1]
+            leader = cluster.list_leaders()[-1]
             cluster.run(20)
-            cluster.lose("x")
-            request = cluster.remove_voter(leader.name, self.follower(cluster))
-            self.run_until(cluster, lambda m=leader, r=request: m.removals[r])
-            self.assertIsInstance(leader.removals[request], Refused)
+            cluster.remove_member("x")
+            request = cluster.remove_voter(leader.name, self.find_follower(cluster))
+            self.run_until(cluster, lambda m=leader, r=request: m.removal_outcomes[r])
+            self.assertIsInstance(leader.removal_outcomes[request], Refused)
             self.run_until(cluster, lambda c=cluster: not c.oracle.voters[1].is_joint)
             self.assertEqual(cluster.voter_names(), set("abcde"))
 
-    def test_voters_that_know_no_joint_sets_stand_beside_others(self):
-        # They take those that stay for all voters: each majority of these is one of both halves.
+    def test_voters_without_support_for_joint_sets_work_with_others(self):
+        # Such voters treat the staying voters as the whole set. Each majority of these is also a
+        # majority of both halves.
         for seed in range(12):
-            cluster = form(seed)
+            cluster = form_cluster(seed)
             for name in cluster.rng.sample("abcdex", 3):
-                cluster.read_by[name] = forget_joint_sets
-            down = self.follower(cluster)
-            cluster.run_busy(5)
+                cluster.decoders[name] = remove_joint_sets
+            down = self.find_follower(cluster)
+            cluster.run_with_requests(5)
             cluster.members[down].crash()
-            cluster.join("x")
+            cluster.add_member("x")
             for _ in range(8):
-                cluster.run_busy(20)
-                for leader in cluster.leaders()[seed % 2 :]:
+                cluster.run_with_requests(20)
+                for leader in cluster.list_leaders()[seed % 2 :]:
                     leader.crash()
                     leader.start()
-            cluster.lose(down)
+            cluster.remove_member(down)
             cluster.settle()
 
-    def test_cluster_of_three_listed_names_bears_a_loss_while_a_disk_is_replaced(self):
+    def test_cluster_of_three_listed_names_tolerates_a_loss_while_a_disk_is_replaced(self):
         for seed in SEEDS:
-            cluster = form(seed, size=3, settings=SETTINGS)
-            emptied = self.follower(cluster)
+            cluster = form_cluster(seed, size=3, settings=SETTINGS)
+            emptied = self.find_follower(cluster)
             cluster.replace_disk(emptied)
-            self.run_until(cluster, lambda c=cluster: self.joint_leader(c))
+            self.run_until(cluster, lambda c=cluster: self.find_joint_leader(c))
             second = next(
-                n for n in cluster.names if n not in (emptied, self.joint_leader(cluster).name)
+                n for n in cluster.names if n not in (emptied, self.find_joint_leader(cluster).name)
             )
             cluster.members[second].crash()
             cluster.run(100)
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_store.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_store.py
@@ -20,8 +20,8 @@
     return files
 
 
-def write_unsynced() -> FakeFiles:
-    """Sync the entries 1 to 3, and end the process while it syncs the entries 4 and 5."""
+def write_unsynced_entries() -> FakeFiles:
+    """Sync the entries 1 to 3, and crash the process while it syncs the entries 4 and 5."""
     files = FakeFiles(random.Random(1))
     store: Store = open_store(files).ok.store
     requests = [
@@ -29,22 +29,22 @@
         for index in range(1, 6)
     ]
     store.write(requests[:3])
-    files.budget = 2
+    files.operations_left = 2
     try:
         store.write(requests[3:])
     except CrashError:
-        files.budget = None
+        files.operations_left = None
     return files
 
 
-def kill_while_saving(files: FakeFiles, snapshot: Snapshot) -> None:
-    """End the process between the new snapshot's rename and the sync of its folder."""
+def kill_while_saving_snapshot(files: FakeFiles, snapshot: Snapshot) -> None:
+    """Crash the process between the rename of the new snapshot and the sync of its folder."""
     store: Store = open_store(files, 200).ok.store
-    files.budget = 4
+    files.operations_left = 4
     try:
         store.write([SaveSnapshot(13, snapshot, 11, False)])
     except CrashError:
-        files.budget = None
+        files.operations_left = None
     assert "new" not in files.names()
 
 
@@ -53,7 +53,7 @@
 
 
 class StoreTest(unittest.TestCase):
-    def test_damage_of_any_synced_byte_is_refused_and_never_skipped(self):
+    def test_damage_to_any_synced_byte_is_refused_and_never_skipped(self):
         whole = read_entries(write_log())
         names = [name for name in write_log().names()]
         for name in names:
@@ -61,10 +61,10 @@
                 files = write_log()
                 data = bytearray(files.read(name))
                 data[position] ^= 0x10
-                files.present[name].data = bytes(data)
+                files.current[name].data = bytes(data)
                 opened = open_store(files, 200)
                 if opened.is_ok():
-                    # Only the mark after the last sync may go: nothing was promised of it.
+                    # Only the unsynced mark after the last sync may be lost without an error.
                     self.assertEqual(opened.ok.recovered.entries, whole, (name, position))
                     self.assertEqual(opened.ok.recovered.snapshot.index, 6)
                 else:
@@ -93,13 +93,13 @@
         self.assertEqual(recovered.cut_bytes, 6)
         self.assertEqual(recovered.entries[-1].index, 12)
 
-    def test_writes_that_were_not_synced_may_be_lost_one_without_the_other(self):
-        # Power is lost while a voter syncs. The mark of the sync before and each of the new
-        # records reach the disk or do not, each by itself. A voter that took the gap for damage
-        # refused to start, for good, and those that this met at once were a majority.
+    def test_unsynced_writes_may_be_lost_independently_of_each_other(self):
+        # The power fails while a voter syncs. The mark of the previous sync and each of the new
+        # records reach the disk, or are lost, independently. A voter that treats the gap as damage
+        # never starts again, and a power failure can affect a majority of the voters at once.
         for kept in itertools.product((False, True), repeat=3):
-            files = write_unsynced()
-            (file,) = (files.present[name] for name in files.names() if name.startswith("log-"))
+            files = write_unsynced_entries()
+            (file,) = (files.current[name] for name in files.names() if name.startswith("log-"))
             self.assertEqual(len(file.writes), 3)
             file.rebuild(list(itertools.compress(file.writes, kept)))
             opened = open_store(files)
@@ -108,15 +108,15 @@
             whole = sum(itertools.takewhile(bool, kept[1:])) if kept[0] else 0
             self.assertEqual(indexes, list(range(1, 4 + whole)), kept)
 
-    def test_power_lost_at_a_start_after_a_kill_during_a_snapshot_leaves_one_snapshot(self):
-        # A process is killed as the new snapshot has its name and the folder is not yet synced.
-        # The next start removed the older snapshot at once; with the power lost just then neither
-        # had a name, and the rest of the log alone was refused.
+    def test_power_loss_at_start_after_a_kill_during_a_snapshot_keeps_one_snapshot(self):
+        # A process is killed after the new snapshot was renamed and before the folder is synced.
+        # If the next start removed the older snapshot without a sync, a power loss at that moment
+        # could remove both names, and the rest of the log alone would be refused.
         for operations, seed in itertools.product(range(9), range(24)):
             files = write_log()
             files.rng.seed(seed)
-            kill_while_saving(files, Snapshot(12, 1, data=b"later"))
-            files.budget = operations
+            kill_while_saving_snapshot(files, Snapshot(12, 1, data=b"later"))
+            files.operations_left = operations
             try:
                 open_store(files, 200)
             except CrashError:
