--- a/packages/bendwind-node/src/bendwind_node/metrics/gather.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/gather.py
@@ -84,8 +84,10 @@
 def gather_logs() -> Iterator[Sample]:
     """Read how many log lines found no room."""
     handlers = logging.getLogger().handlers
-    aside = [handler for handler in handlers if isinstance(handler, AsideHandler)]
-    yield Sample(Metric.LOG_LINES_LEFT_OUT, sum(handler.total_left_out for handler in aside))
+    aside_handlers = [handler for handler in handlers if isinstance(handler, AsideHandler)]
+    yield Sample(
+        Metric.LOG_LINES_LEFT_OUT, sum(handler.total_left_out for handler in aside_handlers)
+    )
 
 
 def gather_requests(accounts: Iterable[RequestAccount]) -> Iterator[Sample]:
@@ -100,14 +102,14 @@
 
 def gather_calls(entry: EntryNode, owner: OwnerNode) -> Iterator[Sample]:
     """Read the calls and attempts under way."""
-    for service, choice in entry.service_states.items():
-        yield Sample(Metric.CALLS_IN_FLIGHT, choice.in_flight, (service,))
+    for service, state in entry.service_states.items():
+        yield Sample(Metric.CALLS_IN_FLIGHT, state.in_flight, (service,))
     for upstream, owned in owner.register.owned.items():
         yield Sample(Metric.ATTEMPTS_RUNNING, len(owned.owner_state.running), (upstream,))
         yield Sample(Metric.ATTEMPTS_WAITING, len(owned.owner_state.waiting), (upstream,))
         yield Sample(Metric.UPSTREAM_SLOTS, owned.upstream.slots, (upstream,))
-        is_spared = is_cold(owned.owner_state.warm_up, trio.current_time())
-        yield Sample(Metric.UPSTREAM_COLD, int(is_spared), (upstream,))
+        is_upstream_cold = is_cold(owned.owner_state.warm_up, trio.current_time())
+        yield Sample(Metric.UPSTREAM_COLD, int(is_upstream_cold), (upstream,))
         limit = owned.owner_state.rate_limit.per_second
         if limit is not None:
             yield Sample(Metric.UPSTREAM_LIMIT, limit, (upstream,))
@@ -172,6 +174,6 @@
 
 def gather_process() -> Iterator[Sample]:
     """Read what the process used of the machine."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    yield Sample(Metric.CPU, used.ru_utime + used.ru_stime)
-    yield Sample(Metric.PEAK_MEMORY, used.ru_maxrss * _BYTES_PER_KIB)
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    yield Sample(Metric.CPU, usage.ru_utime + usage.ru_stime)
+    yield Sample(Metric.PEAK_MEMORY, usage.ru_maxrss * _BYTES_PER_KIB)
--- a/packages/bendwind-node/src/bendwind_node/operators/app.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/app.py
@@ -28,12 +28,12 @@
     send_response,
 )
 from bendwind_node.operators.plan_routes import PlanRoutes
-from bendwind_node.operators.quota_routes import show_quotas
+from bendwind_node.operators.quota_routes import make_quotas_response
 from bendwind_node.operators.revision_routes import RevisionRoutes
 from bendwind_node.operators.status_routes import StatusRoutes
 from bendwind_node.operators.status_source import StatusSource
 from bendwind_node.operators.suspect_routes import SuspectRoutes
-from bendwind_node.operators.views import StoppingView, show_catalogue
+from bendwind_node.operators.views import StoppingView, make_catalogue_view
 
 _DRAIN_TARGETS = {"instances": DrainTarget.INSTANCE, "upstreams": DrainTarget.UPSTREAM}
 _CONTROL_PATHS = frozenset(
@@ -49,7 +49,7 @@
     }
 )
 
-_NO_VOTER = "this process keeps no configuration; ask a voter"
+_NOT_A_VOTER_DETAIL = "this process keeps no configuration; ask a voter"
 
 
 @dataclass(slots=True)
@@ -127,7 +127,7 @@
                 return await self._answer_process(request, name)
             case ("v1", name, *rest) if name in _CONTROL_PATHS:
                 if self.plans is None:
-                    return plain_error(404, ErrorKind.NOT_A_VOTER, _NO_VOTER)
+                    return plain_error(404, ErrorKind.NOT_A_VOTER, _NOT_A_VOTER_DETAIL)
                 if name == "services":
                     return await self._answer_claims(request, tuple(rest))
                 if name == "customers":
@@ -161,8 +161,8 @@
 
     def _answer_quotas(self, request: Request) -> Response:
         if self.quotas is None:
-            return plain_error(404, ErrorKind.NOT_A_VOTER, _NO_VOTER)
-        return show_quotas(self.quotas) if request.method == "GET" else _refuse_method()
+            return plain_error(404, ErrorKind.NOT_A_VOTER, _NOT_A_VOTER_DETAIL)
+        return make_quotas_response(self.quotas) if request.method == "GET" else _refuse_method()
 
     async def _answer_evacuation(self, request: Request, path: tuple[str, ...]) -> Response:
         assert self.evacuations is not None
@@ -205,7 +205,7 @@
             case "GET", "timeline":
                 return self.status.get_timeline(request)
             case "GET", "events":
-                return json_response(200, show_catalogue())
+                return json_response(200, make_catalogue_view())
             case "POST", "stop":
                 self.request_stop()
                 return json_response(202, StoppingView(self.source.process().name))
--- a/packages/bendwind-node/src/bendwind_node/operators/claim_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/claim_routes.py
@@ -35,30 +35,34 @@
         if not group.lost:
             text = f"the claims of {service!r} are not lost"
             return plain_error(409, ErrorKind.NO_LOST_CLAIMS, text)
-        return await self._replace(group)
+        return await self._replace_group(group)
 
-    async def _replace(self, lost: ClaimGroup) -> Response:
-        new = _choose_members(lost, self.source.upstreams(), self.rng)
+    async def _replace_group(self, lost_group: ClaimGroup) -> Response:
+        new = _choose_members(lost_group, self.source.upstreams(), self.rng)
         if new is None:
             return plain_error(503, ErrorKind.NO_QUORUM, "no node is there to hold claims")
-        command = ChangeClaimGroup(new, lost.epoch, accept_loss=True)
+        command = ChangeClaimGroup(new, lost_group.epoch, accept_loss=True)
         outcome = await self.control.propose(encode_command(command))
         if outcome.is_error():
             return control_error(outcome.error)
         if not isinstance(outcome.ok, GroupChanged):
             return command_error(outcome.ok)
-        detail = f"loss of the claims of {lost.service} accepted, epoch {new.epoch}"
+        detail = f"loss of the claims of {lost_group.service} accepted, epoch {new.epoch}"
         self.recorder.record(EventKind.CLAIM_LOSS_ACCEPTED, detail=detail)
         return json_response(200, GroupView(new.service, new.epoch, new.members))
 
 
 def _choose_members(
-    lost: ClaimGroup, upstreams: tuple[Upstream, ...], rng: random.Random
+    lost_group: ClaimGroup, upstreams: tuple[Upstream, ...], rng: random.Random
 ) -> ClaimGroup | None:
     ready = [upstream for upstream in upstreams if upstream.state is UpstreamState.READY]
     alive = tuple({upstream.owner.name: upstream.owner for upstream in ready}.values())
-    own = {upstream.owner.name for upstream in ready if upstream.service == lost.service}
-    first = choose_claim_group(lost.service, None, index_alive_nodes(alive), rng, owners=own)
-    if first is None:
+    service_owners = {
+        upstream.owner.name for upstream in ready if upstream.service == lost_group.service
+    }
+    group = choose_claim_group(
+        lost_group.service, None, index_alive_nodes(alive), rng, owners=service_owners
+    )
+    if group is None:
         return None
-    return msgspec.structs.replace(first, epoch=lost.epoch + 1)
+    return msgspec.structs.replace(group, epoch=lost_group.epoch + 1)
--- a/packages/bendwind-node/src/bendwind_node/operators/customer_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/customer_routes.py
@@ -39,12 +39,14 @@
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
-        held = self.control.state.configuration
-        shown = tuple(map(_show, held.customers or ()))
-        return json_response(200, CustomersView(held.version, held.customers is not None, shown))
+        configuration = self.control.state.configuration
+        views = tuple(map(_make_view, configuration.customers or ()))
+        return json_response(
+            200, CustomersView(configuration.version, configuration.customers is not None, views)
+        )
 
 
-def _show(customer: Customer) -> CustomerView:
+def _make_view(customer: Customer) -> CustomerView:
     return CustomerView(
         customer.name, len(customer.keys), customer.rank, customer.rate_per_s, customer.burst
     )
--- a/packages/bendwind-node/src/bendwind_node/operators/evacuation_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/evacuation_routes.py
@@ -9,8 +9,8 @@
 from bendwind_node.operators.errors import ErrorKind, control_error, plain_error
 from bendwind_node.operators.evacuations import (
     UnknownDataCentre,
+    list_evacuation_warnings,
     mark_evacuated,
-    warn_of_evacuation,
 )
 from bendwind_node.operators.http import Response, json_response
 from bendwind_node.operators.status_source import StatusSource
@@ -37,12 +37,12 @@
         """Evacuate a data centre or take it back."""
         marked = await mark_evacuated(self.control, self.recorder, data_centre, evacuated=evacuated)
         match marked:
-            case Result(tag="ok", ok=held):
+            case Result(tag="ok", ok=status):
                 warnings = ()
                 if evacuated:
-                    warnings = warn_of_evacuation(self.control, self.source, data_centre)
+                    warnings = list_evacuation_warnings(self.control, self.source, data_centre)
                 view = EvacuationView(
-                    held.data_centre, held.evacuated, held.version, held.is_new, warnings
+                    status.data_centre, status.evacuated, status.version, status.is_new, warnings
                 )
                 return json_response(200, view)
             case Result(error=UnknownDataCentre() as unknown):
--- a/packages/bendwind-node/src/bendwind_node/operators/evacuations.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/evacuations.py
@@ -38,16 +38,16 @@
     """
     detail = f"{data_centre}: {'evacuate' if evacuated else 'readmit'}"
     known = client.data_centres()
-    is_held = data_centre in client.state.configuration.evacuated
-    if data_centre not in known and not is_held:
+    is_evacuated = data_centre in client.state.configuration.evacuated
+    if data_centre not in known and not is_evacuated:
         unknown = UnknownDataCentre(data_centre, tuple(sorted(known)))
         recorder.record(EventKind.EVACUATION_NOT_MARKED, detail=f"{detail}: {unknown}")
         return Error(unknown)
     match await client.propose(encode_command(MarkEvacuated(data_centre, evacuated))):
-        case Result(tag="ok", ok=EvacuationHeld() as held):
-            outcome = f"as of version {held.version}" if held.is_new else "held already"
+        case Result(tag="ok", ok=EvacuationHeld() as status):
+            outcome = f"as of version {status.version}" if status.is_new else "held already"
             recorder.record(EventKind.EVACUATION_MARKED, detail=f"{detail}: {outcome}")
-            return Ok(held)
+            return Ok(status)
         case Result(tag="ok", ok=TooManyEvacuated() as refusal):
             recorder.record(EventKind.EVACUATION_NOT_MARKED, detail=f"{detail}: {refusal}")
             return Error(refusal)
@@ -57,7 +57,7 @@
     raise AssertionError("the log answers an evacuation by what holds")
 
 
-def warn_of_evacuation(
+def list_evacuation_warnings(
     client: ControlClient, source: StatusSource, data_centre: str
 ) -> tuple[PlanWarning, ...]:
     """List what the evacuation of a data centre leaves too little room for."""
--- a/packages/bendwind-node/src/bendwind_node/operators/http.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/http.py
@@ -38,7 +38,7 @@
     """Tell that a request's body exceeds the limit."""
 
 
-class ClientGone(msgspec.Struct, frozen=True):
+class ClientDisconnected(msgspec.Struct, frozen=True):
     """Tell that the client went away before its request was whole."""
 
 
@@ -58,7 +58,7 @@
     )
 
 
-async def read_body(receive: Receive) -> Result[bytes, BodyTooLarge | ClientGone]:
+async def read_body(receive: Receive) -> Result[bytes, BodyTooLarge | ClientDisconnected]:
     """Read a request's whole body.
 
     Errors: the body exceeds the limit, or the client went away.
@@ -67,7 +67,7 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            return Error(ClientGone())
+            return Error(ClientDisconnected())
         body += message.get("body", b"")
         if len(body) > MAX_BODY_BYTES:
             return Error(BodyTooLarge())
--- a/packages/bendwind-node/src/bendwind_node/operators/plan_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/plan_routes.py
@@ -34,7 +34,6 @@
 from bendwind_core.plans.results import UnknownPlan
 from bendwind_core.timeline import EventKind, Recorder
 from bendwind_core.world import Configuration
-from bendwind_node.operators.aside import BYTES_PER_SERVICE, run_aside
 from bendwind_node.operators.control_client import ControlClient, ControlError, OutcomeUnknown
 from bendwind_node.operators.errors import (
     ErrorBody,
@@ -48,18 +47,19 @@
 from bendwind_node.operators.views import (
     MarkView,
     PlansView,
-    show_configuration,
-    show_outcome,
-    show_plan,
+    make_configuration_view,
+    make_outcome_view,
+    make_plan_view,
     summarize_plan,
 )
+from bendwind_node.operators.worker_thread import BYTES_PER_SERVICE, run_in_thread_if_large
 
 DEFAULT_TTL_S = 900
 MAX_TTL_S = 86_400
 MAX_KEY_CHARACTERS = 128
 # A plan is made anew this often when others are confirmed while it is being made.
-MAX_ATTEMPTS = 4
-_MILLISECONDS = 1000
+MAX_PROPOSAL_ATTEMPTS = 4
+_MILLISECONDS_PER_SECOND = 1000
 
 
 class PlanRequest(msgspec.Struct, frozen=True):
@@ -81,11 +81,11 @@
 
     async def create_plan(self, request: Request) -> Response:
         """Make a plan out of the intent in the body."""
-        asked = await run_aside(len(request.body), _read_plan_request, request)
-        if asked.is_error():
-            self.recorder.record(EventKind.PLAN_REFUSED, detail=asked.error.detail)
-            return json_response(400, asked.error)
-        outcome = await self._propose_plan(asked.ok)
+        parsed = await run_in_thread_if_large(len(request.body), _read_plan_request, request)
+        if parsed.is_error():
+            self.recorder.record(EventKind.PLAN_REFUSED, detail=parsed.error.detail)
+            return json_response(400, parsed.error)
+        outcome = await self._propose_plan(parsed.ok)
         match outcome:
             case Result(tag="error", error=error):
                 return self._report_failure(error)
@@ -93,37 +93,37 @@
                 if not resent:
                     detail = f"base version {plan.base_version}"
                     self.recorder.record(EventKind.PLAN_CREATED, plan=plan.id, detail=detail)
-                return await self._show(plan.id, 200 if resent else 201)
+                return await self._make_plan_response(plan.id, 200 if resent else 201)
             case Result(tag="ok", ok=refusal):
                 self.recorder.record(EventKind.PLAN_REFUSED, detail=str(refusal))
                 return command_error(refusal)
         raise AssertionError(outcome)
 
     async def _propose_plan(
-        self, asked: PlanRequest
+        self, plan_request: PlanRequest
     ) -> Result[CommandResult | CustomerFault, ControlError]:
-        outcome = await self._propose_once(asked)
-        for _ in range(MAX_ATTEMPTS - 1):
+        outcome = await self._propose_once(plan_request)
+        for _ in range(MAX_PROPOSAL_ATTEMPTS - 1):
             if outcome.is_error() or not isinstance(outcome.ok, VersionMoved):
                 break
-            outcome = await self._propose_once(asked)
+            outcome = await self._propose_once(plan_request)
         return outcome
 
     async def _propose_once(
-        self, asked: PlanRequest
+        self, plan_request: PlanRequest
     ) -> Result[CommandResult | CustomerFault, ControlError]:
         state = self.control.state
-        if asked.base_version not in (None, state.configuration.version):
+        if plan_request.base_version not in (None, state.configuration.version):
             # This voter may be behind: the changes must be worked out from the stated version.
             confirmed = await self.control.barrier()
             if confirmed.is_error():
                 return Error(confirmed.error)
             version = state.configuration.version
-            is_resent = state.plans.find_request(asked.key) is not None
-            if asked.base_version != version and not is_resent:
+            is_resent = state.plans.find_request(plan_request.key) is not None
+            if plan_request.base_version != version and not is_resent:
                 return Ok(VersionMoved(version, state.configuration_plan))
-        command = self._build_command(asked)
-        is_resent = state.plans.find_request(asked.key) is not None
+        command = self._build_command(plan_request)
+        is_resent = state.plans.find_request(plan_request.key) is not None
         fault = None if is_resent else _find_customer_fault(state.configuration, command.changes)
         if fault is None:
             return await self._propose(command)
@@ -135,12 +135,17 @@
             return Ok(VersionMoved(state.configuration.version, state.configuration_plan))
         return Ok(fault)
 
-    def _build_command(self, asked: PlanRequest) -> CreatePlan:
+    def _build_command(self, plan_request: PlanRequest) -> CreatePlan:
         configuration = self.control.state.configuration
-        changes = compute_changes(configuration, asked.intent)
-        digest = hashlib.sha256(msgspec.msgpack.encode(asked.intent)).digest()
+        changes = compute_changes(configuration, plan_request.intent)
+        digest = hashlib.sha256(msgspec.msgpack.encode(plan_request.intent)).digest()
         return CreatePlan(
-            asked.key, digest, configuration.version, changes, self.wall_ms(), asked.ttl_ms
+            plan_request.key,
+            digest,
+            configuration.version,
+            changes,
+            self.wall_ms(),
+            plan_request.ttl_ms,
         )
 
     async def confirm_plan(self, plan_id: str) -> Response:
@@ -155,14 +160,14 @@
             case Result(tag="ok", ok=Confirmed() as confirmed):
                 detail = f"version {confirmed.version}"
                 self.recorder.record(EventKind.PLAN_CONFIRMED, plan=plan_id, detail=detail)
-                return json_response(200, show_outcome(confirmed))
-            case Result(tag="ok", ok=WonBy() as lost):
-                detail = f"{lost.plan} is in force as version {lost.version}"
+                return json_response(200, make_outcome_view(confirmed))
+            case Result(tag="ok", ok=WonBy() as superseded):
+                detail = f"{superseded.plan} is in force as version {superseded.version}"
                 self.recorder.record(EventKind.PLAN_LOST, plan=plan_id, detail=detail)
-                return json_response(409, show_outcome(lost))
+                return json_response(409, make_outcome_view(superseded))
             case Result(tag="ok", ok=Expired() as expired):
                 self.recorder.record(EventKind.PLAN_LOST, plan=plan_id, detail="expired")
-                return json_response(410, show_outcome(expired))
+                return json_response(410, make_outcome_view(expired))
             case Result(tag="ok", ok=refusal):
                 return command_error(refusal)
         raise AssertionError(outcome)
@@ -172,7 +177,7 @@
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
-        return await self._show(plan_id, 200)
+        return await self._make_plan_response(plan_id, 200)
 
     async def list_plans(self) -> Response:
         """Give every plan that is remembered, newest first."""
@@ -187,7 +192,7 @@
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
-        return json_response(200, show_configuration(self.control.state))
+        return json_response(200, make_configuration_view(self.control.state))
 
     async def mark_draining(self, target: DrainTarget, name: str, draining: bool) -> Response:
         """Set or take away the drain mark of an instance or upstream."""
@@ -209,14 +214,14 @@
     async def _propose(self, command: Command) -> Result[CommandResult, ControlError]:
         return await self.control.propose(encode_command(command))
 
-    async def _show(self, plan_id: str, status: int) -> Response:
+    async def _make_plan_response(self, plan_id: str, status: int) -> Response:
         found = self.control.state.find_plan(plan_id)
         if not isinstance(found, Plan):
             return command_error(found)
         # Both are immutable, and an open plan starts from the configuration in force.
         before, upstreams = self.control.state.configuration, tuple(self.source.upstreams())
         size = (len(found.changes.put) + len(found.changes.customers.put)) * BYTES_PER_SERVICE
-        view = await run_aside(size, show_plan, found, before, upstreams)
+        view = await run_in_thread_if_large(size, make_plan_view, found, before, upstreams)
         return json_response(status, view)
 
     def _report_failure(self, error: ControlError, plan_id: str = "") -> Response:
@@ -246,7 +251,7 @@
     intent = parse_intent(request.body, request.query.get("file", "intent"))
     if intent.is_error():
         return Error(describe_intent_error(intent.error))
-    ttl_ms = (ttl_s.ok or DEFAULT_TTL_S) * _MILLISECONDS
+    ttl_ms = (ttl_s.ok or DEFAULT_TTL_S) * _MILLISECONDS_PER_SECOND
     return Ok(PlanRequest(intent.ok, key, ttl_ms, base_version.ok))
 
 
--- a/packages/bendwind-node/src/bendwind_node/operators/quota_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/quota_routes.py
@@ -10,7 +10,7 @@
 from bendwind_node.operators.http import Response, json_response
 
 # What an operator reads on one screen or looks for one name in; a voter may hold thousands.
-MOST_SHOWN = 200
+MAX_SHOWN_QUOTAS = 200
 
 
 class QuotaView(msgspec.Struct, frozen=True):
@@ -47,12 +47,14 @@
     quotas: tuple[QuotaView, ...]
 
 
-def show_quotas(quotas: VoterQuotas) -> Response:
+def make_quotas_response(quotas: VoterQuotas) -> Response:
     """List what a voter holds."""
     now = trio.current_time()
     accounts = [item for item in quotas.accounts.items() if item[0] in quotas.customers]
     accounts.sort(key=lambda item: (-item[1].refused, -item[1].granted, item[0]))
-    shown = tuple(_show(quotas, name, account, now) for name, account in accounts[:MOST_SHOWN])
+    views = tuple(
+        _make_view(quotas, name, account, now) for name, account in accounts[:MAX_SHOWN_QUOTAS]
+    )
     totals = quotas.totals
     view = QuotasView(
         quotas.name,
@@ -63,12 +65,12 @@
         totals.refused,
         round(totals.lent, 1),
         round(totals.borrowed, 1),
-        shown,
+        views,
     )
     return json_response(200, view)
 
 
-def _show(quotas: VoterQuotas, name: str, account: VoterAccount, now: Seconds) -> QuotaView:
+def _make_view(quotas: VoterQuotas, name: str, account: VoterAccount, now: Seconds) -> QuotaView:
     customer = quotas.customers[name]
     bucket = account.bucket
     refill(bucket, now)
--- a/packages/bendwind-node/src/bendwind_node/operators/revision_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/revision_routes.py
@@ -39,8 +39,10 @@
             self.recorder.record(EventKind.REVISION_REFUSED, detail=str(parsed.error))
             return json_response(400, describe_intent_error(parsed.error))
         match await put_revision(self.control, self.recorder, parsed.ok):
-            case Result(tag="ok", ok=held):
-                return json_response(200, RevisionView(held.revision, held.version, held.is_new))
+            case Result(tag="ok", ok=status):
+                return json_response(
+                    200, RevisionView(status.revision, status.version, status.is_new)
+                )
             case Result(error=RevisionFault() as fault):
                 return plain_error(400, ErrorKind.BAD_INTENT, str(fault))
             case Result(error=error):
--- a/packages/bendwind-node/src/bendwind_node/operators/revisions.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/revisions.py
@@ -26,12 +26,12 @@
         recorder.record(EventKind.REVISION_REFUSED, detail=f"{detail}: {fault}")
         return Error(fault)
     match await client.propose(encode_command(command)):
-        case Result(tag="ok", ok=RevisionHeld() as held):
-            outcome = f"in force as version {held.version}" if held.is_new else "not above"
+        case Result(tag="ok", ok=RevisionHeld() as status):
+            outcome = f"in force as version {status.version}" if status.is_new else "not above"
             recorder.record(
-                EventKind.REVISION_HELD, detail=f"{detail}: {outcome}, held {held.revision}"
+                EventKind.REVISION_HELD, detail=f"{detail}: {outcome}, held {status.revision}"
             )
-            return Ok(held)
+            return Ok(status)
         case Result(tag="error", error=error):
             recorder.record(EventKind.REVISION_NOT_PUT, detail=f"{detail}: {error!r}")
             return Error(error)
--- a/packages/bendwind-node/src/bendwind_node/operators/status_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/status_routes.py
@@ -16,11 +16,11 @@
     DrainingView,
     StatusView,
     TimelineView,
-    show_event,
-    show_upstream,
+    make_event_view,
+    make_upstream_view,
 )
 
-DEFAULT_EVENTS = 1000
+DEFAULT_EVENT_LIMIT = 1000
 # A voter that is cut off still tells what it knows, and soon.
 CONFIRMATION_TIMEOUT_S: Seconds = 1.0
 
@@ -43,14 +43,14 @@
         """Give the status, confirmed by a quorum where this process leads."""
         process = self.source.process()
         if self.control is None:
-            return json_response(200, self._show(process, process.version, is_confirmed=False))
+            return json_response(200, self._make_view(process, process.version, is_confirmed=False))
         is_confirmed = False
         with trio.move_on_after(CONFIRMATION_TIMEOUT_S):
             is_confirmed = (await self.control.barrier()).is_ok()
         nodes = tuple(await self.source.nodes())
-        return json_response(200, self._show_voter(self.control, process, is_confirmed, nodes))
+        return json_response(200, self._make_voter_view(self.control, process, is_confirmed, nodes))
 
-    def _show_voter(
+    def _make_voter_view(
         self,
         control: ControlClient,
         process: ProcessStatus,
@@ -60,9 +60,9 @@
         state = control.state
         draining = DrainingView(tuple(state.draining_instances), tuple(state.draining_upstreams))
         version = state.configuration.version
-        return self._show(process, version, is_confirmed, control, draining, nodes)
+        return self._make_view(process, version, is_confirmed, control, draining, nodes)
 
-    def _show(
+    def _make_view(
         self,
         process: ProcessStatus,
         version: int,
@@ -84,7 +84,7 @@
             voters=() if control is None else tuple(control.voters()),
             nodes=nodes,
             not_there_yet=tuple(node.name for node in nodes if node.version < version),
-            upstreams=tuple(show_upstream(upstream) for upstream in self.source.upstreams()),
+            upstreams=tuple(make_upstream_view(upstream) for upstream in self.source.upstreams()),
             draining=draining or DrainingView(),
             evacuated=() if control is None else control.state.configuration.evacuated,
             replacement=None if control is None else control.replacement(),
@@ -93,22 +93,22 @@
 
     def get_timeline(self, request: Request) -> Response:
         """Give the recorded events that the query asks for."""
-        wanted = _read_filter(request)
-        if wanted.is_error():
-            return plain_error(400, ErrorKind.BAD_REQUEST, wanted.error)
-        query = wanted.ok
+        parsed = _read_event_query(request)
+        if parsed.is_error():
+            return plain_error(400, ErrorKind.BAD_REQUEST, parsed.error)
+        query = parsed.ok
         newest = (event for event in reversed(self.recorder.events) if query.wanted.admits(event))
         events = list(itertools.islice(newest, query.limit))
         events.reverse()
-        shown = tuple(show_event(event) for event in events)
-        view = TimelineView(self.recorder.instance, self.recorder.dropped, shown)
+        views = tuple(make_event_view(event) for event in events)
+        view = TimelineView(self.recorder.instance, self.recorder.dropped, views)
         return json_response(200, view)
 
 
-def _read_filter(request: Request) -> Result[EventQuery, str]:
+def _read_event_query(request: Request) -> Result[EventQuery, str]:
     query = request.query
     kind = _read_kind(query.get("kind", ""))
-    since, limit = query.get("since", "0"), query.get("limit", str(DEFAULT_EVENTS))
+    since, limit = query.get("since", "0"), query.get("limit", str(DEFAULT_EVENT_LIMIT))
     if kind.is_error():
         return Error(kind.error)
     for name, text in (("since", since), ("limit", limit)):
--- a/packages/bendwind-node/src/bendwind_node/operators/suspect_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/suspect_routes.py
@@ -45,11 +45,11 @@
     def get_suspects(self) -> Response:
         """List what is known."""
         now = trio.current_time()
-        known = [suspect for suspect in self.table.suspects.values() if suspect.ends]
-        known.sort(key=lambda suspect: -suspect.count)
-        return json_response(200, SuspectsView(tuple(self._show(s, now) for s in known)))
+        suspects = [suspect for suspect in self.table.suspects.values() if suspect.ends]
+        suspects.sort(key=lambda suspect: -suspect.count)
+        return json_response(200, SuspectsView(tuple(self._make_view(s, now) for s in suspects)))
 
-    def _show(self, suspect: Suspect, now: float) -> SuspectView:
+    def _make_view(self, suspect: Suspect, now: float) -> SuspectView:
         return SuspectView(
             suspect.signature.hex(),
             suspect.service,
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/fakes.py
@@ -24,7 +24,7 @@
 WALL_MS = 1_000
 
 
-class Fate(enum.Enum):
+class CommandOutcome(enum.Enum):
     """Say what becomes of the next command that is proposed."""
 
     APPLIED = enum.auto()
@@ -40,7 +40,7 @@
 
     entries: list[bytes] = field(default_factory=list)
     delayed: list[bytes] = field(default_factory=list)
-    fate: Fate = Fate.APPLIED
+    next_outcome: CommandOutcome = CommandOutcome.APPLIED
 
 
 @dataclass
@@ -49,7 +49,7 @@
 
     log: FakeLog
     state: ControlState = field(default_factory=ControlState)
-    under_way: ReplacementStatus | None = None
+    current_replacement: ReplacementStatus | None = None
 
     def catch_up(self) -> object:
         result = None
@@ -58,23 +58,23 @@
         return result
 
     async def propose(self, command: bytes):
-        fate, self.log.fate = self.log.fate, Fate.APPLIED
-        match fate:
-            case Fate.NOT_LEADER:
+        command_outcome, self.log.next_outcome = self.log.next_outcome, CommandOutcome.APPLIED
+        match command_outcome:
+            case CommandOutcome.NOT_LEADER:
                 return Error(NotLeader("b", "http://127.0.0.1:9202"))
-            case Fate.NOT_ACCEPTED:
+            case CommandOutcome.NOT_ACCEPTED:
                 return Error(NoQuorum())
-            case Fate.DELAYED:
+            case CommandOutcome.DELAYED:
                 self.log.delayed.append(command)
                 return Error(OutcomeUnknown())
         self.log.entries.append(command)
-        if fate is Fate.ANSWER_LOST:
+        if command_outcome is CommandOutcome.ANSWER_LOST:
             return Error(OutcomeUnknown())
         return Ok(self.catch_up())
 
     async def barrier(self):
-        fate, self.log.fate = self.log.fate, Fate.APPLIED
-        if fate is not Fate.APPLIED:
+        command_outcome, self.log.next_outcome = self.log.next_outcome, CommandOutcome.APPLIED
+        if command_outcome is not CommandOutcome.APPLIED:
             return Error(NoQuorum())
         self.catch_up()
         return Ok(self.state.applied)
@@ -89,7 +89,7 @@
         return [VoterStatus("a", "leader", self.state.applied)]
 
     def replacement(self):
-        return self.under_way
+        return self.current_replacement
 
 
 class FakeSource:
@@ -120,7 +120,7 @@
     )
 
 
-async def ask(app: OperatorsApp, method: str, path: str, body: str = "", **query):
+async def send_request(app: OperatorsApp, method: str, path: str, body: str = "", **query):
     headers = {"idempotency-key": key} if (key := query.pop("key", "")) else {}
     parts = tuple(path.strip("/").split("/"))
     response = await app.answer(Request(method, parts, query, headers, body.encode()))
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_app.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_app.py
@@ -13,7 +13,7 @@
     create_token_authority,
 )
 from bendwind_node.operators.http import MAX_BODY_BYTES
-from bendwind_node.operators.tests.fakes import FakeClient, FakeLog, ask, create_app
+from bendwind_node.operators.tests.fakes import FakeClient, FakeLog, create_app, send_request
 
 
 async def serve(app, body: bytes = b"", authorization: str = "") -> tuple[int, bytes]:
@@ -77,7 +77,7 @@
         self.app = create_app(self.client, create_open_authority("127.0.0.1"))
 
     def check(self, method: str, path: str, body: str = "", **query) -> tuple[int, dict]:
-        return trio.run(lambda: ask(self.app, method, path, body, **query))
+        return trio.run(lambda: send_request(self.app, method, path, body, **query))
 
     def test_a_faulty_intent_is_named_by_file_key_and_what_was_expected(self):
         text = '[[services]]\nname = "emisor"\nupstreams = ["*"]\n[[services.rules]]\npath = 3'
@@ -110,7 +110,9 @@
 
     def test_status_shows_which_voter_is_being_replaced(self):
         self.assertIsNone(self.check("GET", "/v1/status")[1]["replacement"])
-        self.client.under_way = ReplacementStatus(("c",), ("d",), awaited=("d",), for_ms=40.0)
+        self.client.current_replacement = ReplacementStatus(
+            ("c",), ("d",), awaited=("d",), for_ms=40.0
+        )
         _, body = self.check("GET", "/v1/status")
         shown = {"leaving": ["c"], "joining": ["d"], "awaited": ["d"], "for_ms": 40.0}
         self.assertEqual(body["replacement"], shown)
@@ -127,7 +129,7 @@
         self.check("POST", "/v1/plans/p1/confirm")
         behind = create_app(FakeClient(self.app.control.log), create_open_authority("127.0.0.1"))
         _, plan = trio.run(
-            lambda: ask(behind, "POST", "/v1/plans", "services = []", base_version="2")
+            lambda: send_request(behind, "POST", "/v1/plans", "services = []", base_version="2")
         )
         self.assertEqual([d["kind"] for d in plan["differences"]], ["service-removed"])
 
@@ -137,9 +139,9 @@
 
     def test_routes_of_voters_are_refused_elsewhere(self):
         app = create_app(None, create_open_authority("127.0.0.1"))
-        status, body = trio.run(lambda: ask(app, "GET", "/v1/plans"))
+        status, body = trio.run(lambda: send_request(app, "GET", "/v1/plans"))
         self.assertEqual((status, body["error"]), (404, "not-a-voter"))
-        self.assertEqual(trio.run(lambda: ask(app, "GET", "/v1/status"))[0], 200)
+        self.assertEqual(trio.run(lambda: send_request(app, "GET", "/v1/status"))[0], 200)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_customers.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_customers.py
@@ -5,7 +5,13 @@
 
 from bendwind_core.world import digest_key
 from bendwind_node.operators import OperatorAuthority
-from bendwind_node.operators.tests.fakes import FakeClient, FakeLog, Fate, ask, create_app
+from bendwind_node.operators.tests.fakes import (
+    CommandOutcome,
+    FakeClient,
+    FakeLog,
+    create_app,
+    send_request,
+)
 
 SECRET = "k-secret"
 NORTE = f"""[[customers]]
@@ -22,20 +28,20 @@
         self.log = FakeLog()
         self.app = create_app(FakeClient(self.log), OperatorAuthority())
 
-    def ask(self, method, path, body=""):
-        return trio.run(lambda: ask(self.app, method, path, body))
+    def send_request(self, method, path, body=""):
+        return trio.run(lambda: send_request(self.app, method, path, body))
 
     def put(self, text):
-        status, plan = self.ask("POST", "/v1/plans", "partial = true\n" + text)
+        status, plan = self.send_request("POST", "/v1/plans", "partial = true\n" + text)
         self.assertEqual(status, 201, plan)
-        self.assertEqual(self.ask("POST", f"/v1/plans/{plan['id']}/confirm")[0], 200)
+        self.assertEqual(self.send_request("POST", f"/v1/plans/{plan['id']}/confirm")[0], 200)
         return plan
 
     def test_customers_are_listed_without_their_keys(self):
         empty = {"version": 0, "are_keys_needed": False, "customers": []}
-        self.assertEqual(self.ask("GET", "/v1/customers"), (200, empty))
+        self.assertEqual(self.send_request("GET", "/v1/customers"), (200, empty))
         self.put(NORTE)
-        status, shown = self.ask("GET", "/v1/customers")
+        status, shown = self.send_request("GET", "/v1/customers")
         norte = {"name": "norte", "keys": 1, "rank": 1, "rate_per_s": 5.0, "burst": 2.0}
         self.assertEqual(status, 200)
         self.assertEqual((shown["are_keys_needed"], shown["customers"]), (True, [norte]))
@@ -52,14 +58,14 @@
         self.put(NORTE)
         applied = len(self.log.entries)
         text = "partial = true\n" + NORTE.replace("norte", "sul")
-        status, error = self.ask("POST", "/v1/plans", text)
+        status, error = self.send_request("POST", "/v1/plans", text)
         self.assertEqual((status, error["error"]), (400, "bad-intent"))
         self.assertEqual(error["detail"], "customers: shared-key: norte and sul")
         self.assertEqual(len(self.log.entries), applied)
 
     def test_plan_that_is_asked_for_again_is_given_whatever_clashes_since(self):
         def plan():
-            return trio.run(lambda: ask(self.app, "POST", "/v1/plans", text, key="once"))
+            return trio.run(lambda: send_request(self.app, "POST", "/v1/plans", text, key="once"))
 
         text = "partial = true\n" + NORTE
         status, first = plan()
@@ -70,25 +76,25 @@
 
     def test_voter_that_may_be_behind_does_not_refuse_by_what_it_knows(self):
         self.put(NORTE)
-        self.log.fate = Fate.NOT_ACCEPTED
+        self.log.next_outcome = CommandOutcome.NOT_ACCEPTED
         text = "partial = true\n" + NORTE.replace("norte", "sul")
-        self.assertEqual(self.ask("POST", "/v1/plans", text)[0], 503)
+        self.assertEqual(self.send_request("POST", "/v1/plans", text)[0], 503)
         newer = FakeClient(self.log)
         newer.catch_up()
         self.app, behind = create_app(newer, OperatorAuthority()), self.app
         self.put('remove_customers = ["norte"]')
         self.app = behind
-        status, plan = self.ask("POST", "/v1/plans", text)
+        status, plan = self.send_request("POST", "/v1/plans", text)
         self.assertEqual(
             (status, plan["lines"]),
             (201, ["+ customer sul (1 key, rank 1, 5 requests/s, burst 2)"]),
         )
 
     def test_voter_that_is_not_sure_of_the_newest_shows_none(self):
-        self.log.fate = Fate.NOT_ACCEPTED
-        self.assertEqual(self.ask("GET", "/v1/customers")[0], 503)
-        self.assertEqual(self.ask("POST", "/v1/customers")[0], 405)
-        self.assertEqual(self.ask("GET", "/v1/customers/norte")[0], 404)
+        self.log.next_outcome = CommandOutcome.NOT_ACCEPTED
+        self.assertEqual(self.send_request("GET", "/v1/customers")[0], 503)
+        self.assertEqual(self.send_request("POST", "/v1/customers")[0], 405)
+        self.assertEqual(self.send_request("GET", "/v1/customers/norte")[0], 404)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_evacuation.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_evacuation.py
@@ -5,7 +5,7 @@
 
 from bendwind_node.operators import OperatorAuthority
 from bendwind_node.operators.http import Request
-from bendwind_node.operators.tests.fakes import FakeClient, FakeLog, Fate, create_app
+from bendwind_node.operators.tests.fakes import CommandOutcome, FakeClient, FakeLog, create_app
 
 
 class EvacuationTest(unittest.TestCase):
@@ -14,7 +14,7 @@
         self.client = FakeClient(self.log)
         self.app = create_app(self.client, OperatorAuthority())
 
-    def ask(self, method, name="sala-norte", tail="evacuation"):
+    def send_request(self, method, name="sala-norte", tail="evacuation"):
         request = Request(method, ("v1", "data-centres", name, tail), {}, {}, b"")
         response = trio.run(self.app.answer, request)
         return response.status, json.loads(response.body)
@@ -25,27 +25,30 @@
         return self.client.state.configuration.evacuated
 
     def test_evacuation_is_acknowledged_once_it_is_in_the_log(self):
-        status, body = self.ask("POST")
+        status, body = self.send_request("POST")
         self.assertEqual((status, body["evacuated"], body["is_new"]), (200, True, True))
         self.assertEqual(self.evacuated, ("sala-norte",))
-        self.assertEqual(self.ask("DELETE")[0], 200)
+        self.assertEqual(self.send_request("DELETE")[0], 200)
         self.assertEqual(self.evacuated, ())
 
     def test_order_repeated_after_a_lost_answer_is_acknowledged_again(self):
-        self.log.fate = Fate.ANSWER_LOST
-        self.assertEqual(self.ask("POST")[0], 504)
-        status, body = self.ask("POST")
+        self.log.next_outcome = CommandOutcome.ANSWER_LOST
+        self.assertEqual(self.send_request("POST")[0], 504)
+        status, body = self.send_request("POST")
         self.assertEqual((status, body["is_new"]), (200, False))
         self.assertEqual(self.evacuated, ("sala-norte",))
 
     def test_nothing_is_changed_without_a_quorum(self):
-        for fate, wanted in ((Fate.NOT_LEADER, 421), (Fate.NOT_ACCEPTED, 503)):
-            self.log.fate = fate
-            self.assertEqual(self.ask("POST")[0], wanted)
+        for command_outcome, wanted in (
+            (CommandOutcome.NOT_LEADER, 421),
+            (CommandOutcome.NOT_ACCEPTED, 503),
+        ):
+            self.log.next_outcome = command_outcome
+            self.assertEqual(self.send_request("POST")[0], wanted)
             self.assertEqual(self.evacuated, ())
 
     def test_unknown_data_centre_changes_nothing(self):
-        status, body = self.ask("POST", "sala-oeste")
+        status, body = self.send_request("POST", "sala-oeste")
         self.assertEqual((status, body["error"]), (404, "unknown-data-centre"))
         self.assertIn("sala-norte, sala-sur", body["detail"])
         self.assertEqual(self.log.entries, [])
@@ -53,17 +56,17 @@
     def test_two_operators_end_in_the_order_of_the_log(self):
         other = FakeClient(self.log)
         app = create_app(other, OperatorAuthority())
-        self.ask("POST")
+        self.send_request("POST")
         request = Request("DELETE", ("v1", "data-centres", "sala-norte", "evacuation"), {}, {}, b"")
         self.assertEqual(trio.run(app.answer, request).status, 200)
         self.assertEqual(self.evacuated, ())
 
     def test_other_methods_and_paths_are_refused(self):
-        self.assertEqual(self.ask("GET")[0], 405)
-        self.assertEqual(self.ask("POST", tail="other")[0], 404)
+        self.assertEqual(self.send_request("GET")[0], 405)
+        self.assertEqual(self.send_request("POST", tail="other")[0], 404)
 
     def test_status_names_what_is_evacuated(self):
-        self.ask("POST")
+        self.send_request("POST")
         response = trio.run(self.app.answer, Request("GET", ("v1", "status"), {}, {}, b""))
         self.assertEqual(json.loads(response.body)["evacuated"], ["sala-norte"])
 
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_fuzz_operators.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_fuzz_operators.py
@@ -8,13 +8,19 @@
 
 import bendwind_core.core.tests.profiles  # noqa: F401
 from bendwind_node.operators import create_open_authority
-from bendwind_node.operators.tests.fakes import FakeClient, FakeLog, Fate, ask, create_app
+from bendwind_node.operators.tests.fakes import (
+    CommandOutcome,
+    FakeClient,
+    FakeLog,
+    create_app,
+    send_request,
+)
 
 NAMES = ("agenda", "emisor")
 RESEND_STATUSES = {421, 503, 504}
 
 voters = st.integers(0, 1)
-fates = st.sampled_from([Fate.APPLIED, *Fate])
+command_outcomes = st.sampled_from([CommandOutcome.APPLIED, *CommandOutcome])
 keys = st.sampled_from(["k0", "k1", "k2", "k3"])
 intents = st.sampled_from(
     [
@@ -36,11 +42,17 @@
         self.outcomes: dict[str, dict] = {}
 
     def _ask(self, voter: int, method: str, path: str, body: str = "", **query):
-        return trio.run(lambda: ask(self.apps[voter], method, path, body, **query))
-
-    @rule(voter=voters, key=keys, intent=intents, fate=fates, states_base=st.booleans())
-    def state_intent(self, voter, key, intent, fate, states_base):
-        self.log.fate = fate
+        return trio.run(lambda: send_request(self.apps[voter], method, path, body, **query))
+
+    @rule(
+        voter=voters,
+        key=keys,
+        intent=intents,
+        command_outcome=command_outcomes,
+        states_base=st.booleans(),
+    )
+    def state_intent(self, voter, key, intent, command_outcome, states_base):
+        self.log.next_outcome = command_outcome
         newest = max((o["version"] for o in self.outcomes.values()), default=0)
         query = {"base_version": str(newest)} if states_base else {}
         status, body = self._ask(voter, "POST", "/v1/plans", intent, key=key, **query)
@@ -72,10 +84,10 @@
         assert added | removed <= kinds
 
     @precondition(lambda self: self.plans)
-    @rule(voter=voters, key=keys, fate=fates)
-    def confirm(self, voter, key, fate):
+    @rule(voter=voters, key=keys, command_outcome=command_outcomes)
+    def confirm(self, voter, key, command_outcome):
         if key in self.plans:
-            self.log.fate = fate
+            self.log.next_outcome = command_outcome
             self._confirm(voter, self.plans[key][0])
 
     def _confirm(self, voter: int, plan: str) -> None:
@@ -89,9 +101,9 @@
     def let_a_delayed_command_through(self):
         self.log.entries.append(self.log.delayed.pop(0))
 
-    @rule(voter=voters, fate=fates)
-    def read(self, voter, fate):
-        self.log.fate = fate
+    @rule(voter=voters, command_outcome=command_outcomes)
+    def read(self, voter, command_outcome):
+        self.log.next_outcome = command_outcome
         status, body = self._ask(voter, "GET", "/v1/configuration")
         if status == 200:
             for outcome in self.outcomes.values():
@@ -99,7 +111,7 @@
 
     def teardown(self):
         logging.disable(logging.NOTSET)
-        self.log.fate = Fate.APPLIED
+        self.log.next_outcome = CommandOutcome.APPLIED
         self.log.entries += self.log.delayed
         for voter in (0, 1):
             for plan, _, _ in list(self.plans.values()):
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_quotas.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_quotas.py
@@ -16,12 +16,12 @@
 from bendwind_core.world import Configuration, Customer
 from bendwind_node.operators import OperatorAuthority
 from bendwind_node.operators.http import Request
-from bendwind_node.operators.quota_routes import MOST_SHOWN
+from bendwind_node.operators.quota_routes import MAX_SHOWN_QUOTAS
 from bendwind_node.operators.tests.fakes import create_app
 
 
 class QuotasTest(unittest.TestCase):
-    def ask(self, method="GET", wants=(), is_voter=True):
+    def send_request(self, method="GET", wants=(), is_voter=True):
         async def main():
             app = create_app(None, OperatorAuthority())
             if is_voter:
@@ -44,7 +44,7 @@
         return quotas
 
     def test_shows_what_is_held_those_most_refused_first(self):
-        status, body = self.ask(wants=(QuotaDemand("ana", 4), QuotaDemand("maria", 14)))
+        status, body = self.send_request(wants=(QuotaDemand("ana", 4), QuotaDemand("maria", 14)))
         self.assertEqual(status, 200)
         self.assertEqual((body["voter"], body["granting"], body["limited"]), ("v1", True, 3))
         self.assertEqual((body["granted"], body["refused"]), (15, 3))
@@ -53,14 +53,14 @@
         self.assertEqual((ana["customer"], ana["burst"], ana["level"]), ("ana", 10.0, 7.0))
 
     def test_shows_a_bounded_number(self):
-        wants = tuple(QuotaDemand(f"c{number}", 1) for number in range(MOST_SHOWN + 10))
-        _, body = self.ask(wants=wants)
-        self.assertEqual(len(body["quotas"]), MOST_SHOWN)
-        self.assertEqual(body["granted"], MOST_SHOWN + 10)
+        wants = tuple(QuotaDemand(f"c{number}", 1) for number in range(MAX_SHOWN_QUOTAS + 10))
+        _, body = self.send_request(wants=wants)
+        self.assertEqual(len(body["quotas"]), MAX_SHOWN_QUOTAS)
+        self.assertEqual(body["granted"], MAX_SHOWN_QUOTAS + 10)
 
     def test_a_process_that_is_no_voter_has_none(self):
-        self.assertEqual(self.ask(is_voter=False)[0], 404)
-        self.assertEqual(self.ask("POST")[0], 405)
+        self.assertEqual(self.send_request(is_voter=False)[0], 404)
+        self.assertEqual(self.send_request("POST")[0], 405)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_revision_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_revision_routes.py
@@ -3,7 +3,13 @@
 import trio
 
 from bendwind_node.operators import create_open_authority
-from bendwind_node.operators.tests.fakes import FakeClient, FakeLog, Fate, ask, create_app
+from bendwind_node.operators.tests.fakes import (
+    CommandOutcome,
+    FakeClient,
+    FakeLog,
+    create_app,
+    send_request,
+)
 
 TEXT = """
 revision = 7
@@ -24,7 +30,7 @@
         self.app = create_app(FakeClient(self.log), create_open_authority("127.0.0.1"))
 
     def put(self, text=TEXT):
-        return trio.run(lambda: ask(self.app, "PUT", "/v1/revision", text))
+        return trio.run(lambda: send_request(self.app, "PUT", "/v1/revision", text))
 
     def test_higher_revision_takes_force_and_any_other_is_acknowledged(self):
         status, body = self.put()
@@ -41,7 +47,7 @@
         self.assertIn("bad-prefix", body["expected"])
 
     def test_unclear_outcome_is_told_and_the_same_may_be_put_again(self):
-        self.log.fate = Fate.ANSWER_LOST
+        self.log.next_outcome = CommandOutcome.ANSWER_LOST
         self.assertEqual(self.put()[0], 504)
         status, body = self.put()
         self.assertEqual((status, body["revision"], body["is_new"]), (200, 7, False))
@@ -53,12 +59,16 @@
         self.assertEqual(get().status, 503)
         self.put()
         self.assertEqual(get().body, TEXT.encode())
-        self.log.fate = Fate.NOT_ACCEPTED
+        self.log.next_outcome = CommandOutcome.NOT_ACCEPTED
         self.assertEqual(get().status, 503)
 
     def test_other_methods_and_paths_are_refused(self):
-        self.assertEqual(trio.run(lambda: ask(self.app, "POST", "/v1/revision", ""))[0], 405)
-        self.assertEqual(trio.run(lambda: ask(self.app, "GET", "/v1/revision/x", ""))[0], 404)
+        self.assertEqual(
+            trio.run(lambda: send_request(self.app, "POST", "/v1/revision", ""))[0], 405
+        )
+        self.assertEqual(
+            trio.run(lambda: send_request(self.app, "GET", "/v1/revision/x", ""))[0], 404
+        )
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_suspects.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_suspects.py
@@ -15,7 +15,7 @@
         self.app = create_app(None, OperatorAuthority())
         self.app.suspects = SuspectTable("n1")
 
-    def ask(self, method, *path, ends=0):
+    def send_request(self, method, *path, ends=0):
         async def main():
             for number in range(ends):
                 name = UpstreamEndId("n1", 1, f"u{number}", 1)
@@ -26,7 +26,7 @@
         return response.status, json.loads(response.body)
 
     def test_lists_what_upstreams_ended_under(self):
-        status, body = self.ask("GET", ends=3)
+        status, body = self.send_request("GET", ends=3)
         self.assertEqual(status, 200)
         (suspect,) = body["suspects"]
         self.assertEqual((suspect["signature"], suspect["service"]), ("0a0b", "emisor"))
@@ -34,17 +34,19 @@
         self.assertEqual(suspect["upstreams"], ["u0", "u1", "u2"])
 
     def test_release_clears_it_and_is_told_on(self):
-        self.assertEqual(self.ask("POST", "0a0b", "release", ends=3), (200, {"released": "0a0b"}))
-        self.assertEqual(self.ask("GET")[1], {"suspects": []})
+        self.assertEqual(
+            self.send_request("POST", "0a0b", "release", ends=3), (200, {"released": "0a0b"})
+        )
+        self.assertEqual(self.send_request("GET")[1], {"suspects": []})
         (told,) = list_unreported(self.app.suspects, 0.0)
         self.assertEqual((told.cleared, told.ends), (1, ()))
         self.assertEqual(self.app.recorder.events[-1].kind, EventKind.REQUEST_RELEASED)
 
     def test_what_is_not_known_or_no_signature_is_refused(self):
-        self.assertEqual(self.ask("POST", "ff", "release")[0], 404)
-        self.assertEqual(self.ask("POST", "xyz", "release")[0], 400)
-        self.assertEqual(self.ask("DELETE")[0], 405)
-        self.assertEqual(self.ask("GET", "0a0b")[0], 404)
+        self.assertEqual(self.send_request("POST", "ff", "release")[0], 404)
+        self.assertEqual(self.send_request("POST", "xyz", "release")[0], 400)
+        self.assertEqual(self.send_request("DELETE")[0], 405)
+        self.assertEqual(self.send_request("GET", "0a0b")[0], 404)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/operators/views.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/views.py
@@ -175,7 +175,7 @@
     stopping: bool = True
 
 
-def show_outcome(outcome: PlanOutcome) -> OutcomeView:
+def make_outcome_view(outcome: PlanOutcome) -> OutcomeView:
     """Return the view of an outcome."""
     match outcome:
         case Confirmed(plan, version):
@@ -195,11 +195,11 @@
         plan.base_version,
         plan.created_ms,
         plan.expires_ms,
-        None if plan.outcome is None else show_outcome(plan.outcome),
+        None if plan.outcome is None else make_outcome_view(plan.outcome),
     )
 
 
-def show_plan(plan: Plan, before: Configuration, upstreams: Sequence[Upstream]) -> PlanView:
+def make_plan_view(plan: Plan, before: Configuration, upstreams: Sequence[Upstream]) -> PlanView:
     """Return the view of a plan, with what it changes of a configuration while it is open."""
     summary = summarize_plan(plan)
     if plan.outcome is not None:
@@ -221,7 +221,7 @@
     )
 
 
-def show_configuration(state: ControlState) -> ConfigurationView:
+def make_configuration_view(state: ControlState) -> ConfigurationView:
     """Return the view of the configuration in force."""
     configuration = state.configuration
     services = msgspec.convert(
@@ -230,7 +230,7 @@
     return ConfigurationView(configuration.version, state.configuration_plan, services)
 
 
-def show_upstream(upstream: Upstream) -> UpstreamView:
+def make_upstream_view(upstream: Upstream) -> UpstreamView:
     """Return the view of an announced upstream."""
     return UpstreamView(
         upstream.name,
@@ -242,7 +242,7 @@
     )
 
 
-def show_event(event: Event) -> EventView:
+def make_event_view(event: Event) -> EventView:
     """Return the view of a recorded event."""
     return EventView(
         event.kind,
@@ -258,6 +258,6 @@
     )
 
 
-def show_catalogue() -> CatalogueView:
+def make_catalogue_view() -> CatalogueView:
     """Return the view of the catalogue of events."""
     return CatalogueView(tuple(EventKindView(kind.value, kind.name) for kind in EventKind))
--- a/packages/bendwind-node/src/bendwind_node/settings/checks.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/checks.py
@@ -18,9 +18,9 @@
     expected: str
 
 
-def find_clash(settings: Settings) -> Finding | None:
+def find_conflict(settings: Settings) -> Finding | None:
     """Return the first rule between keys that the settings break, or None."""
-    return next(_find_clashes(settings), None)
+    return next(_find_conflicts(settings), None)
 
 
 def is_loopback(host: str) -> bool:
@@ -37,7 +37,7 @@
         return False
 
 
-def _find_clashes(settings: Settings) -> Iterator[Finding]:
+def _find_conflicts(settings: Settings) -> Iterator[Finding]:
     yield from _check_voters(settings)
     yield from _check_peers(settings)
     yield from _check_operators(settings)
--- a/packages/bendwind-node/src/bendwind_node/settings/load.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/load.py
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from bendwind_core.core import TomlError, decode_toml
-from bendwind_node.settings.checks import find_clash
+from bendwind_node.settings.checks import find_conflict
 from bendwind_node.settings.tables import Settings
 
 SettingsError = TomlError
@@ -31,7 +31,7 @@
     except OSError as error:
         reason = (error.strerror or str(error)).lower()
         return Error(SettingsError(str(path), "", f"expected a readable file: {reason}"))
-    return parse_settings(data, str(path)).map(lambda found: _resolve(found, file.parent))
+    return parse_settings(data, str(path)).map(lambda found: _resolve_paths(found, file.parent))
 
 
 def parse_settings(data: bytes, file: str) -> Result[Settings, SettingsError]:
@@ -43,13 +43,13 @@
 
 
 def _check(settings: Settings, file: str) -> Result[Settings, SettingsError]:
-    clash = find_clash(settings)
-    if clash is not None:
-        return Error(SettingsError(file, clash.key, f"expected {clash.expected}"))
+    conflict = find_conflict(settings)
+    if conflict is not None:
+        return Error(SettingsError(file, conflict.key, f"expected {conflict.expected}"))
     return Ok(settings)
 
 
-def _resolve(settings: Settings, folder: Path) -> Settings:
+def _resolve_paths(settings: Settings, folder: Path) -> Settings:
     for table_name, key in _PATH_KEYS:
         table = getattr(settings, table_name)
         if table is None or getattr(table, key) is None:
--- a/packages/bendwind-node/src/bendwind_node/settings/reference.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/reference.py
@@ -58,8 +58,8 @@
         f"| `{key.name}` | {key.unit} | {key.default} | {key.range} | {key.meaning} |\n"
         for key in _list_keys(table)
     )
-    need = "Required." if is_required else "Optional."
-    return f"\n## `{name}`\n\n{table.__doc__.splitlines()[0]} {need}\n{_COLUMNS}{rows}"
+    requirement = "Required." if is_required else "Optional."
+    return f"\n## `{name}`\n\n{table.__doc__.splitlines()[0]} {requirement}\n{_COLUMNS}{rows}"
 
 
 def _list_keys(table: type[Table]) -> Iterator[_Key]:
