--- a/packages/bendwind-node/src/bendwind_node/metrics/tests/test_metrics.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/tests/test_metrics.py
@@ -15,12 +15,12 @@
         names = [metric.value.name for metric in Metric]
         self.assertEqual(len(set(names)), len(Metric))
 
-    def test_every_metric_is_read_somewhere(self):
+    def test_every_metric_is_gathered(self):
         source = (Path(__file__).parents[1] / "gather.py").read_text()
-        unread = [metric for metric in Metric if f"Metric.{metric.name}," not in source]
-        self.assertEqual(unread, [])
+        not_gathered = [metric for metric in Metric if f"Metric.{metric.name}," not in source]
+        self.assertEqual(not_gathered, [])
 
-    def test_counts_events_by_number_and_what_was_dropped(self):
+    def test_counts_events_by_number_and_dropped_events(self):
         recorder = Recorder("a", lambda: 1, 4)
         for _ in range(3):
             recorder.record(EventKind.CALL_ARRIVED)
@@ -41,7 +41,7 @@
         self.assertIn('bendwind_links{opened_by="this"} 2\n', text)
         self.assertRegex(text, r"bendwind_peak_resident_bytes [1-9]")
 
-    def test_refusals_and_waits_are_shown_by_rank(self):
+    def test_refusals_and_waits_are_labelled_by_rank(self):
         recorder = Recorder("a", lambda: 1, 4)
         busy = AttemptFacts("u", 0.0, "not-run: busy", 3.0)
         refused = CallFacts("s", "r", 503, attempts=(busy,), rank=1)
@@ -56,7 +56,7 @@
         self.assertIn('bendwind_rank_wait_seconds_bucket{le="0.025",rank="1"} 1\n', text)
         self.assertIn('bendwind_rank_wait_seconds_sum{rank="1"} 0.02\n', text)
 
-    def test_scrapes_do_not_pile_up(self):
+    def test_repeated_scrapes_render_the_same(self):
         metrics = Metrics(lambda: [Sample(Metric.FRESH, 1)])
         self.assertEqual(metrics.render(), metrics.render())
 
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Stand in for the control log and the members behind the operators' API."""
+"""Provide fakes of the control log and the members for tests of the operators' API."""
 
 import enum
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 
 class CommandOutcome(enum.Enum):
-    """Say what becomes of the next command that is proposed."""
+    """Choose what happens to the next proposed command."""
 
     APPLIED = enum.auto()
     NOT_LEADER = enum.auto()
@@ -36,7 +36,7 @@
 
 @dataclass
 class FakeLog:
-    """Hold one log, the command that is under way, and what comes of the next one."""
+    """Hold a log, its delayed commands, and the outcome of the next command."""
 
     entries: list[bytes] = field(default_factory=list)
     delayed: list[bytes] = field(default_factory=list)
@@ -45,7 +45,7 @@
 
 @dataclass
 class FakeClient:
-    """Stand in for a voter of the log."""
+    """Imitate a voter of the log."""
 
     log: FakeLog
     state: ControlState = field(default_factory=ControlState)
@@ -93,7 +93,7 @@
 
 
 class FakeSource:
-    """Stand in for the members."""
+    """Imitate the source of process and member status."""
 
     def process(self):
         return ProcessStatus("a", "sala-norte", 0)
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_app.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Pin who may call, and what the API answers to faulty requests."""
+"""Test which clients are authorised, and the responses of the API to faulty requests."""
 
 import tempfile
 import unittest
@@ -49,12 +49,12 @@
     def check(self, authorization: str) -> int:
         return trio.run(lambda: serve(self.app, b"services = []", authorization))[0]
 
-    def test_any_token_of_the_file_is_let_in_and_nothing_else(self):
+    def test_only_tokens_of_the_file_are_accepted(self):
         self.assertEqual([self.check("Bearer alpha"), self.check("bearer beta")], [201, 201])
         refused = ["", "Bearer", "Bearer ", "Bearer alph", "Bearer alpha\n beta", "Basic alpha"]
         self.assertEqual({self.check(text) for text in refused}, {401})
 
-    def test_a_refusal_is_recorded_and_tells_nothing(self):
+    def test_refusal_is_recorded_and_reveals_nothing(self):
         status, body = trio.run(lambda: serve(self.app, b"", "Bearer wrong"))
         self.assertEqual((status, body), (401, b'{"error":"refused","detail":""}'))
         self.assertEqual(self.app.recorder.events[-1].kind, EventKind.OPERATOR_REFUSED)
@@ -66,7 +66,7 @@
         self.file.unlink()
         self.assertEqual(self.check("Bearer gamma"), 401)
 
-    def test_no_tokens_are_asked_for_on_loopback_only(self):
+    def test_open_authority_is_accepted_on_loopback_only(self):
         create_open_authority("::1")
         self.assertRaises(ValueError, create_open_authority, "10.0.0.1")
 
@@ -79,7 +79,7 @@
     def check(self, method: str, path: str, body: str = "", **query) -> tuple[int, dict]:
         return trio.run(lambda: send_request(self.app, method, path, body, **query))
 
-    def test_a_faulty_intent_is_named_by_file_key_and_what_was_expected(self):
+    def test_intent_error_names_file_key_and_expected_type(self):
         text = '[[services]]\nname = "emisor"\nupstreams = ["*"]\n[[services.rules]]\npath = 3'
         status, body = self.check("POST", "/v1/plans", text, file="mine.toml")
         self.assertEqual(
@@ -87,13 +87,13 @@
         )
         self.assertEqual(body["expected"], "expected `str`, got `int`")
 
-    def test_a_faulty_choice_names_the_choices(self):
+    def test_error_of_an_invalid_choice_lists_the_valid_ones(self):
         text = '[[services]]\nname = "a"\nupstreams = ["*"]\npolicy = "fair"'
         _, body = self.check("POST", "/v1/plans", text)
         choices = "'score', 'random', 'round-robin', 'least-in-flight'"
         self.assertEqual(body["expected"], f"expected one of {choices}")
 
-    def test_an_empty_intent_does_not_end_every_service(self):
+    def test_empty_intent_does_not_remove_every_service(self):
         self.assertEqual(self.check("POST", "/v1/plans")[0], 400)
 
     def test_faulty_queries_and_unknown_ids_are_refused(self):
@@ -117,27 +117,31 @@
         shown = {"leaving": ["c"], "joining": ["d"], "awaited": ["d"], "for_ms": 40.0}
         self.assertEqual(body["replacement"], shown)
 
-    def test_a_stated_base_version_that_moved_names_the_plan_that_won(self):
+    def test_outdated_base_version_error_names_the_confirmed_plan(self):
         self.check("POST", "/v1/plans", "services = []", key="a")
         self.check("POST", "/v1/plans/p1/confirm")
         status, body = self.check("POST", "/v1/plans", "services = []", base_version="0")
         self.assertEqual((status, body["version"], body["plan"]), (409, 2, "p1"))
 
-    def test_a_stated_base_version_newer_than_this_voter_has_applied_is_compared_in_full(self):
+    def test_voter_that_lags_catches_up_to_the_given_base_version(self):
         intent = '[[services]]\nname = "agenda"\nupstreams = ["agenda-*"]'
         self.check("POST", "/v1/plans", intent, key="a")
         self.check("POST", "/v1/plans/p1/confirm")
-        behind = create_app(FakeClient(self.app.control.log), create_open_authority("127.0.0.1"))
+        lagging_app = create_app(
+            FakeClient(self.app.control.log), create_open_authority("127.0.0.1")
+        )
         _, plan = trio.run(
-            lambda: send_request(behind, "POST", "/v1/plans", "services = []", base_version="2")
+            lambda: send_request(
+                lagging_app, "POST", "/v1/plans", "services = []", base_version="2"
+            )
         )
         self.assertEqual([d["kind"] for d in plan["differences"]], ["service-removed"])
 
-    def test_a_body_beyond_the_limit_is_refused(self):
+    def test_body_above_the_limit_is_refused(self):
         status, _ = trio.run(lambda: serve(self.app, b"#" * (MAX_BODY_BYTES + 1)))
         self.assertEqual(status, 413)
 
-    def test_routes_of_voters_are_refused_elsewhere(self):
+    def test_voter_routes_are_refused_on_other_processes(self):
         app = create_app(None, create_open_authority("127.0.0.1"))
         status, body = trio.run(lambda: send_request(app, "GET", "/v1/plans"))
         self.assertEqual((status, body["error"]), (404, "not-a-voter"))
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_customers.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_customers.py
@@ -63,7 +63,7 @@
         self.assertEqual(error["detail"], "customers: shared-key: norte and sul")
         self.assertEqual(len(self.log.entries), applied)
 
-    def test_plan_that_is_asked_for_again_is_given_whatever_clashes_since(self):
+    def test_resent_plan_request_returns_the_plan_despite_later_conflicts(self):
         def plan():
             return trio.run(lambda: send_request(self.app, "POST", "/v1/plans", text, key="once"))
 
@@ -74,23 +74,23 @@
         status, again = plan()
         self.assertEqual((status, again["id"], again["state"]), (200, first["id"], "superseded"))
 
-    def test_voter_that_may_be_behind_does_not_refuse_by_what_it_knows(self):
+    def test_lagging_voter_does_not_refuse_by_its_unconfirmed_state(self):
         self.put(NORTE)
         self.log.next_outcome = CommandOutcome.NOT_ACCEPTED
         text = "partial = true\n" + NORTE.replace("norte", "sul")
         self.assertEqual(self.send_request("POST", "/v1/plans", text)[0], 503)
-        newer = FakeClient(self.log)
-        newer.catch_up()
-        self.app, behind = create_app(newer, OperatorAuthority()), self.app
+        newer_client = FakeClient(self.log)
+        newer_client.catch_up()
+        self.app, lagging_app = create_app(newer_client, OperatorAuthority()), self.app
         self.put('remove_customers = ["norte"]')
-        self.app = behind
+        self.app = lagging_app
         status, plan = self.send_request("POST", "/v1/plans", text)
         self.assertEqual(
             (status, plan["lines"]),
             (201, ["+ customer sul (1 key, rank 1, 5 requests/s, burst 2)"]),
         )
 
-    def test_voter_that_is_not_sure_of_the_newest_shows_none(self):
+    def test_voter_without_confirmation_returns_no_customers(self):
         self.log.next_outcome = CommandOutcome.NOT_ACCEPTED
         self.assertEqual(self.send_request("GET", "/v1/customers")[0], 503)
         self.assertEqual(self.send_request("POST", "/v1/customers")[0], 405)
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_evacuation.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_evacuation.py
@@ -14,8 +14,8 @@
         self.client = FakeClient(self.log)
         self.app = create_app(self.client, OperatorAuthority())
 
-    def send_request(self, method, name="sala-norte", tail="evacuation"):
-        request = Request(method, ("v1", "data-centres", name, tail), {}, {}, b"")
+    def send_request(self, method, name="sala-norte", action="evacuation"):
+        request = Request(method, ("v1", "data-centres", name, action), {}, {}, b"")
         response = trio.run(self.app.answer, request)
         return response.status, json.loads(response.body)
 
@@ -31,7 +31,7 @@
         self.assertEqual(self.send_request("DELETE")[0], 200)
         self.assertEqual(self.evacuated, ())
 
-    def test_order_repeated_after_a_lost_answer_is_acknowledged_again(self):
+    def test_request_repeated_after_a_lost_answer_is_acknowledged(self):
         self.log.next_outcome = CommandOutcome.ANSWER_LOST
         self.assertEqual(self.send_request("POST")[0], 504)
         status, body = self.send_request("POST")
@@ -39,12 +39,12 @@
         self.assertEqual(self.evacuated, ("sala-norte",))
 
     def test_nothing_is_changed_without_a_quorum(self):
-        for command_outcome, wanted in (
+        for command_outcome, expected_status in (
             (CommandOutcome.NOT_LEADER, 421),
             (CommandOutcome.NOT_ACCEPTED, 503),
         ):
             self.log.next_outcome = command_outcome
-            self.assertEqual(self.send_request("POST")[0], wanted)
+            self.assertEqual(self.send_request("POST")[0], expected_status)
             self.assertEqual(self.evacuated, ())
 
     def test_unknown_data_centre_changes_nothing(self):
@@ -53,7 +53,7 @@
         self.assertIn("sala-norte, sala-sur", body["detail"])
         self.assertEqual(self.log.entries, [])
 
-    def test_two_operators_end_in_the_order_of_the_log(self):
+    def test_requests_of_two_operators_apply_in_log_order(self):
         other = FakeClient(self.log)
         app = create_app(other, OperatorAuthority())
         self.send_request("POST")
@@ -63,9 +63,9 @@
 
     def test_other_methods_and_paths_are_refused(self):
         self.assertEqual(self.send_request("GET")[0], 405)
-        self.assertEqual(self.send_request("POST", tail="other")[0], 404)
+        self.assertEqual(self.send_request("POST", action="other")[0], 404)
 
-    def test_status_names_what_is_evacuated(self):
+    def test_status_lists_evacuated_data_centres(self):
         self.send_request("POST")
         response = trio.run(self.app.answer, Request("GET", ("v1", "status"), {}, {}, b""))
         self.assertEqual(json.loads(response.body)["evacuated"], ["sala-norte"])
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_fuzz_operators.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_fuzz_operators.py
@@ -1,4 +1,4 @@
-"""Have operators race and resend over the API while the log loses commands and answers."""
+"""Test concurrent and resent requests of operators while the log loses commands and answers."""
 
 import logging
 
@@ -41,7 +41,7 @@
         self.plans: dict[str, tuple[str, str, int]] = {}
         self.outcomes: dict[str, dict] = {}
 
-    def _ask(self, voter: int, method: str, path: str, body: str = "", **query):
+    def _send(self, voter: int, method: str, path: str, body: str = "", **query):
         return trio.run(lambda: send_request(self.apps[voter], method, path, body, **query))
 
     @rule(
@@ -49,38 +49,40 @@
         key=keys,
         intent=intents,
         command_outcome=command_outcomes,
-        states_base=st.booleans(),
+        has_base_version=st.booleans(),
     )
-    def state_intent(self, voter, key, intent, command_outcome, states_base):
+    def submit_intent(self, voter, key, intent, command_outcome, has_base_version):
         self.log.next_outcome = command_outcome
         newest = max((o["version"] for o in self.outcomes.values()), default=0)
-        query = {"base_version": str(newest)} if states_base else {}
-        status, body = self._ask(voter, "POST", "/v1/plans", intent, key=key, **query)
+        query = {"base_version": str(newest)} if has_base_version else {}
+        status, body = self._send(voter, "POST", "/v1/plans", intent, key=key, **query)
         if status in RESEND_STATUSES:
             return
-        known = self.plans.get(key)
+        recorded_plan = self.plans.get(key)
         if status == 409 and body["error"] == "request-reused":
-            assert known is None or (known[0] == body["plan"] and known[1] != intent)
+            assert recorded_plan is None or (
+                recorded_plan[0] == body["plan"] and recorded_plan[1] != intent
+            )
             return
-        if states_base and status == 409 and body["error"] == "version-moved":
+        if has_base_version and status == 409 and body["error"] == "version-moved":
             assert body["version"] > newest
             return
         assert status in (200, 201), body
         if status == 201 and body["state"] == "proposed":
             self._check_differences(intent, body)
-        if known is None:
+        if recorded_plan is None:
             self.plans[key] = body["id"], intent, body["base_version"]
         assert self.plans[key] == (body["id"], intent, body["base_version"])
 
     def _check_differences(self, intent: str, plan: dict) -> None:
-        """Check that the plan turns the version that it starts from into what was intended."""
+        """Check that the differences of a plan lead from its base version to the intent."""
         reader = FakeClient(FakeLog(self.log.entries[: plan["base_version"]]))
         reader.catch_up()
-        held = {service.name for service in reader.state.configuration.services}
-        wanted = {name for name in NAMES if f'"{name}"' in intent}
+        before = {service.name for service in reader.state.configuration.services}
+        intended = {name for name in NAMES if f'"{name}"' in intent}
         kinds = {(d["kind"], d["service"]) for d in plan["differences"]}
-        added = {("service-added", name) for name in wanted - held}
-        removed = {("service-removed", name) for name in held - wanted}
+        added = {("service-added", name) for name in intended - before}
+        removed = {("service-removed", name) for name in before - intended}
         assert added | removed <= kinds
 
     @precondition(lambda self: self.plans)
@@ -91,23 +93,23 @@
             self._confirm(voter, self.plans[key][0])
 
     def _confirm(self, voter: int, plan: str) -> None:
-        status, body = self._ask(voter, "POST", f"/v1/plans/{plan}/confirm")
+        status, body = self._send(voter, "POST", f"/v1/plans/{plan}/confirm")
         if status not in RESEND_STATUSES:
             assert status == {"confirmed": 200, "won-by": 409}[body["kind"]]
-            assert self.outcomes.setdefault(plan, body) == body, "another outcome than before"
+            assert self.outcomes.setdefault(plan, body) == body, "the outcome of a plan changed"
 
     @precondition(lambda self: self.log.delayed)
     @rule()
-    def let_a_delayed_command_through(self):
+    def deliver_a_delayed_command(self):
         self.log.entries.append(self.log.delayed.pop(0))
 
     @rule(voter=voters, command_outcome=command_outcomes)
-    def read(self, voter, command_outcome):
+    def read_configuration(self, voter, command_outcome):
         self.log.next_outcome = command_outcome
-        status, body = self._ask(voter, "GET", "/v1/configuration")
+        status, body = self._send(voter, "GET", "/v1/configuration")
         if status == 200:
             for outcome in self.outcomes.values():
-                assert body["version"] >= outcome["version"], "older than an answer given before"
+                assert body["version"] >= outcome["version"], "older than an earlier response"
 
     def teardown(self):
         logging.disable(logging.NOTSET)
@@ -116,9 +118,13 @@
         for voter in (0, 1):
             for plan, _, _ in list(self.plans.values()):
                 self._confirm(voter, plan)
-        won = [outcome for outcome in self.outcomes.values() if outcome["kind"] == "confirmed"]
+        confirmed = [
+            outcome for outcome in self.outcomes.values() if outcome["kind"] == "confirmed"
+        ]
         bases = {plan: base for plan, _, base in self.plans.values()}
-        assert len({bases[outcome["plan"]] for outcome in won}) == len(won), "two won a version"
+        assert len({bases[outcome["plan"]] for outcome in confirmed}) == len(
+            confirmed
+        ), "two plans on one version were confirmed"
 
 
 TestOperators = OperatorsMachine.TestCase
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_revision_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_revision_routes.py
@@ -32,27 +32,27 @@
     def put(self, text=TEXT):
         return trio.run(lambda: send_request(self.app, "PUT", "/v1/revision", text))
 
-    def test_higher_revision_takes_force_and_any_other_is_acknowledged(self):
+    def test_only_a_higher_revision_takes_effect_and_others_are_acknowledged(self):
         status, body = self.put()
         self.assertEqual((status, body["revision"], body["is_new"]), (200, 7, True))
         for revision in ("revision = 7", "revision = 3"):
             status, body = self.put(TEXT.replace("revision = 7", revision))
             self.assertEqual((status, body["revision"], body["is_new"]), (200, 7, False))
 
-    def test_fault_names_key_and_expectation(self):
+    def test_error_names_key_and_expected_value(self):
         status, body = self.put(TEXT.replace("timeout_ms = 500", ""))
         self.assertEqual((status, body["key"]), (400, "routes[0].timeout_ms"))
         status, body = self.put(TEXT.replace('"/a/"', '"a"'))
         self.assertEqual((status, body["error"]), (400, "bad-intent"))
         self.assertIn("bad-prefix", body["expected"])
 
-    def test_unclear_outcome_is_told_and_the_same_may_be_put_again(self):
+    def test_unknown_outcome_is_reported_and_the_revision_may_be_put_again(self):
         self.log.next_outcome = CommandOutcome.ANSWER_LOST
         self.assertEqual(self.put()[0], 504)
         status, body = self.put()
         self.assertEqual((status, body["revision"], body["is_new"]), (200, 7, False))
 
-    def test_newest_is_read_back_as_it_was_put_and_never_without_a_quorum(self):
+    def test_newest_document_is_returned_unchanged_and_only_with_a_quorum(self):
         def get():
             return trio.run(self.app.revisions.get)
 
--- a/packages/bendwind-node/src/bendwind_node/operators/tests/test_suspects.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/tests/test_suspects.py
@@ -18,14 +18,14 @@
     def send_request(self, method, *path, ends=0):
         async def main():
             for number in range(ends):
-                name = UpstreamEndId("n1", 1, f"u{number}", 1)
-                record_end(self.app.suspects, b"\x0a\x0b", "emisor", name, trio.current_time())
+                end_id = UpstreamEndId("n1", 1, f"u{number}", 1)
+                record_end(self.app.suspects, b"\x0a\x0b", "emisor", end_id, trio.current_time())
             return await self.app.answer(Request(method, ("v1", "suspects", *path), {}, {}, b""))
 
         response = trio.run(main)
         return response.status, json.loads(response.body)
 
-    def test_lists_what_upstreams_ended_under(self):
+    def test_lists_suspects_with_the_upstreams_that_ended(self):
         status, body = self.send_request("GET", ends=3)
         self.assertEqual(status, 200)
         (suspect,) = body["suspects"]
@@ -33,16 +33,16 @@
         self.assertEqual((suspect["ends"], suspect["quarantined"]), (3, True))
         self.assertEqual(suspect["upstreams"], ["u0", "u1", "u2"])
 
-    def test_release_clears_it_and_is_told_on(self):
+    def test_release_clears_the_suspect_and_is_reported_to_other_nodes(self):
         self.assertEqual(
             self.send_request("POST", "0a0b", "release", ends=3), (200, {"released": "0a0b"})
         )
         self.assertEqual(self.send_request("GET")[1], {"suspects": []})
-        (told,) = list_unreported(self.app.suspects, 0.0)
-        self.assertEqual((told.cleared, told.ends), (1, ()))
+        (report,) = list_unreported(self.app.suspects, 0.0)
+        self.assertEqual((report.cleared, report.ends), (1, ()))
         self.assertEqual(self.app.recorder.events[-1].kind, EventKind.REQUEST_RELEASED)
 
-    def test_what_is_not_known_or_no_signature_is_refused(self):
+    def test_unknown_or_invalid_signature_is_refused(self):
         self.assertEqual(self.send_request("POST", "ff", "release")[0], 404)
         self.assertEqual(self.send_request("POST", "xyz", "release")[0], 400)
         self.assertEqual(self.send_request("DELETE")[0], 405)
--- a/packages/bendwind-node/src/bendwind_node/settings/tests/test_load.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/tests/test_load.py
@@ -50,7 +50,7 @@
             found = load_settings(file).ok
             self.assertEqual(found.control.data_folder, str(Path(folder, "run/a").resolve()))
 
-    def test_names_file_key_and_expectation_in_one_line(self):
+    def test_error_names_file_key_and_expected_value_in_one_line(self):
         cases = {
             PLAIN.replace("9101", "70000"): "upstreams.port: expected `int` <= 65535",
             PLAIN.replace("9101", '"x"'): "upstreams.port: expected `int`, got `str`",
@@ -73,7 +73,7 @@
             with self.subTest(line):
                 self.assertEqual(str(parse(text).error), f"node.toml: {line}")
 
-    def test_reports_broken_toml_and_missing_file(self):
+    def test_reports_invalid_toml_and_missing_file(self):
         self.assertIn("node.toml: expected TOML: ", str(parse("[peers\n").error))
         self.assertEqual(
             str(load_settings("no/such.toml").error),
--- a/packages/bendwind-node/src/bendwind_node/settings/tests/test_reference.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/tests/test_reference.py
@@ -18,7 +18,7 @@
             key, _, default, limits, meaning = (cell.strip() for cell in row.split("|")[1:-1])
             self.assertTrue(key and default and limits and meaning, row)
 
-    def test_samples_are_valid(self):
+    def test_example_settings_are_valid(self):
         files = sorted(ROOT.glob("examples/*/settings/*-[0-9].toml"))
         self.assertGreaterEqual(len(files), 8)
         for file in files:
