--- a/packages/bendwind-node/src/bendwind_node/metrics/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the process's metrics."""
+"""Provide the metrics of the process."""
 
 from bendwind_node.metrics.catalogue import Metric, MetricKind
 from bendwind_node.metrics.sample import Sample
--- a/packages/bendwind-node/src/bendwind_node/metrics/catalogue.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/catalogue.py
@@ -1,4 +1,4 @@
-"""List every metric with its kind, unit, labels and meaning."""
+"""Define every metric with its kind, unit, labels and meaning."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class MetricKind(enum.StrEnum):
-    """Say whether a metric only grows or goes up and down."""
+    """Distinguish metrics that only grow from those that go up and down."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -49,7 +49,7 @@
 
 
 class Metric(enum.Enum):
-    """Name the metrics; docs/METRICS.md is made from this."""
+    """List the metrics; docs/METRICS.md is generated from this class."""
 
     EVENTS = _count("events", "events", "Events recorded, see docs/EVENTS.md.", "number", "name")
     EVENTS_DROPPED = _count(
--- a/packages/bendwind-node/src/bendwind_node/metrics/gather.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/gather.py
@@ -1,4 +1,4 @@
-"""Read the values of the metrics from the tasks of a process."""
+"""Collect the values of the metrics from the tasks of a process."""
 
 import logging
 import resource
@@ -28,7 +28,7 @@
 
 
 def gather_timeline(recorder: Recorder) -> Iterator[Sample]:
-    """Read what the recorder counted."""
+    """Yield the counters of the recorder."""
     for kind, count in recorder.counts.items():
         yield Sample(Metric.EVENTS, count, (str(int(kind)), kind.name))
     yield Sample(Metric.EVENTS_DROPPED, recorder.dropped)
@@ -36,7 +36,7 @@
 
 
 def gather_statistics(statistics: CallStatistics) -> Iterator[Sample]:
-    """Read what calls, dispatches and refusals came to."""
+    """Yield the counts and times of calls, dispatches and refusals."""
     for labels, count in statistics.calls.items():
         yield Sample(Metric.CALLS, count, labels)
     for labels, count in statistics.refusals.items():
@@ -82,7 +82,7 @@
 
 
 def gather_logs() -> Iterator[Sample]:
-    """Read how many log lines found no room."""
+    """Yield the number of log lines dropped since the buffer was full."""
     handlers = logging.getLogger().handlers
     aside_handlers = [handler for handler in handlers if isinstance(handler, AsideHandler)]
     yield Sample(
@@ -91,7 +91,7 @@
 
 
 def gather_requests(accounts: Iterable[RequestAccount]) -> Iterator[Sample]:
-    """Read what became of the requests that came to each address."""
+    """Yield the requests received at each address, in flight and by how they ended."""
     for account in accounts:
         yield Sample(Metric.REQUESTS_TAKEN, account.received, (account.address,))
         yield Sample(Metric.REQUESTS_IN_HAND, account.in_flight, (account.address,))
@@ -101,7 +101,7 @@
 
 
 def gather_calls(entry: EntryNode, owner: OwnerNode) -> Iterator[Sample]:
-    """Read the calls and attempts under way."""
+    """Yield the calls and attempts in progress, and the state of upstreams and customers."""
     for service, state in entry.service_states.items():
         yield Sample(Metric.CALLS_IN_FLIGHT, state.in_flight, (service,))
     for upstream, owned in owner.register.owned.items():
@@ -131,13 +131,13 @@
 
 
 def gather_probes(probes: ProbeTask) -> Iterator[Sample]:
-    """Read what was spent on measuring the load of upstreams."""
+    """Yield the number of load probes sent and answered to measure the load of upstreams."""
     yield Sample(Metric.LOAD_PROBES, probes.sent, ("asked",))
     yield Sample(Metric.LOAD_PROBES, probes.owner.probes_answered, ("answered",))
 
 
 def gather_node(hub: LinkHub, membership: MembershipTask, claims: ClaimTask) -> Iterator[Sample]:
-    """Read the links, the configuration in force and the claim groups."""
+    """Yield the links, the configuration in force and the claim groups."""
     yield Sample(Metric.LINKS, len(hub.dialed), ("this",))
     yield Sample(Metric.LINKS, len(hub.accepted), ("peer",))
     yield Sample(Metric.CONFIGURATION_VERSION, membership.view.version)
@@ -150,7 +150,7 @@
 
 
 def gather_voter(control: ControlService) -> Iterator[Sample]:
-    """Read the state of a control voter."""
+    """Yield the state of a control voter."""
     status = control.voter.status()
     yield Sample(Metric.VOTER_APPLIED, status.applied)
     yield Sample(Metric.VOTER_TERM, status.term)
@@ -165,7 +165,7 @@
 
 
 def gather_quotas(task: NodeQuotaTask) -> Iterator[Sample]:
-    """Read what came of requests of customers with a quota."""
+    """Yield the outcomes of requests of customers with a quota."""
     totals = task.quotas.totals
     for outcome in ("taken", "reserve", "refused", "unknown", "returned"):
         yield Sample(Metric.QUOTA_REQUESTS, getattr(totals, outcome), (outcome,))
@@ -173,7 +173,7 @@
 
 
 def gather_process() -> Iterator[Sample]:
-    """Read what the process used of the machine."""
+    """Yield the processor time and memory that the process has used."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     yield Sample(Metric.CPU, usage.ru_utime + usage.ru_stime)
     yield Sample(Metric.PEAK_MEMORY, usage.ru_maxrss * _BYTES_PER_KIB)
--- a/packages/bendwind-node/src/bendwind_node/metrics/reference.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/reference.py
@@ -1,4 +1,4 @@
-"""Write docs/METRICS.md from the catalogue of metrics."""
+"""Generate docs/METRICS.md from the catalogue of metrics."""
 
 from bendwind_node.metrics.catalogue import Metric
 
--- a/packages/bendwind-node/src/bendwind_node/metrics/sample.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/sample.py
@@ -1,4 +1,4 @@
-"""Hold one value of a metric."""
+"""Define the value of a metric at one time."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """Hold a metric's value; `labels` are the values of its labels, in their order."""
+    """Hold the value of a metric; `labels` are its label values, in the order of its labels."""
 
     metric: Metric
     value: float
--- a/packages/bendwind-node/src/bendwind_node/metrics/scrape.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/scrape.py
@@ -1,4 +1,4 @@
-"""Render metrics with aioprometheus when they are asked for."""
+"""Render metrics with aioprometheus at each scrape."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,20 +9,20 @@
 
 
 class Rendered(msgspec.Struct, frozen=True):
-    """Hold a body and its content type."""
+    """Hold a rendered body and its content type."""
 
     body: bytes
     content_type: str
 
 
 class Metrics(msgspec.Struct):
-    """Read the process's state at each scrape; calls pay nothing in between."""
+    """Read the state of the process at each scrape, so that calls bear no cost in between."""
 
     read: Callable[[], Iterable[Sample]]
 
     def render(self, accept: str = "") -> Rendered:
-        """Render every metric in the format that an Accept header asks for."""
-        # aioprometheus is large, and a process that nobody scrapes does without it.
+        """Render every metric in the format that an Accept header requests."""
+        # aioprometheus is large; a process that is never scraped does not load it.
         import aioprometheus
 
         registry = aioprometheus.Registry()
--- a/packages/bendwind-node/src/bendwind_node/operators/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the HTTP API that operators use."""
+"""Provide the HTTP API for operators."""
 
 from bendwind_node.operators.app import OperatorsApp
 from bendwind_node.operators.authority import (
--- a/packages/bendwind-node/src/bendwind_node/operators/app.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/app.py
@@ -1,4 +1,4 @@
-"""Route the requests of the operators' API."""
+"""Route the requests of the operators' HTTP API."""
 
 import random
 from collections.abc import Callable
@@ -56,10 +56,10 @@
 class OperatorsApp:
     """Serve the operators' API as an ASGI application.
 
-    `control` is None on a process that is no voter; `suspects` is what it knows against requests,
-    and `quotas` what a voter holds of customers' quotas.
-    `request_stop` begins a planned stop and returns at once. `render_metrics` takes the Accept
-    header.
+    `control` is None on a process that is not a voter. `suspects` holds the requests that the
+    process suspects of ending upstreams, and `quotas` the state of customers' quotas at a voter.
+    `request_stop` starts a planned stop and returns immediately. `render_metrics` receives the
+    Accept header.
     """
 
     control: ControlClient | None
@@ -89,7 +89,7 @@
             self.evacuations = EvacuationRoutes(self.control, self.source, self.recorder)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one ASGI connection."""
+        """Serve one ASGI connection."""
         match scope["type"]:
             case "http":
                 await self._serve(scope, receive, send)
@@ -115,7 +115,7 @@
         self.recorder.record(EventKind.OPERATOR_REFUSED, detail=detail)
 
     async def answer(self, request: Request) -> Response:
-        """Return the response to a request that is allowed."""
+        """Return the response to an authorised request."""
         match request.path:
             case ("metrics",):
                 return self._answer_metrics(request)
--- a/packages/bendwind-node/src/bendwind_node/operators/authority.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/authority.py
@@ -1,4 +1,4 @@
-"""Decide whether a request comes from an operator."""
+"""Check whether a request comes from an operator."""
 
 import hashlib
 import hmac
@@ -11,15 +11,15 @@
 
 
 class OperatorAuthority(msgspec.Struct):
-    """Hold the file whose lines are the tokens operators may present; None asks for none."""
+    """Hold the path of the file with one accepted token per line; None requires no token."""
 
     token_file: Path | None = None
 
     def is_allowed(self, authorization: str) -> bool:
-        """Tell whether an Authorization header carries one of the tokens.
+        """Return whether an Authorization header carries one of the tokens.
 
-        The file is read anew each time, so that tokens are renewed without a restart; a file that
-        cannot be read allows nobody.
+        The file is read for each request, so that tokens can be renewed without a restart. If the
+        file cannot be read, no request is allowed.
         """
         if self.token_file is None:
             return True
@@ -27,7 +27,8 @@
         if scheme.lower() != _SCHEME:
             return False
         digest = _digest(presented.strip().encode("latin-1", "replace"))
-        # Every token is compared, so that the time taken does not tell which one came close.
+        # Every token is compared, so that the response time does not reveal which one nearly
+        # matched.
         matches = [hmac.compare_digest(digest, known) for known in self._read_digests()]
         return any(matches)
 
@@ -41,25 +42,25 @@
 
 
 def _digest(token: bytes) -> bytes:
-    # Digests have one length, which compare_digest needs to hide the length of the tokens.
+    # Digests have a fixed length, which compare_digest needs to hide the length of the tokens.
     return hashlib.sha256(token).digest()
 
 
 def create_token_authority(token_file: str | Path) -> OperatorAuthority:
-    """Ask every request for one of the tokens in a file."""
+    """Require one of the tokens in a file with every request."""
     return OperatorAuthority(Path(token_file))
 
 
 def create_open_authority(host: str) -> OperatorAuthority:
-    """Ask for no token, on a loopback address only.
+    """Require no token, on a loopback address only.
 
     Errors: raises ValueError on any other address.
     """
     if host != "localhost" and not ipaddress.ip_address(host).is_loopback:
-        raise ValueError(f"operators without tokens on {host}, which is no loopback address")
+        raise ValueError(f"operators need tokens, since {host} is not a loopback address")
     return OperatorAuthority()
 
 
 def create_certificate_authority() -> OperatorAuthority:
-    """Ask for no token: the TLS handshake has demanded an operator's certificate before."""
+    """Require no token: the TLS handshake has already required an operator's certificate."""
     return OperatorAuthority()
--- a/packages/bendwind-node/src/bendwind_node/operators/claim_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/claim_routes.py
@@ -24,7 +24,7 @@
     rng: random.Random
 
     async def accept_loss(self, service: str) -> Response:
-        """Start a service's claims anew after every holder of them was lost."""
+        """Start a new claim group for a service after every holder of its claims was lost."""
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
@@ -40,7 +40,7 @@
     async def _replace_group(self, lost_group: ClaimGroup) -> Response:
         new = _choose_members(lost_group, self.source.upstreams(), self.rng)
         if new is None:
-            return plain_error(503, ErrorKind.NO_QUORUM, "no node is there to hold claims")
+            return plain_error(503, ErrorKind.NO_QUORUM, "no node is available to hold claims")
         command = ChangeClaimGroup(new, lost_group.epoch, accept_loss=True)
         outcome = await self.control.propose(encode_command(command))
         if outcome.is_error():
--- a/packages/bendwind-node/src/bendwind_node/operators/control_client.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/control_client.py
@@ -1,4 +1,4 @@
-"""Describe what the operators' API needs of the control log."""
+"""Define the interface between the operators' API and the control log."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -11,20 +11,20 @@
 
 
 class NotLeader(msgspec.Struct, frozen=True):
-    """Tell that nothing was proposed, since another voter leads; None where not known."""
+    """Report that nothing was proposed, since another voter leads; None if it is not known."""
 
     leader: str | None = None
     leader_url: str | None = None
 
 
 class NoQuorum(msgspec.Struct, frozen=True):
-    """Tell that nothing was or will be accepted, since no quorum was reached."""
+    """Report that nothing was or will be accepted, since no quorum was reached."""
 
     detail: str = ""
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True):
-    """Tell that the command entered the log and may yet be accepted."""
+    """Report that the command entered the log and may still be accepted."""
 
     detail: str = ""
 
@@ -33,7 +33,7 @@
 
 
 class VoterStatus(msgspec.Struct, frozen=True):
-    """Say how a control voter is doing, as the voter asked sees it.
+    """Describe the state of a control voter, as seen by the voter that answers.
 
     Units: `last_heard_ms` is the time since the last message from it, in milliseconds.
     """
@@ -45,9 +45,10 @@
 
 
 class ReplacementStatus(msgspec.Struct, frozen=True):
-    """Say which voter is being replaced by which learner, and whose confirmation that awaits.
+    """Describe which voter is replaced by which learner, and whose confirmation is awaited.
 
-    Units: `for_ms` is the time since the voter asked saw it begin, in milliseconds.
+    Units: `for_ms` is the time since the answering voter saw the replacement begin, in
+    milliseconds.
     """
 
     leaving: tuple[str, ...]
@@ -69,7 +70,7 @@
         ...
 
     async def barrier(self) -> Result[int, ControlError]:
-        """Return an applied index that a quorum has confirmed as the newest since the call."""
+        """Return an applied index that a quorum has confirmed, since the call, as the newest."""
         ...
 
     def data_centres(self) -> frozenset[str]:
@@ -77,7 +78,7 @@
         ...
 
     def leader(self) -> str | None:
-        """Return the name of the leader, or None where it is not known."""
+        """Return the name of the leader, or None if it is not known."""
         ...
 
     def voters(self) -> Sequence[VoterStatus]:
@@ -85,5 +86,5 @@
         ...
 
     def replacement(self) -> ReplacementStatus | None:
-        """Return the replacement of a voter that is under way, or None."""
+        """Return the replacement of a voter that is in progress, or None."""
         ...
--- a/packages/bendwind-node/src/bendwind_node/operators/customer_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/customer_routes.py
@@ -9,9 +9,9 @@
 
 
 class CustomerView(msgspec.Struct, frozen=True):
-    """Show a customer; `keys` counts its keys, which are shown nowhere.
+    """Describe a customer; `keys` is the number of its keys, whose values are never shown.
 
-    Units: `rate_per_s` in requests a second, 0 without a limit; `burst` in requests.
+    Units: `rate_per_s` in requests per second, 0 without a limit; `burst` in requests.
     """
 
     name: str
@@ -22,7 +22,7 @@
 
 
 class CustomersView(msgspec.Struct, frozen=True):
-    """Show all customers; `are_keys_needed` is false where requests need no key."""
+    """List all customers; `are_keys_needed` is false if requests need no key."""
 
     version: int
     are_keys_needed: bool
@@ -35,7 +35,7 @@
     control: ControlClient
 
     async def get_customers(self) -> Response:
-        """Give the customers in force as a quorum confirms them."""
+        """Return the customers in force, as confirmed by a quorum."""
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
--- a/packages/bendwind-node/src/bendwind_node/operators/errors.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/errors.py
@@ -1,4 +1,4 @@
-"""Turn whatever goes wrong into the error responses of the operators' API."""
+"""Convert errors to error responses of the operators' API."""
 
 import enum
 
@@ -21,7 +21,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Name what went wrong."""
+    """Identify the cause of an error response."""
 
     BAD_INTENT = "bad-intent"
     BAD_REQUEST = "bad-request"
@@ -47,7 +47,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Hold the JSON body of an error; keys that do not apply are left out."""
+    """Hold the JSON body of an error; keys that do not apply are omitted."""
 
     error: ErrorKind
     detail: str = ""
@@ -73,19 +73,19 @@
 
 
 def plain_error(status: int, kind: ErrorKind, detail: str = "") -> Response:
-    """Return an error response without further keys."""
+    """Return an error response without optional keys."""
     return json_response(status, ErrorBody(kind, detail))
 
 
 def describe_intent_error(error: TomlError) -> ErrorBody:
-    """Return the body of the error for a faulty intent."""
+    """Return the error body for an invalid intent or configuration."""
     return ErrorBody(
         ErrorKind.BAD_INTENT, str(error), file=error.file, key=error.key, expected=error.expected
     )
 
 
 def control_error(error: ControlError) -> Response:
-    """Return the error response for a control log that did not take or confirm a command."""
+    """Return the error response for a command that the control log did not accept or confirm."""
     match error:
         case NotLeader(leader, url):
             body = ErrorBody(ErrorKind.NOT_LEADER, "ask the leader", leader=leader, leader_url=url)
@@ -93,7 +93,7 @@
         case NoQuorum(detail):
             return plain_error(503, ErrorKind.NO_QUORUM, detail or "nothing was accepted")
         case OutcomeUnknown(detail):
-            text = detail or "it may yet take effect; ask again"
+            text = detail or "the command may still take effect; send the request again"
             return plain_error(504, ErrorKind.OUTCOME_UNKNOWN, text)
 
 
@@ -107,16 +107,16 @@
         case CustomerFault():
             return plain_error(400, ErrorKind.BAD_INTENT, f"customers: {refusal}")
         case RequestReused(plan):
-            text = f"the idempotency key made {plan} out of another intent"
+            text = f"the idempotency key already created {plan} from another intent"
             return json_response(409, ErrorBody(ErrorKind.REQUEST_REUSED, text, plan=plan))
         case TooManyPlans(count):
             return plain_error(429, ErrorKind.TOO_MANY_PLANS, f"{count} plans are open")
         case TooManyMarks(count):
             return plain_error(429, ErrorKind.TOO_MANY_MARKS, f"{count} drain marks are set")
         case UnknownPlan(plan):
-            return plain_error(404, ErrorKind.UNKNOWN_PLAN, f"no plan {plan!r} was ever made")
+            return plain_error(404, ErrorKind.UNKNOWN_PLAN, f"no plan {plan!r} was ever created")
         case GroupRefused(detail):
             return plain_error(409, ErrorKind.GROUP_REFUSED, detail)
         case ForgottenPlan(plan):
-            text = f"{plan} is older than the oldest outcome remembered"
+            text = f"{plan} is older than the oldest outcome that is kept"
             return plain_error(410, ErrorKind.FORGOTTEN_PLAN, text)
--- a/packages/bendwind-node/src/bendwind_node/operators/evacuation_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/evacuation_routes.py
@@ -1,4 +1,4 @@
-"""Answer the requests that evacuate a data centre and take it back."""
+"""Answer the requests that evacuate a data centre or readmit it."""
 
 import msgspec
 from expression import Result
@@ -17,7 +17,10 @@
 
 
 class EvacuationView(msgspec.Struct, frozen=True):
-    """Say whether a data centre is evacuated, since which version, and what it is short of."""
+    """Report whether a data centre is evacuated, since which version, and with which warnings.
+
+    The warnings name services that have less capacity left elsewhere.
+    """
 
     data_centre: str
     evacuated: bool
@@ -34,7 +37,7 @@
     recorder: Recorder
 
     async def mark(self, data_centre: str, *, evacuated: bool) -> Response:
-        """Evacuate a data centre or take it back."""
+        """Evacuate a data centre or readmit it."""
         marked = await mark_evacuated(self.control, self.recorder, data_centre, evacuated=evacuated)
         match marked:
             case Result(tag="ok", ok=status):
--- a/packages/bendwind-node/src/bendwind_node/operators/evacuations.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/evacuations.py
@@ -1,4 +1,4 @@
-"""Empty a data centre of new requests and take it back."""
+"""Evacuate a data centre, so that it receives no new requests, or readmit it."""
 
 import msgspec
 from expression import Error, Ok, Result
@@ -17,7 +17,7 @@
 
 
 class UnknownDataCentre(msgspec.Struct, frozen=True):
-    """Tell that no data centre of this name is known, so that nothing was changed."""
+    """Report that no data centre of this name is known, so that nothing was changed."""
 
     name: str
     known: tuple[str, ...]
@@ -32,9 +32,9 @@
 async def mark_evacuated(
     client: ControlClient, recorder: Recorder, data_centre: str, *, evacuated: bool
 ) -> Result[EvacuationHeld, EvacuationError]:
-    """Have a data centre's upstreams get nothing new, or take it back; both may be asked again.
+    """Stop new requests to a data centre's upstreams, or readmit it; both may be repeated.
 
-    Errors: UnknownDataCentre; TooManyEvacuated; ControlError, after which it may be asked again.
+    Errors: UnknownDataCentre; TooManyEvacuated; ControlError, after which the call may be repeated.
     """
     detail = f"{data_centre}: {'evacuate' if evacuated else 'readmit'}"
     known = client.data_centres()
@@ -45,7 +45,7 @@
         return Error(unknown)
     match await client.propose(encode_command(MarkEvacuated(data_centre, evacuated))):
         case Result(tag="ok", ok=EvacuationHeld() as status):
-            outcome = f"as of version {status.version}" if status.is_new else "held already"
+            outcome = f"as of version {status.version}" if status.is_new else "already in force"
             recorder.record(EventKind.EVACUATION_MARKED, detail=f"{detail}: {outcome}")
             return Ok(status)
         case Result(tag="ok", ok=TooManyEvacuated() as refusal):
@@ -54,12 +54,12 @@
         case Result(tag="error", error=error):
             recorder.record(EventKind.EVACUATION_NOT_MARKED, detail=f"{detail}: {error!r}")
             return Error(error)
-    raise AssertionError("the log answers an evacuation by what holds")
+    raise AssertionError("the log answers an evacuation with its status")
 
 
 def list_evacuation_warnings(
     client: ControlClient, source: StatusSource, data_centre: str
 ) -> tuple[PlanWarning, ...]:
-    """List what the evacuation of a data centre leaves too little room for."""
+    """List the services that lose upstreams to an evacuation, with their remaining capacity."""
     configuration = client.state.configuration
     return find_evacuation_warnings(configuration, data_centre, tuple(source.upstreams()))
--- a/packages/bendwind-node/src/bendwind_node/operators/http.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/http.py
@@ -1,4 +1,4 @@
-"""Turn ASGI calls into requests and responses of the operators' API."""
+"""Convert between ASGI calls and the requests and responses of the operators' API."""
 
 import urllib.parse
 from collections.abc import Awaitable, Callable, Mapping
@@ -16,7 +16,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """Hold one request with its whole body; header names are in lower case."""
+    """Hold a request with its complete body; header names are in lower case."""
 
     method: str
     path: tuple[str, ...]
@@ -26,7 +26,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """Hold one whole response."""
+    """Hold a complete response."""
 
     status: int
     body: bytes
@@ -35,15 +35,15 @@
 
 
 class BodyTooLarge(msgspec.Struct, frozen=True):
-    """Tell that a request's body exceeds the limit."""
+    """Report that a request's body exceeds the limit."""
 
 
 class ClientDisconnected(msgspec.Struct, frozen=True):
-    """Tell that the client went away before its request was whole."""
+    """Report that the client disconnected before its request was complete."""
 
 
 def json_response(status: int, body: msgspec.Struct) -> Response:
-    """Return a response that carries a record as JSON."""
+    """Return a response whose body is a record encoded as JSON."""
     return Response(status, msgspec.json.encode(body))
 
 
@@ -59,9 +59,9 @@
 
 
 async def read_body(receive: Receive) -> Result[bytes, BodyTooLarge | ClientDisconnected]:
-    """Read a request's whole body.
+    """Read a request's complete body.
 
-    Errors: the body exceeds the limit, or the client went away.
+    Errors: the body exceeds the limit, or the client disconnected.
     """
     body = bytearray()
     while True:
@@ -76,7 +76,7 @@
 
 
 async def send_response(send: Send, response: Response) -> None:
-    """Send a whole response."""
+    """Send a complete response."""
     headers = [
         (b"content-type", response.content_type.encode("latin-1")),
         (b"content-length", str(len(response.body)).encode("latin-1")),
--- a/packages/bendwind-node/src/bendwind_node/operators/plan_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/plan_routes.py
@@ -1,4 +1,4 @@
-"""Answer the requests that state intents, confirm plans and set drain marks."""
+"""Answer the requests that submit intents, confirm plans and set drain marks."""
 
 import hashlib
 import uuid
@@ -57,13 +57,14 @@
 DEFAULT_TTL_S = 900
 MAX_TTL_S = 86_400
 MAX_KEY_CHARACTERS = 128
-# A plan is made anew this often when others are confirmed while it is being made.
+# A plan is proposed at most this many times: it is computed again if another plan is confirmed
+# in the meantime.
 MAX_PROPOSAL_ATTEMPTS = 4
 _MILLISECONDS_PER_SECOND = 1000
 
 
 class PlanRequest(msgspec.Struct, frozen=True):
-    """Hold a checked request for a plan; `base_version` None takes the version in force."""
+    """Hold a validated request for a plan; `base_version` None means the version in force."""
 
     intent: Intent
     key: str
@@ -80,7 +81,7 @@
     wall_ms: Callable[[], int]
 
     async def create_plan(self, request: Request) -> Response:
-        """Make a plan out of the intent in the body."""
+        """Create a plan from the intent in the body."""
         parsed = await run_in_thread_if_large(len(request.body), _read_plan_request, request)
         if parsed.is_error():
             self.recorder.record(EventKind.PLAN_REFUSED, detail=parsed.error.detail)
@@ -114,7 +115,7 @@
     ) -> Result[CommandResult | CustomerFault, ControlError]:
         state = self.control.state
         if plan_request.base_version not in (None, state.configuration.version):
-            # This voter may be behind: the changes must be worked out from the stated version.
+            # This voter may lag behind the log: changes must be computed from the given version.
             confirmed = await self.control.barrier()
             if confirmed.is_error():
                 return Error(confirmed.error)
@@ -127,7 +128,7 @@
         fault = None if is_resent else _find_customer_fault(state.configuration, command.changes)
         if fault is None:
             return await self._propose(command)
-        # This voter may be behind: the clash may be with customers that have ended since.
+        # This voter may lag behind the log: the conflict may be with customers removed since.
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return Error(confirmed.error)
@@ -149,7 +150,7 @@
         )
 
     async def confirm_plan(self, plan_id: str) -> Response:
-        """Confirm a plan and give its outcome."""
+        """Confirm a plan and return its outcome."""
         index = parse_plan_id(plan_id)
         if index is None:
             return command_error(UnknownPlan(plan_id))
@@ -173,14 +174,14 @@
         raise AssertionError(outcome)
 
     async def get_plan(self, plan_id: str) -> Response:
-        """Give a plan as a quorum confirms it."""
+        """Return a plan, as confirmed by a quorum."""
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
         return await self._make_plan_response(plan_id, 200)
 
     async def list_plans(self) -> Response:
-        """Give every plan that is remembered, newest first."""
+        """Return every plan that is still stored, newest first."""
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
@@ -188,14 +189,14 @@
         return json_response(200, PlansView(tuple(summarize_plan(plan) for plan in plans)))
 
     async def get_configuration(self) -> Response:
-        """Give the configuration as a quorum confirms it."""
+        """Return the configuration in force, as confirmed by a quorum."""
         confirmed = await self.control.barrier()
         if confirmed.is_error():
             return control_error(confirmed.error)
         return json_response(200, make_configuration_view(self.control.state))
 
     async def mark_draining(self, target: DrainTarget, name: str, draining: bool) -> Response:
-        """Set or take away the drain mark of an instance or upstream."""
+        """Set or clear the drain mark of an instance or upstream."""
         outcome = await self._propose(MarkDraining(target, name, draining))
         match outcome:
             case Result(tag="error", error=error):
@@ -218,7 +219,8 @@
         found = self.control.state.find_plan(plan_id)
         if not isinstance(found, Plan):
             return command_error(found)
-        # Both are immutable, and an open plan starts from the configuration in force.
+        # Both are immutable, so that a thread may read them. An open plan is based on the
+        # configuration in force.
         before, upstreams = self.control.state.configuration, tuple(self.source.upstreams())
         size = (len(found.changes.put) + len(found.changes.customers.put)) * BYTES_PER_SERVICE
         view = await run_in_thread_if_large(size, make_plan_view, found, before, upstreams)
@@ -232,7 +234,7 @@
 
 
 def _find_customer_fault(before: Configuration, changes: Changes) -> CustomerFault | None:
-    """Find a clash between what an intent says of customers and those that it does not name."""
+    """Find a conflict between the customers in an intent and those that it does not name."""
     if not changes.customers.put:
         return None
     return find_customer_fault(apply_changes(before, changes, before.version).customers)
--- a/packages/bendwind-node/src/bendwind_node/operators/quota_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/quota_routes.py
@@ -1,4 +1,4 @@
-"""Answer the requests about what a voter holds of customers' quotas."""
+"""Answer requests about the state of customers' quotas at a voter."""
 
 import msgspec
 import trio
@@ -9,15 +9,16 @@
 from bendwind_core.quotas.voter_state import VoterAccount
 from bendwind_node.operators.http import Response, json_response
 
-# What an operator reads on one screen or looks for one name in; a voter may hold thousands.
+# An operator reads this many on one screen, or searches them for one name; a voter may hold
+# thousands.
 MAX_SHOWN_QUOTAS = 200
 
 
 class QuotaView(msgspec.Struct, frozen=True):
-    """Show what a voter holds of one customer that was asked for lately.
+    """Describe the quota of one customer for whom this voter received recent token requests.
 
-    Units: `rate_per_s` and `burst` are the customer's; `level` and `cap` are of this voter's part,
-    `granted` and `refused` since it was first asked for, all in tokens.
+    Units: `rate_per_s` and `burst` are the customer's; `level` and `cap` are of this voter's share;
+    `granted` and `refused` count from the first request for the customer; all in tokens.
     """
 
     customer: str
@@ -30,10 +31,10 @@
 
 
 class QuotasView(msgspec.Struct, frozen=True):
-    """Show the quotas of a voter, those of whom most was refused first.
+    """List the quotas of a voter, the customers with the most refused tokens first.
 
-    `granting` says that the voter grants tokens now; `limited` counts the customers with a limit,
-    `active` those of them that were asked for lately.
+    `granting` is true while the voter grants tokens; `limited` counts the customers with a limit,
+    `active` those of them for whom it received recent token requests.
     """
 
     voter: str
@@ -48,7 +49,7 @@
 
 
 def make_quotas_response(quotas: VoterQuotas) -> Response:
-    """List what a voter holds."""
+    """Return a response that lists the quotas of a voter."""
     now = trio.current_time()
     accounts = [item for item in quotas.accounts.items() if item[0] in quotas.customers]
     accounts.sort(key=lambda item: (-item[1].refused, -item[1].granted, item[0]))
--- a/packages/bendwind-node/src/bendwind_node/operators/revision_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/revision_routes.py
@@ -1,4 +1,4 @@
-"""Answer the requests that put whole configurations and read them back."""
+"""Answer the requests that put complete configurations in force and read them back."""
 
 import msgspec
 from expression import Result
@@ -19,7 +19,7 @@
 
 
 class RevisionView(msgspec.Struct, frozen=True):
-    """Say which revision holds, and whether this request put it there."""
+    """Report which revision is in force, and whether this request put it in force."""
 
     revision: int
     version: int
@@ -27,13 +27,13 @@
 
 
 class RevisionRoutes(msgspec.Struct):
-    """Answer requests about whole configurations on a control voter."""
+    """Answer requests about complete configurations on a control voter."""
 
     control: ControlClient
     recorder: Recorder
 
     async def put(self, request: Request) -> Response:
-        """Put the configuration in the body in force, unless as high a revision holds."""
+        """Put the configuration in the body in force, unless its revision or a higher one is."""
         parsed = parse_revision(request.body, request.query.get("file", "revision"))
         if parsed.is_error():
             self.recorder.record(EventKind.REVISION_REFUSED, detail=str(parsed.error))
@@ -50,7 +50,7 @@
         raise AssertionError("a result is ok or an error")
 
     async def get(self) -> Response:
-        """Return the newest configuration as it was put."""
+        """Return the newest configuration as the operator sent it."""
         match await read_document(self.control):
             case Result(tag="ok", ok=document):
                 return Response(200, document, _TOML)
--- a/packages/bendwind-node/src/bendwind_node/operators/revisions.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/revisions.py
@@ -1,4 +1,4 @@
-"""Put whole configurations in force under the operator's own numbers, and read them back."""
+"""Put complete configurations in force under the operator's revisions, and read them back."""
 
 from expression import Error, Ok, Result
 
@@ -16,9 +16,10 @@
 async def put_revision(
     client: ControlClient, recorder: Recorder, command: PutRevision
 ) -> Result[RevisionHeld, RevisionFault | ControlError]:
-    """Put a configuration in force, unless one of its number or a higher one is.
+    """Put a configuration in force, unless its revision or a higher one is.
 
-    Errors: RevisionFault for an invalid one; ControlError, after which it may be put again.
+    Errors: RevisionFault for an invalid configuration; ControlError, after which the call may be
+    repeated.
     """
     detail = f"revision {command.routing.revision}"
     fault = find_revision_fault(command)
@@ -27,25 +28,26 @@
         return Error(fault)
     match await client.propose(encode_command(command)):
         case Result(tag="ok", ok=RevisionHeld() as status):
-            outcome = f"in force as version {status.version}" if status.is_new else "not above"
+            outcome = f"in force as version {status.version}" if status.is_new else "not higher"
             recorder.record(
-                EventKind.REVISION_HELD, detail=f"{detail}: {outcome}, held {status.revision}"
+                EventKind.REVISION_HELD,
+                detail=f"{detail}: {outcome}, current revision {status.revision}",
             )
             return Ok(status)
         case Result(tag="error", error=error):
             recorder.record(EventKind.REVISION_NOT_PUT, detail=f"{detail}: {error!r}")
             return Error(error)
-    raise AssertionError("the log answers a revision by what it holds")
+    raise AssertionError("the log answers a revision with its status")
 
 
 async def read_document(client: ControlClient) -> Result[bytes, ControlError]:
-    """Return the newest whole configuration as the operator sent it.
+    """Return the newest complete configuration as the operator sent it.
 
-    Errors: ControlError where this process cannot be sure of the newest, or there is none.
+    Errors: ControlError if this process cannot confirm the newest, or if there is none.
     """
     confirmed = await client.barrier()
     if confirmed.is_error():
         return confirmed
     if not client.state.document:
-        return Error(NoQuorum("no whole configuration was put yet"))
+        return Error(NoQuorum("no complete configuration has been put in force yet"))
     return Ok(client.state.document)
--- a/packages/bendwind-node/src/bendwind_node/operators/status_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/status_routes.py
@@ -1,4 +1,4 @@
-"""Answer the requests about the status of a process and its recorded events."""
+"""Answer requests for the status of a process and its recorded events."""
 
 import itertools
 
@@ -21,26 +21,26 @@
 )
 
 DEFAULT_EVENT_LIMIT = 1000
-# A voter that is cut off still tells what it knows, and soon.
+# A voter without a quorum answers with its unconfirmed state after this time.
 CONFIRMATION_TIMEOUT_S: Seconds = 1.0
 
 
 class EventQuery(msgspec.Struct, frozen=True):
-    """Say which events are asked for, and how many of the newest."""
+    """Hold the filter of the requested events, and how many of the newest to return."""
 
     wanted: EventFilter
     limit: int
 
 
 class StatusRoutes(msgspec.Struct):
-    """Answer requests for status and events; `control` is None on a process that is no voter."""
+    """Answer requests for status and events; `control` is None on a process that is not a voter."""
 
     control: ControlClient | None
     source: StatusSource
     recorder: Recorder
 
     async def get_status(self) -> Response:
-        """Give the status, confirmed by a quorum where this process leads."""
+        """Return the status, confirmed by a quorum if this process leads."""
         process = self.source.process()
         if self.control is None:
             return json_response(200, self._make_view(process, process.version, is_confirmed=False))
@@ -92,7 +92,7 @@
         )
 
     def get_timeline(self, request: Request) -> Response:
-        """Give the recorded events that the query asks for."""
+        """Return the recorded events that the query selects."""
         parsed = _read_event_query(request)
         if parsed.is_error():
             return plain_error(400, ErrorKind.BAD_REQUEST, parsed.error)
--- a/packages/bendwind-node/src/bendwind_node/operators/status_source.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/status_source.py
@@ -1,4 +1,4 @@
-"""Describe what the operators' API needs to know of the process and of the members."""
+"""Define the interface through which the operators' API reads process and member status."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 
 class ProcessStatus(msgspec.Struct, frozen=True):
-    """Say what the process asked knows of itself.
+    """Describe the process that answers.
 
     Units: `confirmed_age_ms` is the age of its proof that `version` is the newest, in
     milliseconds; None without a proof.
@@ -25,9 +25,9 @@
 
 
 class NodeVersion(msgspec.Struct, frozen=True):
-    """Say which version a node has in force, as it last told.
+    """Describe which version a node has in force, by its last report.
 
-    `operators` is the address that operators reach it at, empty where it is not known.
+    `operators` is the address where operators reach the node, empty if it is not known.
     Units: `last_heard_ms` is the time since its last heartbeat, in milliseconds.
     """
 
@@ -39,9 +39,9 @@
 
 
 class NoticeStatus(msgspec.Struct, frozen=True):
-    """Say what an upstream beside the process has said of itself in its answers.
+    """Describe what an upstream of this process has reported about itself in its answers.
 
-    Units: `limit_per_s` is its rate limit in requests a second, None without one.
+    Units: `limit_per_s` is its rate limit in requests per second, None without one.
     """
 
     upstream: str
@@ -50,20 +50,20 @@
 
 
 class StatusSource(Protocol):
-    """Tell the process's own status and the members it knows."""
+    """Provide the status of the process and of the members that it knows."""
 
     def process(self) -> ProcessStatus:
         """Return the status of this process."""
         ...
 
     async def nodes(self) -> Sequence[NodeVersion]:
-        """Return the nodes attached to any voter that answers; none on another process."""
+        """Return the nodes attached to any voter that replies; none on a non-voter."""
         ...
 
     def upstreams(self) -> Sequence[Upstream]:
-        """Return the upstreams this process knows; all of them on a voter."""
+        """Return the upstreams that this process knows; a voter knows all of them."""
         ...
 
     def notices(self) -> Sequence[NoticeStatus]:
-        """Return what upstreams beside this process have said of themselves, of those that did."""
+        """Return the notices of those upstreams of this process that have sent one."""
         ...
--- a/packages/bendwind-node/src/bendwind_node/operators/suspect_routes.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/suspect_routes.py
@@ -1,4 +1,4 @@
-"""Answer the requests about requests that upstreams end under."""
+"""Answer requests about suspects, which are requests during which upstreams ended."""
 
 import msgspec
 import trio
@@ -11,9 +11,10 @@
 
 
 class SuspectView(msgspec.Struct, frozen=True):
-    """Show what is known against one request.
+    """Describe one suspect.
 
-    Units: `last_ms` is how long ago the last upstream ended under it, in milliseconds.
+    Units: `last_ms` is the time since an upstream last ended while it ran the request, in
+    milliseconds.
     """
 
     signature: str
@@ -25,25 +26,25 @@
 
 
 class SuspectsView(msgspec.Struct, frozen=True):
-    """Show all requests that something is known against, the most serious first."""
+    """List all suspects, those with the most upstream ends first."""
 
     suspects: tuple[SuspectView, ...]
 
 
 class ReleasedView(msgspec.Struct, frozen=True):
-    """Say that a request is no longer suspected."""
+    """Report that a request is no longer suspected."""
 
     released: str
 
 
 class SuspectRoutes(msgspec.Struct):
-    """Answer requests about what one process knows against requests."""
+    """Answer requests about the suspects that one process knows."""
 
     table: SuspectTable
     recorder: Recorder
 
     def get_suspects(self) -> Response:
-        """List what is known."""
+        """Return the suspects that this process knows."""
         now = trio.current_time()
         suspects = [suspect for suspect in self.table.suspects.values() if suspect.ends]
         suspects.sort(key=lambda suspect: -suspect.count)
@@ -60,12 +61,14 @@
         )
 
     def release(self, text: str) -> Response:
-        """Clear a request of suspicion, here and wherever that is told."""
+        """Clear a request of suspicion, here and at every process that receives the report."""
         try:
             signature = bytes.fromhex(text)
         except ValueError:
             return plain_error(400, ErrorKind.BAD_REQUEST, "signature: expected hexadecimal digits")
         if not clear_suspect(self.table, signature, trio.current_time()):
-            return plain_error(404, ErrorKind.UNKNOWN_SUSPECT, "nothing is known against it here")
+            return plain_error(
+                404, ErrorKind.UNKNOWN_SUSPECT, "the request is not suspected by this process"
+            )
         self.recorder.record(EventKind.REQUEST_RELEASED, detail=signature.hex())
         return json_response(200, ReleasedView(signature.hex()))
--- a/packages/bendwind-node/src/bendwind_node/operators/views.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/views.py
@@ -30,7 +30,7 @@
 
 
 class OutcomeView(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Show how a plan ended."""
+    """Describe the outcome of a plan."""
 
     kind: str
     plan: str
@@ -38,7 +38,7 @@
 
 
 class AffectedView(msgspec.Struct, frozen=True):
-    """Show what a plan reaches."""
+    """List what a plan affects."""
 
     services: tuple[str, ...] = ()
     upstreams: tuple[str, ...] = ()
@@ -47,7 +47,7 @@
 
 
 class PlanView(msgspec.Struct, frozen=True):
-    """Show a plan."""
+    """Describe a plan."""
 
     id: str
     state: PlanState
@@ -63,13 +63,13 @@
 
 
 class PlansView(msgspec.Struct, frozen=True):
-    """Show every plan that is remembered."""
+    """List every plan that is still stored."""
 
     plans: tuple[PlanView, ...]
 
 
 class ConfigurationView(msgspec.Struct, frozen=True):
-    """Show the configuration in force, with the keys of an intent."""
+    """Describe the configuration in force, with the keys of an intent."""
 
     version: int
     plan: str
@@ -77,7 +77,7 @@
 
 
 class MarkView(msgspec.Struct, frozen=True):
-    """Show a drain mark."""
+    """Describe a drain mark."""
 
     name: str
     draining: bool
@@ -85,7 +85,7 @@
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """Show the claim group of a service."""
+    """Describe the claim group of a service."""
 
     service: str
     epoch: int
@@ -93,7 +93,7 @@
 
 
 class UpstreamView(msgspec.Struct, frozen=True):
-    """Show an announced upstream."""
+    """Describe an announced upstream."""
 
     name: str
     service: str
@@ -104,14 +104,14 @@
 
 
 class DrainingView(msgspec.Struct, frozen=True):
-    """Show the drain marks that are set."""
+    """List the drain marks that are set."""
 
     instances: tuple[str, ...] = ()
     upstreams: tuple[str, ...] = ()
 
 
 class StatusView(msgspec.Struct, frozen=True):
-    """Show the status of a process and of the members it knows."""
+    """Describe the status of a process and of the members that it knows."""
 
     instance: str
     data_centre: str
@@ -133,7 +133,7 @@
 
 
 class EventView(msgspec.Struct, frozen=True):
-    """Show a recorded event."""
+    """Describe a recorded event."""
 
     number: int
     name: str
@@ -148,7 +148,7 @@
 
 
 class TimelineView(msgspec.Struct, frozen=True):
-    """Show recorded events in the order of their time."""
+    """List recorded events in the order of their time."""
 
     instance: str
     dropped: int
@@ -156,20 +156,20 @@
 
 
 class EventKindView(msgspec.Struct, frozen=True):
-    """Show one entry of the catalogue of events."""
+    """Describe one entry of the catalogue of events."""
 
     number: int
     name: str
 
 
 class CatalogueView(msgspec.Struct, frozen=True):
-    """Show the catalogue of events."""
+    """Hold the catalogue of events."""
 
     events: tuple[EventKindView, ...]
 
 
 class StoppingView(msgspec.Struct, frozen=True):
-    """Tell that the process has begun a planned stop."""
+    """Report that the process has started a planned stop."""
 
     instance: str
     stopping: bool = True
@@ -187,7 +187,7 @@
 
 
 def summarize_plan(plan: Plan) -> PlanView:
-    """Return the view of a plan without what it changes."""
+    """Return the view of a plan without its changes."""
     return PlanView(
         plan.id,
         plan.state,
@@ -200,7 +200,7 @@
 
 
 def make_plan_view(plan: Plan, before: Configuration, upstreams: Sequence[Upstream]) -> PlanView:
-    """Return the view of a plan, with what it changes of a configuration while it is open."""
+    """Return the view of a plan; an open one includes its changes to a configuration."""
     summary = summarize_plan(plan)
     if plan.outcome is not None:
         return summary
--- a/packages/bendwind-node/src/bendwind_node/settings/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the checked settings of bendwindd."""
+"""Provide the validated settings of bendwindd."""
 
 from bendwind_node.settings.load import SettingsError, load_settings, parse_settings
 from bendwind_node.settings.tables import OperatorsTable, Settings, TlsTable, VoterTable
--- a/packages/bendwind-node/src/bendwind_node/settings/checks.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/checks.py
@@ -1,4 +1,4 @@
-"""Check what no single key of a settings file can show wrong by itself."""
+"""Check the rules that involve several keys of a settings file."""
 
 import ipaddress
 from collections.abc import Iterator
@@ -7,12 +7,12 @@
 
 from bendwind_node.settings.tables import Settings
 
-# A lease must outlive the loss of one renewal.
+# A lease must not expire when one renewal is lost.
 MIN_HEARTBEATS_PER_LEASE = 2
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """Name a key and what it should hold instead."""
+    """Name an invalid key and describe its expected value."""
 
     key: str
     expected: str
@@ -24,7 +24,7 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Tell whether an address is reached from the same machine only.
+    """Return whether an address is reachable from the same machine only.
 
     >>> is_loopback("127.0.0.1"), is_loopback("10.0.0.1")
     (True, False)
@@ -82,7 +82,7 @@
     if operators.insecure and not is_loopback(operators.host):
         yield Finding("operators.insecure", "false, unless operators.host is a loopback address")
     if operators.insecure and has_credentials:
-        yield Finding("operators.insecure", "false, since credentials are asked for")
+        yield Finding("operators.insecure", "false, since credentials are configured")
     if not operators.insecure and not has_credentials:
         yield Finding("operators.token_file", "a file, or operators.client_authority")
     if operators.client_authority is not None and settings.tls is None:
--- a/packages/bendwind-node/src/bendwind_node/settings/load.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/load.py
@@ -1,4 +1,4 @@
-"""Read and check a settings file before any socket opens."""
+"""Read and validate a settings file before any socket opens."""
 
 from pathlib import Path
 
@@ -21,9 +21,9 @@
 
 
 def load_settings(path: str | Path) -> Result[Settings, SettingsError]:
-    """Read a settings file, check every key, and make its paths absolute.
+    """Read a settings file, validate every key, and make its paths absolute.
 
-    Errors: the first thing that is wrong with the file.
+    Errors: the first fault in the file.
     """
     file = Path(path)
     try:
@@ -35,9 +35,9 @@
 
 
 def parse_settings(data: bytes, file: str) -> Result[Settings, SettingsError]:
-    """Check the content of a settings file, leaving its paths as they are.
+    """Validate the content of a settings file, without a change to its paths.
 
-    Errors: the first thing that is wrong with the content.
+    Errors: the first fault in the content.
     """
     return decode_toml(data, file, Settings).bind(lambda settings: _check(settings, file))
 
--- a/packages/bendwind-node/src/bendwind_node/settings/reference.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/reference.py
@@ -1,4 +1,4 @@
-"""Write docs/SETTINGS.md from the types that check a settings file."""
+"""Generate docs/SETTINGS.md from the types that validate a settings file."""
 
 import types
 import typing
@@ -73,7 +73,7 @@
 
 
 def _flatten(hint: object) -> Iterator[object]:
-    """Yield a type hint's parts: types, literals and constraints, the outermost last."""
+    """Yield the parts of a type hint: types, literals and constraints, the outermost last."""
     origin = typing.get_origin(hint)
     if origin is typing.Annotated:
         yield from _flatten(typing.get_args(hint)[0])
--- a/packages/bendwind-node/src/bendwind_node/settings/tables.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/tables.py
@@ -316,7 +316,7 @@
 class QuotasTable(Table, frozen=True, kw_only=True):
     """Bound how far customers may exceed their quotas; all processes need the same.
 
-    In any window their requests that run are at most
+    In any window, the number of a customer's requests that run is at most
     (rate x window + burst) x (1 + overage) + slack.
     """
 
@@ -399,7 +399,7 @@
 
 
 class Settings(Table, frozen=True, kw_only=True):
-    """Hold a whole settings file of bendwindd."""
+    """Hold all tables of a bendwindd settings file."""
 
     instance: InstanceTable
     peers: PeersTable
