--- a/packages/bendwind-node/src/bendwind_node/operators/worker_thread.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/worker_thread.py
@@ -7,7 +7,7 @@
 
 # Approximate size of one service in an intent; docs/design/plans.md has the figures.
 BYTES_PER_SERVICE = 250
-# Smaller inputs are processed in the event loop, since starting a thread takes as long as
+# Inputs up to this size are processed in the event loop, since starting a thread takes as long as
 # processing a few services.
 _MAX_INLINE_BYTES = 10 * BYTES_PER_SERVICE
 
