--- a/packages/bendwind-node/src/bendwind_node/operators/app.py
+++ b/packages/bendwind-node/src/bendwind_node/operators/app.py
@@ -1,4 +1,4 @@
-"""Route the requests of the operators' API."""
+"""Route the requests of the operators' HTTP API."""
 
 import random
 from collections.abc import Callable
@@ -28,12 +28,12 @@
     send_response,
 )
 from bendwind_node.operators.plan_routes import PlanRoutes
-from bendwind_node.operators.quota_routes import show_quotas
+from bendwind_node.operators.quota_routes import make_quotas_response
 from bendwind_node.operators.revision_routes import RevisionRoutes
 from bendwind_node.operators.status_routes import StatusRoutes
 from bendwind_node.operators.status_source import StatusSource
 from bendwind_node.operators.suspect_routes import SuspectRoutes
-from bendwind_node.operators.views import StoppingView, show_catalogue
+from bendwind_node.operators.views import StoppingView, make_catalogue_view
 
 _DRAIN_TARGETS = {"instances": DrainTarget.INSTANCE, "upstreams": DrainTarget.UPSTREAM}
 _CONTROL_PATHS = frozenset(
@@ -49,17 +49,17 @@
     }
 )
 
-_NO_VOTER = "this process keeps no configuration; ask a voter"
+_NOT_A_VOTER_DETAIL = "this process keeps no configuration; ask a voter"
 
 
 @dataclass(slots=True)
 class OperatorsApp:
     """Serve the operators' API as an ASGI application.
 
-    `control` is None on a process that is no voter; `suspects` is what it knows against requests,
-    and `quotas` what a voter holds of customers' quotas.
-    `request_stop` begins a planned stop and returns at once. `render_metrics` takes the Accept
-    header.
+    `control` is None on a process that is not a voter. `suspects` holds the requests that the
+    process suspects of ending upstreams, and `quotas` the state of customers' quotas at a voter.
+    `request_stop` starts a planned stop and returns immediately. `render_metrics` receives the
+    Accept header.
     """
 
     control: ControlClient | None
@@ -89,7 +89,7 @@
             self.evacuations = EvacuationRoutes(self.control, self.source, self.recorder)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one ASGI connection."""
+        """Serve one ASGI connection."""
         match scope["type"]:
             case "http":
                 await self._serve(scope, receive, send)
@@ -115,7 +115,7 @@
         self.recorder.record(EventKind.OPERATOR_REFUSED, detail=detail)
 
     async def answer(self, request: Request) -> Response:
-        """Return the response to a request that is allowed."""
+        """Return the response to an authorised request."""
         match request.path:
             case ("metrics",):
                 return self._answer_metrics(request)
@@ -127,7 +127,7 @@
                 return await self._answer_process(request, name)
             case ("v1", name, *rest) if name in _CONTROL_PATHS:
                 if self.plans is None:
-                    return plain_error(404, ErrorKind.NOT_A_VOTER, _NO_VOTER)
+                    return plain_error(404, ErrorKind.NOT_A_VOTER, _NOT_A_VOTER_DETAIL)
                 if name == "services":
                     return await self._answer_claims(request, tuple(rest))
                 if name == "customers":
@@ -161,8 +161,8 @@
 
     def _answer_quotas(self, request: Request) -> Response:
         if self.quotas is None:
-            return plain_error(404, ErrorKind.NOT_A_VOTER, _NO_VOTER)
-        return show_quotas(self.quotas) if request.method == "GET" else _refuse_method()
+            return plain_error(404, ErrorKind.NOT_A_VOTER, _NOT_A_VOTER_DETAIL)
+        return make_quotas_response(self.quotas) if request.method == "GET" else _refuse_method()
 
     async def _answer_evacuation(self, request: Request, path: tuple[str, ...]) -> Response:
         assert self.evacuations is not None
@@ -205,7 +205,7 @@
             case "GET", "timeline":
                 return self.status.get_timeline(request)
             case "GET", "events":
-                return json_response(200, show_catalogue())
+                return json_response(200, make_catalogue_view())
             case "POST", "stop":
                 self.request_stop()
                 return json_response(202, StoppingView(self.source.process().name))
--- a/packages/bendwind-node/src/bendwind_node/settings/load.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/load.py
@@ -1,4 +1,4 @@
-"""Read and check a settings file before any socket opens."""
+"""Read and validate a settings file before any socket opens."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from bendwind_core.core import TomlError, decode_toml
-from bendwind_node.settings.checks import find_clash
+from bendwind_node.settings.checks import find_conflict
 from bendwind_node.settings.tables import Settings
 
 SettingsError = TomlError
@@ -21,9 +21,9 @@
 
 
 def load_settings(path: str | Path) -> Result[Settings, SettingsError]:
-    """Read a settings file, check every key, and make its paths absolute.
+    """Read a settings file, validate every key, and make its paths absolute.
 
-    Errors: the first thing that is wrong with the file.
+    Errors: the first fault in the file.
     """
     file = Path(path)
     try:
@@ -31,25 +31,25 @@
     except OSError as error:
         reason = (error.strerror or str(error)).lower()
         return Error(SettingsError(str(path), "", f"expected a readable file: {reason}"))
-    return parse_settings(data, str(path)).map(lambda found: _resolve(found, file.parent))
+    return parse_settings(data, str(path)).map(lambda found: _resolve_paths(found, file.parent))
 
 
 def parse_settings(data: bytes, file: str) -> Result[Settings, SettingsError]:
-    """Check the content of a settings file, leaving its paths as they are.
+    """Validate the content of a settings file, without a change to its paths.
 
-    Errors: the first thing that is wrong with the content.
+    Errors: the first fault in the content.
     """
     return decode_toml(data, file, Settings).bind(lambda settings: _check(settings, file))
 
 
 def _check(settings: Settings, file: str) -> Result[Settings, SettingsError]:
-    clash = find_clash(settings)
-    if clash is not None:
-        return Error(SettingsError(file, clash.key, f"expected {clash.expected}"))
+    conflict = find_conflict(settings)
+    if conflict is not None:
+        return Error(SettingsError(file, conflict.key, f"expected {conflict.expected}"))
     return Ok(settings)
 
 
-def _resolve(settings: Settings, folder: Path) -> Settings:
+def _resolve_paths(settings: Settings, folder: Path) -> Settings:
     for table_name, key in _PATH_KEYS:
         table = getattr(settings, table_name)
         if table is None or getattr(table, key) is None:
--- a/packages/bendwind-node/src/bendwind_node/settings/reference.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/reference.py
@@ -1,4 +1,4 @@
-"""Write docs/SETTINGS.md from the types that check a settings file."""
+"""Generate docs/SETTINGS.md from the types that validate a settings file."""
 
 import types
 import typing
@@ -58,8 +58,8 @@
         f"| `{key.name}` | {key.unit} | {key.default} | {key.range} | {key.meaning} |\n"
         for key in _list_keys(table)
     )
-    need = "Required." if is_required else "Optional."
-    return f"\n## `{name}`\n\n{table.__doc__.splitlines()[0]} {need}\n{_COLUMNS}{rows}"
+    requirement = "Required." if is_required else "Optional."
+    return f"\n## `{name}`\n\n{table.__doc__.splitlines()[0]} {requirement}\n{_COLUMNS}{rows}"
 
 
 def _list_keys(table: type[Table]) -> Iterator[_Key]:
@@ -73,7 +73,7 @@
 
 
 def _flatten(hint: object) -> Iterator[object]:
-    """Yield a type hint's parts: types, literals and constraints, the outermost last."""
+    """Yield the parts of a type hint: types, literals and constraints, the outermost last."""
     origin = typing.get_origin(hint)
     if origin is typing.Annotated:
         yield from _flatten(typing.get_args(hint)[0])
