--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/link_peer.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/link_peer.py
@@ -64,7 +64,7 @@
         hubs = [_make_hub(f"dialer-{number}", receiver) for number in range(links)]
         for number, hub in enumerate(hubs):
             hub.nursery = nursery
-            hub.learn_address(SERVER, HOST, port)
+            hub.set_address(SERVER, HOST, port)
             hub.send(SERVER, Heartbeat(hub.own, 1, 1))
             while number + 1 - receiver.open > _DIALS_AT_ONCE:
                 await trio.sleep(_POLL_S)
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/links.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/links.py
@@ -52,7 +52,7 @@
     reception = Reception()
     recorder = make_recorder(own.name)
     hub = create_link_hub(own, reception, recorder, lambda epoch: Hello(own, epoch))
-    hub.learn_address(NAME, "127.0.0.1", port)
+    hub.set_address(NAME, "127.0.0.1", port)
     rng = random.Random(index)
     places = (VoterPlace(NAME),)
     reception.membership = create_membership_task(
--- a/packages/bendwind-node/src/bendwind_node/calls/caller_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/caller_h11.py
@@ -21,7 +21,7 @@
     make_error,
 )
 from bendwind_node.calls.request_account import RequestAccount, find_ending
-from bendwind_node.streams import PromptListener, PromptStream
+from bendwind_node.streams import DirectListener, DirectStream
 
 Handle = Callable[[CallerExchange], Awaitable[None]]
 
@@ -93,7 +93,7 @@
     async def run(self, listeners: list[trio.SocketListener], shutdown: trio.Event) -> None:
         """Accept until shutdown; return when all requests in flight have been answered."""
         async with trio.open_nursery() as serving:
-            prompt = [PromptListener(listener) for listener in listeners]
+            prompt = [DirectListener(listener) for listener in listeners]
             async with trio.open_nursery() as accepting:
                 accepting.start_soon(
                     partial(trio.serve_listeners, self._serve, prompt, handler_nursery=serving)
@@ -116,7 +116,7 @@
         # caller can rely on it not having been read.
         return now + FIRST_REQUEST_TIMEOUT if is_new else now
 
-    async def _serve(self, stream: PromptStream) -> None:
+    async def _serve(self, stream: DirectStream) -> None:
         self.connections += 1
         connection = h11.Connection(h11.SERVER, max_incomplete_event_size=self.header_bytes)
         try:
@@ -143,7 +143,7 @@
         self.recorder.record(EventKind.TASK_FAILED, detail=describe_failure(error))
 
     async def _serve_request(
-        self, stream: PromptStream, connection: h11.Connection, *, is_new: bool
+        self, stream: DirectStream, connection: h11.Connection, *, is_new: bool
     ) -> bool:
         """Serve one request; return whether the connection may carry another."""
         try:
@@ -192,7 +192,7 @@
             self.account.record_ended(exchange.request, find_ending(exchange))
 
     async def _read_head(
-        self, stream: PromptStream, connection: h11.Connection, *, is_new: bool
+        self, stream: DirectStream, connection: h11.Connection, *, is_new: bool
     ) -> h11.Request | None:
         event = connection.next_event()
         if event is h11.NEED_DATA:
@@ -202,7 +202,7 @@
             event = await self._read_rest(stream, connection)
         return event if isinstance(event, h11.Request) else None
 
-    async def _receive_first(self, stream: PromptStream, *, is_new: bool) -> bytes:
+    async def _receive_first(self, stream: DirectStream, *, is_new: bool) -> bytes:
         """Return the first bytes of a request, empty if the connection has to be closed."""
         with trio.CancelScope(deadline=self._find_idle_deadline(is_new=is_new)) as scope:
             self.idle[scope] = is_new
@@ -211,9 +211,9 @@
             finally:
                 del self.idle[scope]
         # A request that has just arrived is still served, since its caller waits for an answer.
-        return stream.receive_now()
+        return stream.receive_nowait()
 
-    async def _read_rest(self, stream: PromptStream, connection: h11.Connection) -> object:
+    async def _read_rest(self, stream: DirectStream, connection: h11.Connection) -> object:
         with trio.move_on_after(self.header_timeout):
             while (event := connection.next_event()) is h11.NEED_DATA:
                 connection.receive_data(await stream.receive_some(RECEIVE_BYTES))
@@ -239,14 +239,14 @@
 
 
 async def _refuse(
-    stream: PromptStream, connection: h11.Connection, status: int, outcome: bytes
+    stream: DirectStream, connection: h11.Connection, status: int, outcome: bytes
 ) -> None:
     """Send an error answer that closes the connection."""
     await stream.send_all(make_error(connection, status, outcome))
     await _linger(stream)
 
 
-async def _linger(stream: PromptStream) -> None:
+async def _linger(stream: DirectStream) -> None:
     with trio.move_on_after(LINGER_TIMEOUT):
         try:
             await stream.send_eof()
--- a/packages/bendwind-node/src/bendwind_node/calls/h11_exchange.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/h11_exchange.py
@@ -9,7 +9,7 @@
 from bendwind_node.calls import headers as names
 from bendwind_node.calls import outcomes
 from bendwind_node.calls.caller_exchange import CallerGoneError, CallerRequest
-from bendwind_node.streams import PromptStream
+from bendwind_node.streams import DirectStream
 
 RECEIVE_BYTES = 64 * 1024
 # Pipelined requests beyond this size stay unread in the socket, and the caller's connection is no
@@ -44,7 +44,7 @@
     def __init__(
         self,
         is_closing: Callable[[], bool],
-        stream: PromptStream,
+        stream: DirectStream,
         connection: h11.Connection,
         head: h11.Request,
         target: bytes,
@@ -136,7 +136,7 @@
         # Nothing was sent yet, so a new h11 state can be used whatever state the connection is in.
         answer = make_error(h11.Connection(h11.SERVER), status, outcome)
         try:
-            self.is_answered = self.stream.send_now(answer) == len(answer)
+            self.is_answered = self.stream.send_nowait(answer) == len(answer)
         except BROKEN_STREAM_ERRORS:
             self.is_gone = True
 
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/fakes.py
@@ -93,7 +93,7 @@
         self.sent = []
         self.checked = []
 
-    def reaches(self, peer):
+    def has_dialed_link(self, peer):
         return peer.name in self.links and self.owners[peer.name].own == peer
 
     def check(self, name):
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
@@ -93,7 +93,7 @@
         if name not in announced_names
         and not view.is_draining
         and view.upstream.owner.data_centre not in membership.evacuated
-        and hub.reaches(view.upstream.owner)
+        and hub.has_dialed_link(view.upstream.owner)
     ]
 
 
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_h11.py
@@ -11,7 +11,7 @@
 from bendwind_core.attempts import CutReason, Header, NotRunReason
 from bendwind_core.core import Seconds
 from bendwind_node.calls.upstream_request import AnswerCut, RequestNotSent, UpstreamRequest
-from bendwind_node.streams import PromptStream, open_prompt_stream
+from bendwind_node.streams import DirectStream, open_direct_stream
 
 KEEP_ALIVE_TIMEOUT: Seconds = 30.0
 # A request that must not run twice is sent only over a connection that was idle for less than this
@@ -37,7 +37,7 @@
 class UpstreamConnection(msgspec.Struct, eq=False):
     """Hold one HTTP/1.1 connection to the upstream."""
 
-    stream: PromptStream
+    stream: DirectStream
     protocol: h11.Connection
     idle_since: Seconds = 0.0
     is_reused: bool = False
@@ -145,7 +145,7 @@
     async def _connect(self) -> Result[UpstreamConnection, RequestNotSent]:
         with trio.move_on_after(CONNECT_TIMEOUT):
             try:
-                stream = await open_prompt_stream(self.host, self.port)
+                stream = await open_direct_stream(self.host, self.port)
             except OSError:
                 return Error(RequestNotSent(NotRunReason.CONNECT_FAILED))
             protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
@@ -218,7 +218,7 @@
         )
         with trio.move_on_after(CONNECT_TIMEOUT):
             try:
-                stream = await open_prompt_stream(host, port)
+                stream = await open_direct_stream(host, port)
             except OSError:
                 continue
             await trio.aclose_forcefully(stream)
--- a/packages/bendwind-node/src/bendwind_node/clock.py
+++ b/packages/bendwind-node/src/bendwind_node/clock.py
@@ -15,12 +15,12 @@
 _NANOSECONDS_PER_MICROSECOND = 1_000
 
 
-def read_steady() -> float:
+def read_steady_clock() -> float:
     """Return the seconds since the machine started, suspended ones included."""
     return time.clock_gettime(STEADY_CLOCK)
 
 
-def read_steady_us() -> int:
+def read_steady_clock_us() -> int:
     """Return the microseconds since the machine started, suspended ones included."""
     return time.clock_gettime_ns(STEADY_CLOCK) // _NANOSECONDS_PER_MICROSECOND
 
@@ -39,8 +39,8 @@
 
     def current_time(self) -> float:
         """Return the time that `trio.current_time` gives."""
-        return read_steady()
+        return read_steady_clock()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """Return how long to wait for a deadline."""
-        return deadline - read_steady()
+        return deadline - read_steady_clock()
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -38,14 +38,14 @@
 from bendwind_node.calls.probe_task import ProbeTask
 from bendwind_node.calls.upstream_register import UpstreamRegister
 from bendwind_node.claims import create_claim_task
-from bendwind_node.clock import read_steady, read_steady_us
+from bendwind_node.clock import read_steady_clock, read_steady_clock_us
 from bendwind_node.control.control_voter import ControlVoter
 from bendwind_node.control.service import open_control
 from bendwind_node.daemon.dispatcher import Dispatcher
 from bendwind_node.daemon.extension import Extension
 from bendwind_node.daemon.listeners import Listeners, find_port
 from bendwind_node.daemon.state import Daemon
-from bendwind_node.links import Address, LinkHub, ask_incarnation, create_link_hub
+from bendwind_node.links import Address, LinkHub, create_link_hub, query_incarnation
 from bendwind_node.membership import MembershipTask, create_membership_task
 from bendwind_node.quotas import create_node_quota_task
 from bendwind_node.security import load_keys
@@ -66,7 +66,7 @@
     Errors: a text that names the file that cannot be used.
     """
     name = settings.instance.name
-    recorder = Recorder(name, read_wall_ms, settings.timeline.capacity, read_steady_us)
+    recorder = Recorder(name, read_wall_ms, settings.timeline.capacity, read_steady_clock_us)
     budget = ByteBudget(settings.limits.buffered_bytes)
     daemon = Daemon(settings, listeners, recorder, Dispatcher(name), None, budget)
     if settings.tls is not None:
@@ -84,7 +84,7 @@
     voters = [Address(voter.host, voter.port) for voter in settings.voters]
     others = [voter for voter in voters if (voter.host, voter.port) != own_place]
     secure = None if daemon.keys is None else daemon.keys.client
-    known = await ask_incarnation(settings.instance.name, others, secure)
+    known = await query_incarnation(settings.instance.name, others, secure)
     return max(read_wall_ms(), known + 1)
 
 
@@ -182,7 +182,7 @@
         lambda service: _find_health_path(membership, service),
         lambda service: _find_warm_up(membership, service),
         WarmUpLimits(settings.limits.warm_up_overage, settings.limits.warm_up_slack),
-        trio.current_time() - (read_steady() - STARTED_AT),
+        trio.current_time() - (read_steady_clock() - STARTED_AT),
         SuspectTable(own.name, _find_suspicion_limits(settings)),
     )
     assemblies = AssemblyTable(settings.limits.body_bytes, daemon.body_budget)
@@ -228,7 +228,7 @@
     """Have links find voters and learners, as far as it is known where they are."""
     for place in places:
         if place.host:
-            hub.learn_address(place.name, place.host, place.port, place.data_centre)
+            hub.set_address(place.name, place.host, place.port, place.data_centre)
 
 
 def _build_hub(daemon: Daemon, own: Instance, membership: MembershipTask) -> LinkHub:
@@ -245,7 +245,7 @@
         compresses_far=daemon.settings.peers.compresses_far,
         link_mbps=daemon.settings.peers.link_mbps,
     )
-    hub.find_registered = lambda name: _find_registered(daemon, name)
+    hub.find_registered_incarnation = lambda name: _find_registered(daemon, name)
     learn_places(hub, list_voters(daemon.settings))
     return hub
 
@@ -315,7 +315,7 @@
 
 
 def _learn_instance(hub: LinkHub, instance: Instance) -> None:
-    hub.learn_address(instance.name, instance.host, instance.port, instance.data_centre)
+    hub.set_address(instance.name, instance.host, instance.port, instance.data_centre)
 
 
 def _hear_membership(dispatcher: Dispatcher, effect: ViewEffect) -> None:
--- a/packages/bendwind-node/src/bendwind_node/daemon/reload.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/reload.py
@@ -11,7 +11,7 @@
 from bendwind_node.daemon.build import learn_places, list_voters
 from bendwind_node.daemon.extension import LoadSettings
 from bendwind_node.daemon.state import Daemon
-from bendwind_node.early_signals import RELOAD_SIGNALS, is_reload_asked
+from bendwind_node.early_signals import RELOAD_SIGNALS, is_reload_requested
 from bendwind_node.settings import Settings
 
 # A look at the file costs one system call; voters that changed are needed within seconds.
@@ -27,7 +27,7 @@
 
 async def _watch_signal(daemon: Daemon, file: Path, load: LoadSettings) -> None:
     with trio.open_signal_receiver(*RELOAD_SIGNALS) as signals:
-        if is_reload_asked():
+        if is_reload_requested():
             # The file may have been read before it changed.
             reload_settings(daemon, file, load)
         async for _ in signals:
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -18,7 +18,7 @@
 from bendwind_node.daemon.reload import watch_settings
 from bendwind_node.daemon.serve import serve_all
 from bendwind_node.daemon.state import Daemon
-from bendwind_node.early_signals import STOP_SIGNALS, is_stop_asked
+from bendwind_node.early_signals import STOP_SIGNALS, is_stop_requested
 from bendwind_node.security import watch_keys
 from bendwind_node.settings import Settings
 
@@ -46,7 +46,7 @@
         built = build_daemon(daemon, nursery, extension, incarnation)
         if built.is_error():
             return built
-        if is_stop_asked():
+        if is_stop_requested():
             # Nothing is served yet, so that nothing has to be finished.
             return Ok(None)
         await _start(daemon, nursery, extension)
@@ -116,7 +116,7 @@
     # Open until the process ends: without it a second signal would end the process while requests
     # are in hand.
     with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
-        if is_stop_asked():
+        if is_stop_requested():
             daemon.stopping.set()
         async for number in signals:
             if daemon.stopping.is_set():
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_reload.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_reload.py
@@ -12,7 +12,7 @@
 
 class FakeDispatcher:
     def __init__(self):
-        self.hub = types.SimpleNamespace(learn_address=self.note)
+        self.hub = types.SimpleNamespace(set_address=self.note)
         self.membership = types.SimpleNamespace(set_seeds=self.take)
         self.control = None
         self.addresses = {}
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_suspension.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_suspension.py
@@ -16,7 +16,7 @@
 import trio
 
 from bendwind_core.timeline import EventKind
-from bendwind_node.clock import SteadyClock, read_steady
+from bendwind_node.clock import SteadyClock, read_steady_clock
 from bendwind_node.daemon import run_daemon
 from bendwind_node.settings import load_settings
 
@@ -50,7 +50,7 @@
         self.omitted = 0.0
 
     def current_time(self):
-        return read_steady() + self.omitted
+        return read_steady_clock() + self.omitted
 
     def deadline_to_sleep_time(self, deadline):
         return deadline - self.current_time()
--- a/packages/bendwind-node/src/bendwind_node/links/hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/hub.py
@@ -26,7 +26,7 @@
 from bendwind_core.world import Instance
 from bendwind_node.links.link import OUTBOX_MESSAGES, Link, Receiver
 from bendwind_node.security import Keys, read_identity
-from bendwind_node.streams import PromptListener, open_prompt_stream
+from bendwind_node.streams import DirectListener, open_direct_stream
 
 DIAL_TIMEOUT_S: Seconds = 1.0
 # The dialer alone looks after a link. What hangs on it has deadlines of its own.
@@ -78,7 +78,7 @@
     silence_ms: int | None = None
     compresses_far: bool = False
     link_mbps: float = DEFAULT_LINK_MBPS
-    find_registered: Callable[[str], int] = lambda name: 0
+    find_registered_incarnation: Callable[[str], int] = lambda name: 0
     nursery: trio.Nursery | None = None
     next_epoch: int = 1
     addresses: dict[str, Address] = msgspec.field(default_factory=dict)
@@ -88,7 +88,7 @@
     unreached: set[str] = msgspec.field(default_factory=set)
     has_owing: trio.Event = msgspec.field(default_factory=trio.Event)
 
-    def learn_address(self, peer: str, host: str, port: int, data_centre: str = "") -> None:
+    def set_address(self, peer: str, host: str, port: int, data_centre: str = "") -> None:
         """Remember where a peer is to be dialed."""
         self.addresses[peer] = Address(host, port, data_centre)
 
@@ -96,7 +96,7 @@
         """Return an open link to the peer, the dialed one first."""
         return self.dialed.get(peer) or self.accepted.get(peer)
 
-    def reaches(self, peer: Instance) -> bool:
+    def has_dialed_link(self, peer: Instance) -> bool:
         """Tell whether this process has dialed a link to this very run of a peer."""
         link = self.dialed.get(peer.name)
         return link is not None and link.is_open and link.peer.incarnation == peer.incarnation
@@ -136,7 +136,7 @@
             nursery.start_soon(self._watch_quiet)
             await serve(
                 self._accept,
-                listeners=[PromptListener(listener, self.silence_ms) for listener in listeners],
+                listeners=[DirectListener(listener, self.silence_ms) for listener in listeners],
                 ssl=None if self.keys is None else self.keys.server,
                 # The dialer alone knows how far it is, and asks for compression or not.
                 compression=COMPRESSION,
@@ -185,7 +185,7 @@
         scheme = "ws" if secure is None else "wss"
         try:
             with trio.fail_after(DIAL_TIMEOUT_S):
-                stream = await open_prompt_stream(address.host, address.port, self.silence_ms)
+                stream = await open_direct_stream(address.host, address.port, self.silence_ms)
             async with connect(
                 f"{scheme}://{address.host}:{address.port}/",
                 stream=stream,
@@ -243,7 +243,7 @@
     def _find_incarnation(self, name: str) -> int:
         links = (table.get(name) for table in (self.dialed, self.accepted))
         linked = [link.peer.incarnation for link in links if link is not None]
-        return max([self.find_registered(name), *linked])
+        return max([self.find_registered_incarnation(name), *linked])
 
     def _encode(self, messages: list[PeerMessage]) -> bytes:
         stamp = self.recorder.timestamp()
--- a/packages/bendwind-node/src/bendwind_node/links/incarnation.py
+++ b/packages/bendwind-node/src/bendwind_node/links/incarnation.py
@@ -21,7 +21,7 @@
     encode_frame,
 )
 from bendwind_node.links.hub import Address
-from bendwind_node.streams import open_prompt_stream
+from bendwind_node.streams import open_direct_stream
 
 # Voters answer within a few milliseconds; one that is down or cut off must not hold up the start.
 QUESTION_TIMEOUT: Seconds = 0.3
@@ -29,7 +29,7 @@
 _FAILURES = (OSError, ConnectionClosed, InvalidHandshake, trio.BrokenResourceError)
 
 
-async def ask_incarnation(
+async def query_incarnation(
     name: str, voters: Iterable[Address], secure: ssl.SSLContext | None = None
 ) -> int:
     """Return the highest incarnation that the first voter to answer knows of a name, 0 if none."""
@@ -51,7 +51,7 @@
 async def _ask_one(name: str, address: Address, secure: ssl.SSLContext | None) -> int | None:
     scheme = "ws" if secure is None else "wss"
     try:
-        stream = await open_prompt_stream(address.host, address.port)
+        stream = await open_direct_stream(address.host, address.port)
         async with connect(
             f"{scheme}://{address.host}:{address.port}/",
             stream=stream,
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_dial_failures.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_dial_failures.py
@@ -11,7 +11,7 @@
     """Dial a port where nobody listens."""
     with trio.socket.socket() as taken:
         await taken.bind(("127.0.0.1", 0))
-        hub.learn_address(peer, "127.0.0.1", taken.getsockname()[1])
+        hub.set_address(peer, "127.0.0.1", taken.getsockname()[1])
         async with trio.open_nursery() as nursery:
             hub.nursery = nursery
             for _ in range(times):
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_hub.py
@@ -73,7 +73,7 @@
                     def connect(name="a", incarnation=1):
                         client = make_hub(name, incarnation)
                         client.nursery = nursery
-                        client.learn_address("b", "127.0.0.1", port)
+                        client.set_address("b", "127.0.0.1", port)
                         return client
 
                     await check(connect, server)
@@ -98,7 +98,7 @@
                 client = connect(f"to-{data_centre}")
                 client.compresses_far = True
                 address = client.addresses["b"]
-                client.learn_address("b", address.host, address.port, data_centre)
+                client.set_address("b", address.host, address.port, data_centre)
                 sent = [Goodbye(f"m{number}") for number in range(20)]
                 for message in sent:
                     client.send("b", message)
@@ -112,7 +112,7 @@
     def test_unreached_peer_gives_back_what_never_left(self):
         async def check(connect, server):
             client = connect()
-            client.learn_address("c", "127.0.0.1", 1)
+            client.set_address("c", "127.0.0.1", 1)
             client.send("c", Goodbye("a"))
             await wait_until(client.receiver, lambda: client.receiver.unsent)
             self.assertEqual(client.receiver.unsent, [Goodbye("a")])
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
@@ -4,7 +4,7 @@
 import trio.testing
 
 from bendwind_core.messages import Goodbye
-from bendwind_node.links import Address, ask_incarnation
+from bendwind_node.links import Address, query_incarnation
 from bendwind_node.links.tests.test_hub import make_hub, wait_until
 
 
@@ -26,23 +26,23 @@
         async def check(server, address, nursery):
             client = make_hub("a", 7)
             client.nursery = nursery
-            client.learn_address("b", address.host, address.port)
+            client.set_address("b", address.host, address.port)
             client.send("b", Goodbye("a"))
             await wait_until(server.receiver, lambda: server.receiver.heard)
-            self.assertEqual(await ask_incarnation("a", [address]), 7)
+            self.assertEqual(await query_incarnation("a", [address]), 7)
 
         self.run_with(check)
 
     def test_voter_tells_what_it_registered(self):
         async def check(server, address, nursery):
-            server.find_registered = {"a": 9}.get
-            self.assertEqual(await ask_incarnation("a", [address]), 9)
+            server.find_registered_incarnation = {"a": 9}.get
+            self.assertEqual(await query_incarnation("a", [address]), 9)
 
         self.run_with(check)
 
     def test_nobody_to_ask_gives_nothing(self):
         async def main():
-            return await ask_incarnation("a", [Address("127.0.0.1", 1)])
+            return await query_incarnation("a", [Address("127.0.0.1", 1)])
 
         self.assertEqual(trio.run(main), 0)
 
@@ -59,7 +59,7 @@
                     scope = trio.CancelScope()
                     nursery.start_soon(self.serve, server, listeners, scope)
                     nursery.start_soon(client.run, own)
-                    client.learn_address("b", "127.0.0.1", port)
+                    client.set_address("b", "127.0.0.1", port)
                     await trio.testing.wait_all_tasks_blocked()
                     client.send("b", Goodbye("a"))
                     await wait_until(client.receiver, lambda: client.receiver.opened)
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_secure_links.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_secure_links.py
@@ -46,7 +46,7 @@
 async def send_one(client, server):
     """Send one message from one hub to another; return when it came or could not."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-    client.learn_address("b", "127.0.0.1", listeners[0].socket.getsockname()[1])
+    client.set_address("b", "127.0.0.1", listeners[0].socket.getsockname()[1])
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.run, listeners)
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_stopping_hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_stopping_hub.py
@@ -75,7 +75,7 @@
                     nursery.start_soon(run_owner)
                     await nursery.start(link.run, listener.socket.getsockname()[1])
                     entry.nursery = nursery
-                    entry.learn_address("owner", "127.0.0.1", link.port)
+                    entry.set_address("owner", "127.0.0.1", link.port)
                     entry.send("owner", Goodbye("entry"))
                     link.may_pass.set()
                     await wait_until(owner.receiver, lambda: owner.receiver.heard)
--- a/packages/bendwind-node/src/bendwind_node/logs/aside_handler.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/background_handler.py
@@ -16,10 +16,10 @@
 CLOSE_TIMEOUT: Seconds = 0.5
 
 
-class AsideHandler(logging.Handler):
+class BackgroundHandler(logging.Handler):
     """Queue formatted lines for a thread that writes them; what finds no room is counted.
 
-    `left_out` counts the lines that were dropped and are not yet told of, `total_left_out` all.
+    `left_out` counts the lines that were dropped and are not yet told of, `total_dropped` all.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.max_waiting = max_waiting
         self.waiting: collections.deque[str] = collections.deque()
         self.left_out = 0
-        self.total_left_out = 0
+        self.total_dropped = 0
         self.is_closing = False
         self.has_lines = threading.Event()
         self.thread = threading.Thread(target=self._run, name="log", daemon=True)
@@ -44,7 +44,7 @@
         """Queue a record's line."""
         if len(self.waiting) >= self.max_waiting:
             self.left_out += 1
-            self.total_left_out += 1
+            self.total_dropped += 1
             return
         try:
             self.waiting.append(self.format(record))
@@ -85,4 +85,4 @@
             self.stream.flush()
         except (OSError, ValueError):
             # Nobody reads any more. There is nowhere left to tell it; the counter does.
-            self.total_left_out += len(lines)
+            self.total_dropped += len(lines)
--- a/packages/bendwind-node/src/bendwind_node/logs/configure.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/configure.py
@@ -4,7 +4,7 @@
 import sys
 from typing import TextIO
 
-from bendwind_node.logs.aside_handler import AsideHandler
+from bendwind_node.logs.background_handler import BackgroundHandler
 from bendwind_node.logs.formatters import JsonFormatter, TextFormatter, describe_left_out
 from bendwind_node.settings import Settings
 
@@ -20,7 +20,9 @@
     instance = settings.instance.name
     is_json = settings.logging.format == "json"
     formatter = JsonFormatter(instance) if is_json else TextFormatter(instance)
-    handler = AsideHandler(stream or sys.stdout, lambda count: describe_left_out(formatter, count))
+    handler = BackgroundHandler(
+        stream or sys.stdout, lambda count: describe_left_out(formatter, count)
+    )
     handler.setFormatter(formatter)
     logging.basicConfig(handlers=[handler], level=logging.WARNING, force=True)
     logging.getLogger("bendwind").setLevel(settings.logging.level.upper())
--- a/packages/bendwind-node/src/bendwind_node/logs/tests/test_aside_handler.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/tests/test_background_handler.py
@@ -3,7 +3,7 @@
 import threading
 import unittest
 
-from bendwind_node.logs.aside_handler import AsideHandler
+from bendwind_node.logs.background_handler import BackgroundHandler
 
 
 class StuckStream:
@@ -29,7 +29,7 @@
 
 class AsideHandlerTest(unittest.TestCase):
     def make(self, stream, max_waiting=3):
-        handler = AsideHandler(stream, lambda count: f"left out {count}", max_waiting)
+        handler = BackgroundHandler(stream, lambda count: f"left out {count}", max_waiting)
         self.addCleanup(handler.close)
         return handler
 
@@ -49,7 +49,7 @@
         self.assertTrue(stream.entered.wait(10))
         for number in range(10):
             log(handler, str(number))
-        self.assertEqual((len(handler.waiting), handler.total_left_out), (3, 7))
+        self.assertEqual((len(handler.waiting), handler.total_dropped), (3, 7))
         stream.released.set()
         handler.close()
         self.assertEqual(stream.text.split("\n"), ["first", "0", "1", "2", "left out 7", ""])
@@ -60,7 +60,7 @@
         stream.close()
         log(handler, "lost")
         handler.close()
-        self.assertEqual(handler.total_left_out, 1)
+        self.assertEqual(handler.total_dropped, 1)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-node/src/bendwind_node/main.py
+++ b/packages/bendwind-node/src/bendwind_node/main.py
@@ -5,7 +5,7 @@
 
 import fire
 
-from bendwind_node.early_signals import hold_signals
+from bendwind_node.early_signals import capture_signals
 from bendwind_node.settings import load_settings
 
 EXIT_BAD_SETTINGS = 5
@@ -47,7 +47,7 @@
 
 def main() -> None:
     """Run bendwindd."""
-    hold_signals()
+    capture_signals()
     fire.Fire(run, name="bendwindd")
 
 
--- a/packages/bendwind-node/src/bendwind_node/metrics/gather.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/gather.py
@@ -18,7 +18,7 @@
 from bendwind_node.claims.task import ClaimTask
 from bendwind_node.control.service import ControlService
 from bendwind_node.links import LinkHub
-from bendwind_node.logs.aside_handler import AsideHandler
+from bendwind_node.logs.background_handler import BackgroundHandler
 from bendwind_node.membership import MembershipTask
 from bendwind_node.metrics.catalogue import Metric
 from bendwind_node.metrics.sample import Sample
@@ -84,8 +84,8 @@
 def gather_logs() -> Iterator[Sample]:
     """Read how many log lines found no room."""
     handlers = logging.getLogger().handlers
-    aside = [handler for handler in handlers if isinstance(handler, AsideHandler)]
-    yield Sample(Metric.LOG_LINES_LEFT_OUT, sum(handler.total_left_out for handler in aside))
+    aside = [handler for handler in handlers if isinstance(handler, BackgroundHandler)]
+    yield Sample(Metric.LOG_LINES_LEFT_OUT, sum(handler.total_dropped for handler in aside))
 
 
 def gather_requests(accounts: Iterable[RequestAccount]) -> Iterator[Sample]:
--- a/packages/bendwind-node/src/bendwind_node/streams/prompt_stream.py
+++ b/packages/bendwind-node/src/bendwind_node/streams/direct_stream.py
@@ -14,7 +14,7 @@
 RECEIVE_BYTES = 64 * 1024
 
 
-class PromptStream(trio.abc.HalfCloseableStream):
+class DirectStream(trio.abc.HalfCloseableStream):
     """Carry bytes over a connected TCP socket."""
 
     __slots__ = ("inner", "socket")
@@ -25,11 +25,11 @@
 
     async def send_all(self, data: bytes) -> None:
         """Send all data."""
-        sent = self.send_now(data)
+        sent = self.send_nowait(data)
         if sent < len(data):
             await self.inner.send_all(memoryview(data)[sent:])
 
-    def send_now(self, data: bytes) -> int:
+    def send_nowait(self, data: bytes) -> int:
         """Send what the socket takes at once and return how many bytes that were."""
         try:
             return os.write(self._find_number(), data)
@@ -60,7 +60,7 @@
             except OSError as error:
                 raise trio.BrokenResourceError(str(error)) from error
 
-    def receive_now(self) -> bytes:
+    def receive_nowait(self) -> bytes:
         """Return the bytes that have come, empty where there are none."""
         try:
             return os.read(self._find_number(), RECEIVE_BYTES)
@@ -78,7 +78,7 @@
         await self.inner.aclose()
 
 
-class PromptListener(trio.abc.Listener):
+class DirectListener(trio.abc.Listener):
     """Accept connections as prompt streams."""
 
     __slots__ = ("inner", "silence_ms", "socket")
@@ -88,16 +88,16 @@
         self.socket = inner.socket
         self.silence_ms = silence_ms
 
-    async def accept(self) -> PromptStream:
+    async def accept(self) -> DirectStream:
         """Wait for a connection."""
-        return _bound_silence(PromptStream(await self.inner.accept()), self.silence_ms)
+        return _bound_silence(DirectStream(await self.inner.accept()), self.silence_ms)
 
     async def aclose(self) -> None:
         """Stop listening."""
         await self.inner.aclose()
 
 
-def _bound_silence(stream: PromptStream, silence_ms: int | None) -> PromptStream:
+def _bound_silence(stream: DirectStream, silence_ms: int | None) -> DirectStream:
     """Have the system break a connection off whose peer acknowledges nothing for a time.
 
     Source: RFC 5482; a peer that lost power or is cut off gives no other sign.
@@ -107,10 +107,10 @@
     return stream
 
 
-async def open_prompt_stream(host: str, port: int, silence_ms: int | None = None) -> PromptStream:
+async def open_direct_stream(host: str, port: int, silence_ms: int | None = None) -> DirectStream:
     """Connect to an address.
 
     Errors: raises OSError.
     Units: `silence_ms` is how long the connection lasts without acknowledgement, in milliseconds.
     """
-    return _bound_silence(PromptStream(await trio.open_tcp_stream(host, port)), silence_ms)
+    return _bound_silence(DirectStream(await trio.open_tcp_stream(host, port)), silence_ms)
--- a/packages/bendwind-node/src/bendwind_node/streams/tests/test_prompt_stream.py
+++ b/packages/bendwind-node/src/bendwind_node/streams/tests/test_direct_stream.py
@@ -4,13 +4,13 @@
 import trio.testing
 
 from bendwind_node.calls.tests.scripted_server import reset
-from bendwind_node.streams import PromptListener, PromptStream, open_prompt_stream
+from bendwind_node.streams import DirectListener, DirectStream, open_direct_stream
 
 
 async def make_pair():
     listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
-    client = await open_prompt_stream("127.0.0.1", listener.socket.getsockname()[1])
-    server = await PromptListener(listener).accept()
+    client = await open_direct_stream("127.0.0.1", listener.socket.getsockname()[1])
+    server = await DirectListener(listener).accept()
     await listener.aclose()
     return client, server
 
@@ -83,6 +83,6 @@
                     await client.receive_some(1)
                 with self.assertRaises(trio.BrokenResourceError):
                     await client.send_all(b"x")
-            self.assertIsInstance(client, PromptStream)
+            self.assertIsInstance(client, DirectStream)
 
         trio.run(main)
--- a/packages/bendwind-node/src/bendwind_node/tests/test_clock.py
+++ b/packages/bendwind-node/src/bendwind_node/tests/test_clock.py
@@ -7,7 +7,7 @@
 import trio
 
 from bendwind_node import main
-from bendwind_node.clock import STEADY_CLOCK, SteadyClock, read_steady
+from bendwind_node.clock import STEADY_CLOCK, SteadyClock, read_steady_clock
 
 SOURCES = Path(__file__).parents[1]
 # What people read, numbers of runs, and how long a disk takes.
@@ -22,13 +22,13 @@
     def test_steady_clock_counts_suspended_time(self):
         self.assertEqual(STEADY_CLOCK, time.CLOCK_BOOTTIME)
         before = time.clock_gettime(time.CLOCK_BOOTTIME)
-        self.assertTrue(before <= read_steady() <= time.clock_gettime(time.CLOCK_BOOTTIME))
+        self.assertTrue(before <= read_steady_clock() <= time.clock_gettime(time.CLOCK_BOOTTIME))
 
     def test_tasks_go_by_it_and_wait_by_it(self):
         async def run():
-            before = read_steady()
+            before = read_steady_clock()
             await trio.sleep(0.01)
-            return before + 0.01 <= trio.current_time() <= read_steady()
+            return before + 0.01 <= trio.current_time() <= read_steady_clock()
 
         self.assertTrue(trio.run(run, clock=SteadyClock()))
 
--- a/packages/bendwind-node/src/bendwind_node/tests/test_early_signals.py
+++ b/packages/bendwind-node/src/bendwind_node/tests/test_early_signals.py
@@ -6,11 +6,11 @@
 
 # The process tells once it holds its signals, and then waits to be told to go on.
 HOLDING = """
-from bendwind_node.early_signals import hold_signals, is_reload_asked, is_stop_asked
-hold_signals()
+from bendwind_node.early_signals import capture_signals, is_reload_requested, is_stop_requested
+capture_signals()
 print("holds", flush=True)
 input()
-print(is_stop_asked(), is_reload_asked())
+print(is_stop_requested(), is_reload_requested())
 """
 
 
