--- a/packages/bendwind-node/src/bendwind_node/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/__init__.py
@@ -1,8 +1,8 @@
-"""The daemon: tasks that own sockets and carry out the core's decisions."""
+"""The daemon: tasks that own sockets and apply the core's decisions."""
 
 from bendwind_node.clock import read_steady_clock
 
 __all__ = ["STARTED_AT"]
 
-# An earlier run of this process sent nothing after this, on the steady clock in seconds.
+# Time on the steady clock, in seconds, after which no earlier run of this process sent anything.
 STARTED_AT = read_steady_clock()
--- a/packages/bendwind-node/src/bendwind_node/clock.py
+++ b/packages/bendwind-node/src/bendwind_node/clock.py
@@ -1,46 +1,47 @@
-"""Tell the time that leases, fences, deadlines and expiries go by: it counts while suspended.
+"""Read the clock of leases, fences, deadlines and expiries, which also counts suspended time.
 
-A machine may stand still for seconds. Python's steady clocks leave that time out, so that a node
-which wakes up would take its proof of freshness, its leases and its callers' deadlines for as young
-as they were. CLOCK_BOOTTIME counts it.
+A machine may be suspended for seconds. Python's steady clocks do not count that time: a node that
+resumes would treat its proof of freshness, its leases and its callers' deadlines as if no time had
+passed. CLOCK_BOOTTIME counts it.
 
-Other clocks are read only for: what people read and numbers of runs (wall clock, `daemon.build`),
-the time that a disk takes (`storage.measure`), how long the command line waits for an answer.
+Other clocks are read only for these purposes: times shown to people and incarnation numbers (wall
+clock, `daemon.build`), the duration of disk operations (`storage.measure`), and how long the
+command line waits for an answer.
 """
 
 import time
 
-# Where a system has no such clock, its steady one has to do.
+# Systems without CLOCK_BOOTTIME use their steady clock.
 STEADY_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 _NANOSECONDS_PER_MICROSECOND = 1_000
 
 
 def read_steady_clock() -> float:
-    """Return the seconds since the machine started, suspended ones included."""
+    """Return the seconds since the machine started, including suspended time."""
     return time.clock_gettime(STEADY_CLOCK)
 
 
 def read_steady_clock_us() -> int:
-    """Return the microseconds since the machine started, suspended ones included."""
+    """Return the microseconds since the machine started, including suspended time."""
     return time.clock_gettime_ns(STEADY_CLOCK) // _NANOSECONDS_PER_MICROSECOND
 
 
 class SteadyClock:
-    """Have trio go by the steady clock; implements `trio.abc.Clock`, which is heavy to import.
+    """Make trio use the steady clock; implements `trio.abc.Clock`, which is slow to import.
 
-    The kernel waits by a clock that stands still with the machine. After a suspension a task may so
-    wake up late, by what was left of its wait, and then reads the true time.
+    The kernel waits by a clock that stops while the machine is suspended. After a suspension, a
+    task may therefore wake up late, by at most the rest of its wait, and then reads the true time.
     """
 
     __slots__ = ()
 
     def start_clock(self) -> None:
-        """Begin a run; there is nothing to set."""
+        """Start a run of trio; the clock needs no preparation."""
 
     def current_time(self) -> float:
-        """Return the time that `trio.current_time` gives."""
+        """Return the time for `trio.current_time`."""
         return read_steady_clock()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return how long to wait for a deadline."""
+        """Return the seconds until a deadline."""
         return deadline - read_steady_clock()
--- a/packages/bendwind-node/src/bendwind_node/deferred_imports.py
+++ b/packages/bendwind-node/src/bendwind_node/deferred_imports.py
@@ -1,6 +1,7 @@
-"""Load modules that libraries import but a process does not use only once they are used.
+"""Defer loading of modules that libraries import but a process may never use.
 
-Import this module before any other of the package: what is loaded already stays loaded.
+A deferred module is loaded at its first use. Import this module before any other module of the
+package: modules that are already loaded stay loaded.
 """
 
 import importlib.util
@@ -10,8 +11,8 @@
 from types import ModuleType
 
 # Modules that trio, websockets, attrs, expression and msgspec import for features that no process
-# of this package uses. A start takes 349 instead of 383 ms of processor time and 36.0 instead of
-# 39.9 MB (best of 15 loads of the program on the users' platform, and the peak of one).
+# of this package uses. Deferring them reduces the start from 383 to 349 ms of processor time (best
+# of 15 loads of the program on the users' platform) and from 39.9 to 36.0 MB (peak of one load).
 DEFERRED = frozenset(
     {
         "asyncio.format_helpers",
@@ -42,7 +43,7 @@
 
 
 class DeferringFinder:
-    """Find the deferred modules, to be loaded at the first use of one of their names."""
+    """Find deferred modules such that they are loaded when one of their names is first used."""
 
     @staticmethod
     def find_spec(
@@ -59,5 +60,5 @@
 
 
 def defer_imports() -> None:
-    """Have the deferred modules loaded at their first use from now on."""
+    """Install the finder that loads deferred modules at their first use."""
     sys.meta_path.insert(0, DeferringFinder)
--- a/packages/bendwind-node/src/bendwind_node/early_signals.py
+++ b/packages/bendwind-node/src/bendwind_node/early_signals.py
@@ -1,7 +1,7 @@
-"""Take the signals of a process from its first moment to its last.
+"""Capture the signals that a process receives before and after its signal receiver is open.
 
-Call capture_signals before importing what takes time to load. Without it, a signal that comes
-before a receiver is open, or after it is closed, ends the process.
+Call capture_signals before importing modules that take time to load. Without it, a signal that
+arrives before a receiver is open, or after it is closed, ends the process.
 """
 
 import signal
@@ -10,24 +10,24 @@
 STOP_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT})
 RELOAD_SIGNALS = frozenset({signal.SIGHUP})
 
-_heard: set[int] = set()
+_received: set[int] = set()
 
 
 def capture_signals() -> None:
-    """Note the signals that ask for a stop or a reload until someone listens."""
+    """Record the signals that request a stop or a reload while no signal receiver is open."""
     for number in STOP_SIGNALS | RELOAD_SIGNALS:
-        signal.signal(number, _note)
+        signal.signal(number, _record)
 
 
-def _note(number: int, frame: FrameType | None) -> None:
-    _heard.add(number)
+def _record(number: int, frame: FrameType | None) -> None:
+    _received.add(number)
 
 
 def is_stop_requested() -> bool:
-    """Tell whether a stop was asked for while nobody listened."""
-    return bool(_heard & STOP_SIGNALS)
+    """Return whether a stop was requested while no signal receiver was open."""
+    return bool(_received & STOP_SIGNALS)
 
 
 def is_reload_requested() -> bool:
-    """Tell whether a reload was asked for while nobody listened."""
-    return bool(_heard & RELOAD_SIGNALS)
+    """Return whether a reload was requested while no signal receiver was open."""
+    return bool(_received & RELOAD_SIGNALS)
--- a/packages/bendwind-node/src/bendwind_node/http/asgi_server.py
+++ b/packages/bendwind-node/src/bendwind_node/http/asgi_server.py
@@ -8,15 +8,15 @@
 
 from bendwind_core.core import Seconds
 
-# hypercorn closes a connection after 1,000 requests unless told otherwise.
+# By default hypercorn closes a connection after 1,000 requests.
 MAX_REQUESTS_PER_CONNECTION = 1_000_000_000
 GRACEFUL_TIMEOUT: Seconds = 60.0
 
 
 class AsgiServer(msgspec.Struct, eq=False):
-    """Say what to serve on: a listening socket's file number, which the server owns from now on."""
+    """Configure a server; it takes ownership of the listening socket's file descriptor."""
 
-    file_number: int
+    file_descriptor: int
     keep_alive: Seconds
     header_bytes: int
     shutdown: trio.Event = msgspec.field(default_factory=trio.Event)
@@ -24,13 +24,13 @@
 
 
 async def serve_asgi(app: Callable, server: AsgiServer) -> None:
-    """Serve an ASGI application until shut down, then finish what is in flight."""
-    # hypercorn is heavy, and a process that only checks its settings does without.
+    """Serve an ASGI application until shutdown, then finish the requests in flight."""
+    # hypercorn is slow to import, and a process that only checks its settings does not need it.
     from hypercorn.config import Config
     from hypercorn.trio import serve
 
     class _Config(Config):
-        """Use the process's own TLS context, which follows renewed keys."""
+        """Use the process's own TLS context, which switches to renewed keys."""
 
         @property
         def ssl_enabled(self) -> bool:
@@ -40,7 +40,7 @@
             return server.tls
 
     config = _Config()
-    config.bind = [f"fd://{server.file_number}"]
+    config.bind = [f"fd://{server.file_descriptor}"]
     config.keep_alive_timeout = server.keep_alive
     config.keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
     config.graceful_timeout = GRACEFUL_TIMEOUT
--- a/packages/bendwind-node/src/bendwind_node/http/lifespan.py
+++ b/packages/bendwind-node/src/bendwind_node/http/lifespan.py
@@ -1,4 +1,4 @@
-"""Answer the part of ASGI that tells of a server's start and stop."""
+"""Implement the lifespan protocol of ASGI, which announces a server's start and stop."""
 
 from collections.abc import Awaitable, Callable
 
@@ -6,7 +6,7 @@
 async def serve_lifespan(
     receive: Callable[[], Awaitable[dict]], send: Callable[[dict], Awaitable[None]]
 ) -> None:
-    """Acknowledge start and stop."""
+    """Acknowledge the server's start and stop."""
     while True:
         message = await receive()
         match message["type"]:
--- a/packages/bendwind-node/src/bendwind_node/links/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/links/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the links between bendwindd processes."""
+"""Connect bendwindd processes to each other by links."""
 
 from bendwind_node.links.hub import Address, LinkHub, create_link_hub
 from bendwind_node.links.incarnation import query_incarnation
--- a/packages/bendwind-node/src/bendwind_node/links/hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/hub.py
@@ -1,4 +1,4 @@
-"""Own the links of one process: accept, dial on demand, send and receive."""
+"""Manage the links of one process: accept links, dial on demand, send and receive messages."""
 
 import contextlib
 import math
@@ -24,39 +24,41 @@
 )
 from bendwind_core.timeline import EventKind, HybridTime, Recorder
 from bendwind_core.world import Instance
-from bendwind_node.links.link import OUTBOX_MESSAGES, Link, Receiver
+from bendwind_node.links.link import MAX_QUEUED_MESSAGES, Link, Receiver
 from bendwind_node.security import Keys, read_identity
 from bendwind_node.streams import DirectListener, open_direct_stream
 
 DIAL_TIMEOUT_S: Seconds = 1.0
-# The dialer alone looks after a link. What hangs on it has deadlines of its own.
+# Only the dialer checks whether a link is alive. The work that depends on a link has its own
+# deadlines.
 PING_INTERVAL_S: Seconds = 20.0
-IDLE_LINK: Seconds = 60.0
+IDLE_LINK_TIMEOUT: Seconds = 60.0
 CHECK_TIMEOUT: Seconds = 1.0
-# A sign of life takes a round trip, which is milliseconds within a region.
-SIGN_TIMEOUT: Seconds = 0.3
-# A process that ends waits no longer than this until its peers have what it sent them.
+# A pong takes one round trip, which is milliseconds within a region.
+PONG_TIMEOUT: Seconds = 0.3
+# A process that stops waits at most this long for its peers to receive what it sent them.
 FLUSH_TIMEOUT: Seconds = 0.25
-FLUSH_POLL: Seconds = 0.002
-# A sign of life waits behind what is being sent on the instance's link, a large body or a
-# configuration. The time that so many bytes take at `link_mbps` is added to `SIGN_TIMEOUT`, so that
-# a slow link is not closed under a caller's upload.
+FLUSH_POLL_INTERVAL: Seconds = 0.002
+# A pong waits behind the data that is being sent on the instance's network link, such as a large
+# body or a configuration. The time that this many bytes take at `link_mbps` is added to
+# `PONG_TIMEOUT`, so that a slow link is not closed during a caller's upload.
 BACKLOG_BYTES = 200_000
 DEFAULT_LINK_MBPS = 1000.0
-BITS = 8
-MEGA = 1_000_000
+BITS_PER_BYTE = 8
+BITS_PER_MEGABIT = 1_000_000
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 MAX_BATCH = 64
 MAX_UNSENT = 256
 
 
-# Messages to one peer are much alike, so that its last few kilobytes foretell the next one; more
-# history would cost memory at each link. RFC 7692, with the library's settings for small windows.
+# Messages to one peer are similar, so the last few kilobytes predict the next message well. A
+# larger window would cost memory for each link.
+# Source: RFC 7692, with the library's settings for small windows.
 COMPRESSION = "deflate"
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Say where a peer listens; its data centre is empty where that is not known."""
+    """Hold the address at which a peer listens; its data centre is empty if unknown."""
 
     host: str
     port: int
@@ -64,10 +66,13 @@
 
 
 class LinkHub(msgspec.Struct, eq=False):
-    """Own every link of this process, at most one dialed and one accepted for each peer.
+    """Manage every link of this process, at most one dialed and one accepted for each peer.
 
-    `compresses_far` has links to other data centres compressed.
-    Units: `link_mbps` is the rate of the instance's own link, in megabits a second.
+    `compresses_far` enables compression of links to other data centres.
+    `dialing` holds, for each peer that is being dialed, the messages to send once its link opens.
+    `unreachable_peers` are the peers whose dial failed and with which no link has opened since.
+    `reply_awaited` is set when a link begins to wait for a message or pong.
+    Units: `link_mbps` is the rate of the instance's own network link, in megabits per second.
     """
 
     own: Instance
@@ -85,31 +90,31 @@
     dialed: dict[str, Link] = msgspec.field(default_factory=dict)
     accepted: dict[str, Link] = msgspec.field(default_factory=dict)
     dialing: dict[str, list[PeerMessage]] = msgspec.field(default_factory=dict)
-    unreached: set[str] = msgspec.field(default_factory=set)
-    has_owing: trio.Event = msgspec.field(default_factory=trio.Event)
+    unreachable_peers: set[str] = msgspec.field(default_factory=set)
+    reply_awaited: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def set_address(self, peer: str, host: str, port: int, data_centre: str = "") -> None:
-        """Remember where a peer is to be dialed."""
+        """Set the address at which a peer is dialed."""
         self.addresses[peer] = Address(host, port, data_centre)
 
     def find_link(self, peer: str) -> Link | None:
-        """Return an open link to the peer, the dialed one first."""
+        """Return an open link to the peer, preferably the dialed one."""
         return self.dialed.get(peer) or self.accepted.get(peer)
 
     def has_dialed_link(self, peer: Instance) -> bool:
-        """Tell whether this process has dialed a link to this very run of a peer."""
+        """Return whether an open dialed link leads to this incarnation of a peer."""
         link = self.dialed.get(peer.name)
         return link is not None and link.is_open and link.peer.incarnation == peer.incarnation
 
     def send(self, peer: str, message: PeerMessage) -> bool:
-        """Send over any open link, or dial if the address is known; else drop and say so."""
+        """Send over any open link, or dial if the address is known; return False if dropped."""
         link = self.find_link(peer)
         if link is not None:
             return link.send(message)
         return self.send_dialed(peer, message)
 
     def send_dialed(self, peer: str, message: PeerMessage) -> bool:
-        """Send over the link this process dialed, dialing first if there is none."""
+        """Send over the link that this process dialed; dial first if there is none."""
         link = self.dialed.get(peer)
         if link is not None:
             return link.send(message)
@@ -133,12 +138,12 @@
         """Accept and dial links until cancelled."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
-            nursery.start_soon(self._watch_quiet)
+            nursery.start_soon(self._run_liveness_checks)
             await serve(
                 self._accept,
                 listeners=[DirectListener(listener, self.silence_ms) for listener in listeners],
                 ssl=None if self.keys is None else self.keys.server,
-                # The dialer alone knows how far it is, and asks for compression or not.
+                # Only the dialer knows the distance, so it decides whether to offer compression.
                 compression=COMPRESSION,
                 ping_interval=None,
                 max_size=MAX_FRAME_BYTES,
@@ -149,26 +154,30 @@
         with trio.move_on_after(DIAL_TIMEOUT_S):
             hello = await self._answer_hello(socket)
         if hello is not None:
-            await self._carry(socket, hello, hello.epoch, is_dialed=False)
+            await self._run_link(socket, hello, hello.epoch, is_dialed=False)
 
     async def _answer_hello(self, socket: Connection) -> Hello | None:
         try:
             hello = await self._receive_hello(socket)
-            if hello is None or not self._proves_name(socket, hello) or not self._is_newer(hello):
+            if (
+                hello is None
+                or not self._has_matching_certificate(socket, hello)
+                or not self._is_newer(hello)
+            ):
                 return None
             await self._send_hello(socket, hello.epoch)
         except (ConnectionClosed, trio.BrokenResourceError):
             return None
         return hello
 
-    def _proves_name(self, socket: Connection, hello: Hello) -> bool:
-        """Tell whether the peer's certificate, where links have one, names the sender."""
+    def _has_matching_certificate(self, socket: Connection, hello: Hello) -> bool:
+        """Return whether the peer's certificate names the sender; True if links have no TLS."""
         if self.keys is None:
             return True
         identity = read_identity(socket.stream)
         if identity is not None and identity.is_instance(hello.sender.name):
             return True
-        detail = f"{identity} said to be {hello.sender.name}"
+        detail = f"{identity} claimed to be {hello.sender.name}"
         self.recorder.record(EventKind.PEER_REFUSED, detail=detail)
         return False
 
@@ -181,16 +190,16 @@
     async def _dial(self, peer: str, address: Address) -> None:
         epoch = self.next_epoch
         self.next_epoch += 1
-        secure = None if self.keys is None else self.keys.client
-        scheme = "ws" if secure is None else "wss"
+        ssl_context = None if self.keys is None else self.keys.client
+        scheme = "ws" if ssl_context is None else "wss"
         try:
             with trio.fail_after(DIAL_TIMEOUT_S):
                 stream = await open_direct_stream(address.host, address.port, self.silence_ms)
             async with connect(
                 f"{scheme}://{address.host}:{address.port}/",
                 stream=stream,
-                ssl=secure,
-                server_hostname=None if secure is None else peer,
+                ssl=ssl_context,
+                server_hostname=None if ssl_context is None else peer,
                 compression=self._find_compression(address),
                 proxy=None,
                 open_timeout=DIAL_TIMEOUT_S,
@@ -204,7 +213,7 @@
                     await self._send_hello(socket, epoch)
                     hello = await self._receive_hello(socket)
                 if hello is not None and hello.sender.name == peer:
-                    await self._carry(socket, hello, epoch, is_dialed=True)
+                    await self._run_link(socket, hello, epoch, is_dialed=True)
         except (
             OSError,
             trio.TooSlowError,
@@ -212,7 +221,7 @@
             InvalidHandshake,
             trio.BrokenResourceError,
         ) as error:
-            self._note_unreached(peer, error)
+            self._record_unreachable(peer, error)
         finally:
             unsent = self.dialing.pop(peer, None)
             if unsent is not None:
@@ -222,10 +231,10 @@
         is_far = address.data_centre != self.own.data_centre
         return COMPRESSION if self.compresses_far and is_far else None
 
-    def _note_unreached(self, peer: str, error: Exception) -> None:
-        # A dead peer is dialed several times a second; only the first failure is news.
-        if peer not in self.unreached:
-            self.unreached.add(peer)
+    def _record_unreachable(self, peer: str, error: Exception) -> None:
+        # A dead peer is dialed several times per second; only the first failure is recorded.
+        if peer not in self.unreachable_peers:
+            self.unreachable_peers.add(peer)
             self.recorder.record(EventKind.DIAL_FAILED, detail=f"{peer}: {error!r}")
 
     async def _send_hello(self, socket: Connection, epoch: int) -> None:
@@ -236,8 +245,8 @@
             case Result(tag="ok", ok=Frame(messages=(Hello() as hello,))):
                 return hello
             case Result(tag="ok", ok=Frame(messages=(IncarnationQuery(name=name),))):
-                known = IncarnationReply(self._find_incarnation(name))
-                await socket.send(self._encode([known]))
+                reply = IncarnationReply(self._find_incarnation(name))
+                await socket.send(self._encode([reply]))
         return None
 
     def _find_incarnation(self, name: str) -> int:
@@ -249,24 +258,26 @@
         stamp = self.recorder.timestamp()
         return encode_frame(Frame(stamp.physical_ms, stamp.logical, tuple(messages)))
 
-    async def _carry(self, socket: Connection, hello: Hello, epoch: int, is_dialed: bool) -> None:
+    async def _run_link(
+        self, socket: Connection, hello: Hello, epoch: int, is_dialed: bool
+    ) -> None:
         """Run an open link until either end closes it."""
-        sender, outbox = trio.open_memory_channel[PeerMessage](OUTBOX_MESSAGES)
+        send_channel, receive_channel = trio.open_memory_channel[PeerMessage](MAX_QUEUED_MESSAGES)
         with trio.CancelScope() as scope:
             is_compressed = bool(socket.protocol.extensions)
             link = Link(
                 hello.sender,
                 epoch,
                 is_dialed,
-                sender,
+                send_channel,
                 scope,
                 socket.ping,
                 is_compressed,
-                self._note_owed,
+                self._handle_reply_awaited,
             )
             self._open(link, hello)
             try:
-                await self._exchange(link, socket, outbox)
+                await self._exchange(link, socket, receive_channel)
             finally:
                 self._close(link)
 
@@ -277,7 +288,7 @@
             self._close(old)
             old.close()
         table[link.peer.name] = link
-        self.unreached.discard(link.peer.name)
+        self.unreachable_peers.discard(link.peer.name)
         detail = f"{link.peer.name}, compressed" if link.is_compressed else link.peer.name
         self.recorder.record(EventKind.LINK_OPENED, detail=detail)
         self.receiver.link_opened(link, hello)
@@ -295,10 +306,10 @@
         self.receiver.link_closed(link)
 
     async def _exchange(
-        self, link: Link, socket: Connection, outbox: trio.MemoryReceiveChannel
+        self, link: Link, socket: Connection, receive_channel: trio.MemoryReceiveChannel
     ) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._write, link, socket, outbox)
+            nursery.start_soon(self._write, link, socket, receive_channel)
             await self._read(link, socket)
             nursery.cancel_scope.cancel()
 
@@ -317,74 +328,74 @@
 
     def _deliver(self, link: Link, frame: Frame) -> None:
         self.recorder.observe(HybridTime(frame.physical_ms, frame.logical))
-        link.note_heard()
+        link.record_reply()
         for message in frame.messages:
             if link.is_open:
                 self.receiver.receive(link, message)
 
     async def _write(
-        self, link: Link, socket: Connection, outbox: trio.MemoryReceiveChannel
+        self, link: Link, socket: Connection, receive_channel: trio.MemoryReceiveChannel
     ) -> None:
         while link.is_open:
-            first = await self._next_message(link, outbox)
+            first = await self._next_message(link, receive_channel)
             if first is None:
                 link.close()
                 return
-            batch = [first, *_take_queued(outbox)]
+            batch = [first, *_pop_queued_messages(receive_channel)]
             try:
                 await socket.send(self._encode(batch))
-                link.unwritten -= len(batch)
+                link.unwritten_count -= len(batch)
             except (ConnectionClosed, trio.BrokenResourceError, trio.ClosedResourceError):
                 link.close()
                 return
 
     async def _next_message(
-        self, link: Link, outbox: trio.MemoryReceiveChannel
+        self, link: Link, receive_channel: trio.MemoryReceiveChannel
     ) -> PeerMessage | None:
-        """Return the next message to send; None if this process needs the link no longer."""
+        """Return the next message to send, None if this process no longer needs the link."""
         while True:
-            with trio.move_on_after(IDLE_LINK if link.is_dialed else math.inf):
-                return await outbox.receive()
+            with trio.move_on_after(IDLE_LINK_TIMEOUT if link.is_dialed else math.inf):
+                return await receive_channel.receive()
             if self.receiver.is_idle(link.peer.name):
                 return None
 
-    async def _watch_quiet(self) -> None:
-        """Ask links that owe an answer for a sign of life, and close those that give none."""
-        # Looking ten times a second was 100 of the 855 rounds of its scheduler that a node with few
-        # calls made in 10 s.
+    async def _run_liveness_checks(self) -> None:
+        """Ping dialed links on which a reply is awaited, and close those that send no pong."""
+        # The task waits for an event: polling ten times per second took 100 of the 855 scheduler
+        # rounds that a node with few calls made in 10 s.
         while True:
-            await self.has_owing.wait()
-            self.has_owing = trio.Event()
+            await self.reply_awaited.wait()
+            self.reply_awaited = trio.Event()
             while (due := self._find_next_check()) is not None:
                 await trio.sleep_until(due)
-                self._check_quiet(trio.current_time())
+                self._start_due_checks(trio.current_time())
 
-    def _note_owed(self) -> None:
-        self.has_owing.set()
+    def _handle_reply_awaited(self) -> None:
+        self.reply_awaited.set()
 
     def _find_next_check(self) -> Seconds | None:
         links = self.dialed.values()
-        dues = [link.quiet_at for link in links if link.quiet_at is not None]
-        return min(dues, default=None)
+        due_times = [link.check_due_at for link in links if link.check_due_at is not None]
+        return min(due_times, default=None)
 
-    def _check_quiet(self, now: Seconds) -> None:
+    def _start_due_checks(self, now: Seconds) -> None:
         for link in tuple(self.dialed.values()):
-            if link.quiet_at is not None and now >= link.quiet_at:
-                link.is_checked = True
-                self.nursery.start_soon(self._check, link, self._find_sign_timeout())
+            if link.check_due_at is not None and now >= link.check_due_at:
+                link.is_being_checked = True
+                self.nursery.start_soon(self._check, link, self._find_pong_timeout())
 
-    def _find_sign_timeout(self) -> Seconds:
-        return SIGN_TIMEOUT + BACKLOG_BYTES * BITS / (self.link_mbps * MEGA)
+    def _find_pong_timeout(self) -> Seconds:
+        return PONG_TIMEOUT + BACKLOG_BYTES * BITS_PER_BYTE / (self.link_mbps * BITS_PER_MEGABIT)
 
     async def flush(self) -> None:
-        """Wait, for a short while, until peers have what was sent over the links they dialed."""
+        """Wait briefly until peers have received what was sent over the links that they dialed."""
         with trio.move_on_after(FLUSH_TIMEOUT):
             async with trio.open_nursery() as nursery:
                 for link in tuple(self.accepted.values()):
                     nursery.start_soon(_flush, link)
 
     def check(self, peer: str) -> None:
-        """Close the dialed link to a peer unless it answers soon: others count it as gone."""
+        """Ping a peer that others consider gone, and close its dialed link if no pong comes."""
         link = self.dialed.get(peer)
         if link is not None and self.nursery is not None:
             self.nursery.start_soon(self._check, link)
@@ -393,32 +404,32 @@
         is_answered = False
         with trio.move_on_after(timeout):
             with contextlib.suppress(ConnectionClosed, trio.BrokenResourceError):
-                answered = await link.ping()
-                await answered.wait()
+                pong = await link.ping()
+                await pong.wait()
                 is_answered = True
         if is_answered:
-            link.note_heard()
+            link.record_reply()
         else:
             link.close()
 
 
 async def _flush(link: Link) -> None:
-    """Return once a link's peer has what the link took, or the link is closed."""
-    while link.is_open and link.unwritten:
-        await trio.sleep(FLUSH_POLL)
-    # A connection that is closed with something unread in it is reset, and loses what its peer has
-    # not got yet. A ping is answered only once all before it is there.
+    """Wait until the peer has received all that the link accepted, or the link is closed."""
+    while link.is_open and link.unwritten_count:
+        await trio.sleep(FLUSH_POLL_INTERVAL)
+    # A connection that is closed while it holds unread data is reset, which loses what the peer has
+    # not yet received. The pong arrives only after the peer has received all data before the ping.
     with contextlib.suppress(ConnectionClosed, trio.BrokenResourceError):
-        answered = await link.ping()
-        while link.is_open and not answered.is_set():
-            await trio.sleep(FLUSH_POLL)
+        pong = await link.ping()
+        while link.is_open and not pong.is_set():
+            await trio.sleep(FLUSH_POLL_INTERVAL)
 
 
-def _take_queued(outbox: trio.MemoryReceiveChannel) -> list[PeerMessage]:
+def _pop_queued_messages(receive_channel: trio.MemoryReceiveChannel) -> list[PeerMessage]:
     messages: list[PeerMessage] = []
     while len(messages) < MAX_BATCH:
         try:
-            messages.append(outbox.receive_nowait())
+            messages.append(receive_channel.receive_nowait())
         except trio.WouldBlock:
             break
     return messages
@@ -435,9 +446,10 @@
     compresses_far: bool = False,
     link_mbps: float = DEFAULT_LINK_MBPS,
 ) -> LinkHub:
-    """Create a hub without links; without keys they are not encrypted.
+    """Return a hub without links; without keys, its links are not encrypted.
 
-    Units: `silence_ms` is how long a link lasts whose peer acknowledges nothing, in milliseconds,
-    `link_mbps` the rate of the instance's own link, in megabits a second.
+    Units: `silence_ms` is the time after which a link whose peer acknowledges nothing is closed,
+    in milliseconds; `link_mbps` is the rate of the instance's own network link, in megabits per
+    second.
     """
     return LinkHub(own, receiver, recorder, make_hello, keys, silence_ms, compresses_far, link_mbps)
--- a/packages/bendwind-node/src/bendwind_node/links/incarnation.py
+++ b/packages/bendwind-node/src/bendwind_node/links/incarnation.py
@@ -1,7 +1,8 @@
-"""Choose the number of a process's run so that it is above those of its earlier runs.
+"""Query the voters for a process's last incarnation, so that its new one is higher.
 
-The wall clock alone does not do: it may have been stepped back since the earlier run began, and
-the voters, which hold the number of that run, would take the new run for an outdated one.
+The wall clock alone is not enough to number the runs of a process. It may have been set back since
+the earlier run began; the voters, which store the number of that run, would then treat the new run
+as outdated.
 """
 
 import ssl
@@ -23,47 +24,50 @@
 from bendwind_node.links.hub import Address
 from bendwind_node.streams import open_direct_stream
 
-# Voters answer within a few milliseconds; one that is down or cut off must not hold up the start.
-QUESTION_TIMEOUT: Seconds = 0.3
+# Voters answer within a few milliseconds. A voter that is down or unreachable must not delay the
+# start.
+QUERY_TIMEOUT: Seconds = 0.3
 
 _FAILURES = (OSError, ConnectionClosed, InvalidHandshake, trio.BrokenResourceError)
 
 
 async def query_incarnation(
-    name: str, voters: Iterable[Address], secure: ssl.SSLContext | None = None
+    name: str, voters: Iterable[Address], ssl_context: ssl.SSLContext | None = None
 ) -> int:
-    """Return the highest incarnation that the first voter to answer knows of a name, 0 if none."""
-    known: list[int] = []
-    with trio.move_on_after(QUESTION_TIMEOUT):
+    """Return the highest incarnation of a name known to the first voter that answers, else 0."""
+    incarnations: list[int] = []
+    with trio.move_on_after(QUERY_TIMEOUT):
         async with trio.open_nursery() as nursery:
 
-            async def ask(address: Address) -> None:
-                answer = await _ask_one(name, address, secure)
-                if answer is not None:
-                    known.append(answer)
+            async def query(address: Address) -> None:
+                incarnation = await _query_voter(name, address, ssl_context)
+                if incarnation is not None:
+                    incarnations.append(incarnation)
                     nursery.cancel_scope.cancel()
 
             for address in voters:
-                nursery.start_soon(ask, address)
-    return max(known, default=0)
+                nursery.start_soon(query, address)
+    return max(incarnations, default=0)
 
 
-async def _ask_one(name: str, address: Address, secure: ssl.SSLContext | None) -> int | None:
-    scheme = "ws" if secure is None else "wss"
+async def _query_voter(
+    name: str, address: Address, ssl_context: ssl.SSLContext | None
+) -> int | None:
+    scheme = "ws" if ssl_context is None else "wss"
     try:
         stream = await open_direct_stream(address.host, address.port)
         async with connect(
             f"{scheme}://{address.host}:{address.port}/",
             stream=stream,
-            ssl=secure,
+            ssl=ssl_context,
             compression=None,
             proxy=None,
         ) as socket:
             await socket.send(encode_frame(Frame(0, 0, (IncarnationQuery(name),))))
             match decode_frame(await socket.recv()):
-                case Result(tag="ok", ok=Frame(messages=(IncarnationReply(incarnation=known),))):
-                    return known
+                case Result(tag="ok", ok=Frame(messages=(IncarnationReply(incarnation=found),))):
+                    return found
     except _FAILURES:
-        # Not an error: at the first start nobody listens yet, and the clock then has to do.
+        # Not an error: at the first start no voter listens yet, and the clock alone is used.
         return None
     return None
--- a/packages/bendwind-node/src/bendwind_node/links/link.py
+++ b/packages/bendwind-node/src/bendwind_node/links/link.py
@@ -1,4 +1,4 @@
-"""Describe one open link and who hears of its messages."""
+"""Define an open link and the interface of the object that receives its messages."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -10,87 +10,90 @@
 from bendwind_core.messages import Hello, PeerMessage
 from bendwind_core.world import Instance
 
-OUTBOX_MESSAGES = 2048
-# A link that owes an answer for this long is asked for a sign of life; most attempts end sooner.
-QUIET_AFTER: Seconds = 0.25
+MAX_QUEUED_MESSAGES = 2048
+# A link on which nothing was received for this long after a send is pinged. Most attempts end
+# sooner, so they cause no ping.
+LIVENESS_CHECK_DELAY: Seconds = 0.25
 
 
 def _ignore() -> None:
-    """Do nothing where nobody waits for a link to owe an answer."""
+    """Do nothing: the default callback of a link whose liveness is not checked."""
 
 
 class Link(msgspec.Struct, eq=False):
     """Hold one open link; the dialer's epoch orders the links of a pair of processes.
 
-    `unwritten` counts the messages that the link took and has not written to its connection.
-    Units: `owes_since` is when something was first sent that nothing has been heard after, in
-    seconds of trio's clock.
+    `unwritten_count` is the number of messages that the link accepted and has not yet written to
+    its connection.
+    `on_reply_awaited` is called when the link begins to wait for a message or pong of the peer.
+    Units: `awaiting_reply_since` is the time of the first send after which nothing was received,
+    in seconds of trio's clock.
     """
 
     peer: Instance
     epoch: int
     is_dialed: bool
-    outbox: trio.MemorySendChannel
+    send_channel: trio.MemorySendChannel
     scope: trio.CancelScope
     ping: Callable[[], Awaitable[trio.Event]]
     is_compressed: bool = False
-    note_owed: Callable[[], None] = _ignore
+    on_reply_awaited: Callable[[], None] = _ignore
     is_open: bool = True
-    owes_since: Seconds | None = None
-    is_checked: bool = False
-    unwritten: int = 0
+    awaiting_reply_since: Seconds | None = None
+    is_being_checked: bool = False
+    unwritten_count: int = 0
 
     @property
-    def quiet_at(self) -> Seconds | None:
-        """Return when the link is to be asked for a sign of life, None while it need not be."""
-        if self.owes_since is None or self.is_checked:
+    def check_due_at(self) -> Seconds | None:
+        """Return when the link is due to be pinged, None if no ping is needed."""
+        if self.awaiting_reply_since is None or self.is_being_checked:
             return None
-        return self.owes_since + QUIET_AFTER
+        return self.awaiting_reply_since + LIVENESS_CHECK_DELAY
 
-    def note_heard(self) -> None:
-        """Take a message or a sign of life as an answer to all that was sent so far."""
-        self.owes_since = None
-        self.is_checked = False
+    def record_reply(self) -> None:
+        """Record that a message or pong was received, which answers everything sent so far."""
+        self.awaiting_reply_since = None
+        self.is_being_checked = False
 
     def send(self, message: PeerMessage) -> bool:
-        """Queue a message and tell whether the link took it.
+        """Queue a message and return whether the link accepted it.
 
-        A full queue closes the link: the peer is too slow, and both ends then recover as from a
-        lost link instead of losing single messages in silence.
+        A full queue closes the link because the peer is too slow. Both ends then recover as from a
+        lost link; otherwise single messages would be lost unnoticed.
         """
         if not self.is_open:
             return False
         try:
-            self.outbox.send_nowait(message)
+            self.send_channel.send_nowait(message)
         except (trio.WouldBlock, trio.BrokenResourceError, trio.ClosedResourceError):
             self.close()
             return False
-        self.unwritten += 1
-        if self.owes_since is None:
-            self.owes_since = trio.current_time()
-            self.note_owed()
+        self.unwritten_count += 1
+        if self.awaiting_reply_since is None:
+            self.awaiting_reply_since = trio.current_time()
+            self.on_reply_awaited()
         return True
 
     def close(self) -> None:
-        """Stop the link's tasks; messages still queued are lost."""
+        """Close the link and stop its tasks; messages still queued are lost."""
         self.is_open = False
         self.scope.cancel()
 
 
 class Receiver(Protocol):
-    """Hear of links and their messages; every method returns without waiting."""
+    """Handle events and messages of links; every method returns without waiting."""
 
     def link_opened(self, link: Link, hello: Hello) -> None:
-        """Hear that a link is open."""
+        """Handle the opening of a link."""
 
     def link_closed(self, link: Link) -> None:
-        """Hear that a link is closed; no message of it follows."""
+        """Handle the closing of a link; none of its messages follows."""
 
     def dial_failed(self, peer: str, unsent: tuple[PeerMessage, ...]) -> None:
-        """Hear that a peer was not reached and which messages never left."""
+        """Handle a failed dial to a peer; `unsent` are the messages that were never sent."""
 
     def receive(self, link: Link, message: PeerMessage) -> None:
-        """Hear a message."""
+        """Handle a message that a link received."""
 
     def is_idle(self, peer: str) -> bool:
-        """Tell whether nothing is awaited from a peer that nothing was sent to lately."""
+        """Return whether nothing is awaited from a peer to which nothing was sent recently."""
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_dial_failures.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_dial_failures.py
@@ -31,7 +31,7 @@
         self.assertEqual(self.count_failures(client), 1)
         client.receiver.has_failed = trio.Event()
         trio.run(send_one, client, server)
-        self.assertEqual(server.receiver.heard, [("a", Goodbye("a"))])
+        self.assertEqual(server.receiver.received, [("a", Goodbye("a"))])
         trio.run(fail_to_reach, client, "b", 2)
         self.assertEqual(self.count_failures(client), 2)
 
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_hub.py
@@ -11,11 +11,11 @@
 from bendwind_node.links.link import Link
 
 
-class Ear:
+class RecordingReceiver:
     def __init__(self):
         self.opened = []
         self.closed = []
-        self.heard = []
+        self.received = []
         self.unsent = []
         self.idle = True
         self.changed = trio.Event()
@@ -37,7 +37,7 @@
         self._note()
 
     def receive(self, link, message):
-        self.heard.append(message)
+        self.received.append(message)
         self._note()
 
     def is_idle(self, peer):
@@ -47,7 +47,7 @@
 def make_hub(name, incarnation=1):
     own = Instance(name, "x", "127.0.0.1", 0, incarnation)
     recorder = Recorder(name, lambda: 1, 100)
-    return create_link_hub(own, Ear(), recorder, lambda epoch: Hello(own, epoch))
+    return create_link_hub(own, RecordingReceiver(), recorder, lambda epoch: Hello(own, epoch))
 
 
 async def set_after(event, seconds):
@@ -87,8 +87,8 @@
             sent = [Goodbye(f"m{number}") for number in range(200)]
             for message in sent:
                 self.assertTrue(client.send("b", message))
-            await wait_until(server.receiver, lambda: len(server.receiver.heard) == 200)
-            self.assertEqual(server.receiver.heard, sent)
+            await wait_until(server.receiver, lambda: len(server.receiver.received) == 200)
+            self.assertEqual(server.receiver.received, sent)
 
         self.run_with(check)
 
@@ -102,9 +102,9 @@
                 sent = [Goodbye(f"m{number}") for number in range(20)]
                 for message in sent:
                     client.send("b", message)
-                await wait_until(server.receiver, lambda: len(server.receiver.heard) >= 20)
-                self.assertEqual(server.receiver.heard, sent)
-                server.receiver.heard.clear()
+                await wait_until(server.receiver, lambda: len(server.receiver.received) >= 20)
+                self.assertEqual(server.receiver.received, sent)
+                server.receiver.received.clear()
                 self.assertIs(client.dialed["b"].is_compressed, is_compressed)
 
         self.run_with(check)
@@ -124,13 +124,13 @@
         async def check(connect, server):
             new, old = connect(incarnation=2), connect(incarnation=1)
             new.send("b", Goodbye("new"))
-            await wait_until(server.receiver, lambda: server.receiver.heard)
+            await wait_until(server.receiver, lambda: server.receiver.received)
             old.send("b", Goodbye("old"))
             await wait_until(old.receiver, lambda: old.receiver.unsent)
             newest = connect(incarnation=3)
             newest.send("b", Goodbye("newest"))
-            await wait_until(server.receiver, lambda: len(server.receiver.heard) == 2)
-            self.assertEqual(server.receiver.heard, [Goodbye("new"), Goodbye("newest")])
+            await wait_until(server.receiver, lambda: len(server.receiver.received) == 2)
+            self.assertEqual(server.receiver.received, [Goodbye("new"), Goodbye("newest")])
             closed = [link.peer.incarnation for link in server.receiver.closed]
             self.assertEqual(closed, [2])
             self.assertEqual(server.accepted["a"].peer.incarnation, 3)
@@ -141,7 +141,7 @@
         async def check(connect, server):
             client = connect()
             client.receiver.idle = False
-            with mock.patch("bendwind_node.links.hub.IDLE_LINK", 0.02):
+            with mock.patch("bendwind_node.links.hub.IDLE_LINK_TIMEOUT", 0.02):
                 client.send("b", Goodbye("a"))
                 await wait_until(client.receiver, lambda: client.receiver.opened)
                 await trio.sleep(0.1)
@@ -156,7 +156,7 @@
         async def check(connect, server):
             client = connect()
             client.send("b", Goodbye("a"))
-            await wait_until(server.receiver, lambda: server.receiver.heard)
+            await wait_until(server.receiver, lambda: server.receiver.received)
             client.check("b")
             await trio.sleep(0.05)
             self.assertEqual(client.receiver.closed, [])
@@ -171,11 +171,11 @@
         async def check(connect, server):
             client = connect()
             client.send("b", Goodbye("a"))
-            await wait_until(server.receiver, lambda: server.receiver.heard)
-            client.dialed["b"].note_heard()
+            await wait_until(server.receiver, lambda: server.receiver.received)
+            client.dialed["b"].record_reply()
             client.dialed["b"].ping = trio.sleep_forever
-            client.nursery.start_soon(client._watch_quiet)
-            with mock.patch("bendwind_node.links.hub.SIGN_TIMEOUT", 0.02):
+            client.nursery.start_soon(client._run_liveness_checks)
+            with mock.patch("bendwind_node.links.hub.PONG_TIMEOUT", 0.02):
                 client.send("b", Goodbye("a"))
                 await wait_until(client.receiver, lambda: client.receiver.closed)
             self.assertEqual(client.dialed, {})
@@ -196,7 +196,7 @@
 
             async with trio.open_nursery() as nursery:
                 link = Link(hub.own, 1, True, None, trio.CancelScope(), ping)
-                await hub._check(link, hub._find_sign_timeout())
+                await hub._check(link, hub._find_pong_timeout())
             return link.is_open
 
         clock = trio.testing.MockClock(autojump_threshold=0)
@@ -212,7 +212,7 @@
                 self.count = 0
 
             def before_task_step(self, task):
-                self.count += task.name.endswith("_watch_quiet")
+                self.count += task.name.endswith("_run_liveness_checks")
 
         steps = Steps()
 
@@ -220,7 +220,7 @@
             hub = make_hub("a")
             with trio.move_on_after(60):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(hub._watch_quiet)
+                    nursery.start_soon(hub._run_liveness_checks)
 
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(main, clock=clock, instruments=[steps])
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
@@ -28,7 +28,7 @@
             client.nursery = nursery
             client.set_address("b", address.host, address.port)
             client.send("b", Goodbye("a"))
-            await wait_until(server.receiver, lambda: server.receiver.heard)
+            await wait_until(server.receiver, lambda: server.receiver.received)
             self.assertEqual(await query_incarnation("a", [address]), 7)
 
         self.run_with(check)
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_secure_links.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_secure_links.py
@@ -12,13 +12,13 @@
 from bendwind_node.security.tests.test_keys import load, make_authority, make_table
 
 
-class Ear:
+class RecordingReceiver:
     """Remember the messages of every link."""
 
     def __init__(self):
-        self.heard = []
+        self.received = []
         self.has_failed = trio.Event()
-        self.has_heard = trio.Event()
+        self.has_received = trio.Event()
 
     def link_opened(self, link, hello):
         pass
@@ -33,14 +33,16 @@
         return True
 
     def receive(self, link, message):
-        self.heard.append((link.peer.name, message))
-        self.has_heard.set()
+        self.received.append((link.peer.name, message))
+        self.has_received.set()
 
 
 def make_hub(name, keys, claimed_name=None):
     own = Instance(claimed_name or name, "x", "127.0.0.1", 0, 1)
     recorder = Recorder(name, lambda: 1, 100)
-    return create_link_hub(own, Ear(), recorder, lambda epoch: Hello(own, epoch), keys)
+    return create_link_hub(
+        own, RecordingReceiver(), recorder, lambda epoch: Hello(own, epoch), keys
+    )
 
 
 async def send_one(client, server):
@@ -52,7 +54,9 @@
             nursery.start_soon(server.run, listeners)
             client.nursery = nursery
             client.send("b", Goodbye("a"))
-            while not (server.receiver.has_heard.is_set() or client.receiver.has_failed.is_set()):
+            while not (
+                server.receiver.has_received.is_set() or client.receiver.has_failed.is_set()
+            ):
                 await trio.sleep(0.005)
             nursery.cancel_scope.cancel()
 
@@ -70,24 +74,24 @@
     def test_proven_names_link(self):
         client, server = make_hub("a", self.a), make_hub("b", self.b)
         trio.run(send_one, client, server)
-        self.assertEqual(server.receiver.heard, [("a", Goodbye("a"))])
+        self.assertEqual(server.receiver.received, [("a", Goodbye("a"))])
 
     def test_refuses_a_sender_whose_certificate_names_another(self):
         client, server = make_hub("a", self.a, claimed_name="c"), make_hub("b", self.b)
         trio.run(send_one, client, server)
-        self.assertEqual(server.receiver.heard, [])
+        self.assertEqual(server.receiver.received, [])
         self.assertEqual(self.kinds(server), [EventKind.PEER_REFUSED])
 
     def test_refuses_a_server_that_is_another_instance(self):
         client, server = make_hub("a", self.a), make_hub("a", self.a, claimed_name="b")
         trio.run(send_one, client, server)
-        self.assertEqual(server.receiver.heard, [])
+        self.assertEqual(server.receiver.received, [])
         self.assertIn(EventKind.DIAL_FAILED, self.kinds(client))
 
     def test_refuses_a_link_without_tls(self):
         client, server = make_hub("a", None), make_hub("b", self.b)
         trio.run(send_one, client, server)
-        self.assertEqual(server.receiver.heard, [])
+        self.assertEqual(server.receiver.received, [])
         self.assertIn(EventKind.HANDSHAKE_REFUSED, [e.kind for e in self.b.recorder.events])
 
 
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_stopping_hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_stopping_hub.py
@@ -78,7 +78,7 @@
                     entry.set_address("owner", "127.0.0.1", link.port)
                     entry.send("owner", Goodbye("entry"))
                     link.may_pass.set()
-                    await wait_until(owner.receiver, lambda: owner.receiver.heard)
+                    await wait_until(owner.receiver, lambda: owner.receiver.received)
                     await check(owner, entry, link, scope)
                     nursery.cancel_scope.cancel()
 
@@ -99,8 +99,8 @@
                 self.assertTrue(owner.send("entry", answer))
             await self.stop(owner, scope)
             await wait_until(entry.receiver, lambda: entry.receiver.closed)
-            self.assertEqual(len(entry.receiver.heard), MESSAGES)
-            self.assertEqual(entry.receiver.heard, answers)
+            self.assertEqual(len(entry.receiver.received), MESSAGES)
+            self.assertEqual(entry.receiver.received, answers)
 
         with mock.patch(FLUSH_TIMEOUT, 10.0):
             self.run_with(check)
--- a/packages/bendwind-node/src/bendwind_node/logs/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the process's structured log."""
+"""Configure the process's structured log."""
 
 from bendwind_node.logs.configure import configure_logging
 
--- a/packages/bendwind-node/src/bendwind_node/logs/background_handler.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/background_handler.py
@@ -1,4 +1,4 @@
-"""Write log lines from a thread of their own, so that no reader ever holds up the process."""
+"""Write log lines from a background thread, so that a slow reader never blocks the process."""
 
 import collections
 import logging
@@ -8,81 +8,82 @@
 
 from bendwind_core.core import Seconds
 
-# Lines that wait for a reader; at some 300 bytes each about a megabyte.
-MAX_WAITING = 4096
-# Lines are gathered for this long and written at once, which spares most of the system calls.
-GATHER: Seconds = 0.02
-# What a process that ends gives its reader to take the last lines.
+# Lines that may wait for a reader: about 1 MB at some 300 bytes per line.
+MAX_PENDING_LINES = 4096
+# Lines are collected for this long and written together, which saves most of the system calls.
+BATCH_DELAY: Seconds = 0.02
+# A process that stops waits at most this long for its reader to read the last lines.
 CLOSE_TIMEOUT: Seconds = 0.5
 
 
 class BackgroundHandler(logging.Handler):
-    """Queue formatted lines for a thread that writes them; what finds no room is counted.
+    """Queue formatted lines for a thread that writes them; drop and count lines if it is full.
 
-    `left_out` counts the lines that were dropped and are not yet told of, `total_dropped` all.
+    `unreported_dropped` counts the dropped lines that no log line reports yet, `total_dropped` all
+    dropped lines.
     """
 
     def __init__(
         self,
         stream: TextIO,
-        describe_left_out: Callable[[int], str],
-        max_waiting: int = MAX_WAITING,
+        describe_dropped: Callable[[int], str],
+        max_pending: int = MAX_PENDING_LINES,
     ):
         super().__init__()
         self.stream = stream
-        self.describe_left_out = describe_left_out
-        self.max_waiting = max_waiting
-        self.waiting: collections.deque[str] = collections.deque()
-        self.left_out = 0
+        self.describe_dropped = describe_dropped
+        self.max_pending = max_pending
+        self.pending_lines: collections.deque[str] = collections.deque()
+        self.unreported_dropped = 0
         self.total_dropped = 0
         self.is_closing = False
-        self.has_lines = threading.Event()
+        self.has_pending_lines = threading.Event()
         self.thread = threading.Thread(target=self._run, name="log", daemon=True)
         self.thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a record's line."""
-        if len(self.waiting) >= self.max_waiting:
-            self.left_out += 1
+        """Queue the formatted line of a record, or count it as dropped if the queue is full."""
+        if len(self.pending_lines) >= self.max_pending:
+            self.unreported_dropped += 1
             self.total_dropped += 1
             return
         try:
-            self.waiting.append(self.format(record))
+            self.pending_lines.append(self.format(record))
         except Exception:
             self.handleError(record)
             return
-        if not self.has_lines.is_set():
-            self.has_lines.set()
+        if not self.has_pending_lines.is_set():
+            self.has_pending_lines.set()
 
     def close(self) -> None:
-        """Write what waits, as far as the reader takes it in time."""
+        """Write the queued lines that the reader accepts within `CLOSE_TIMEOUT`."""
         self.is_closing = True
-        self.has_lines.set()
+        self.has_pending_lines.set()
         self.thread.join(CLOSE_TIMEOUT)
         super().close()
 
     def _run(self) -> None:
-        gather = threading.Event()
+        batch_delay = threading.Event()
         while not self.is_closing:
-            self.has_lines.wait()
+            self.has_pending_lines.wait()
             if not self.is_closing:
-                gather.wait(GATHER)
-            self.has_lines.clear()
-            self._write_waiting()
-        self._write_waiting()
+                batch_delay.wait(BATCH_DELAY)
+            self.has_pending_lines.clear()
+            self._write_pending()
+        self._write_pending()
 
-    def _write_waiting(self) -> None:
+    def _write_pending(self) -> None:
         lines = []
-        while self.waiting:
-            lines.append(self.waiting.popleft())
-        if self.left_out:
-            lines.append(self.describe_left_out(self.left_out))
-            self.left_out = 0
+        while self.pending_lines:
+            lines.append(self.pending_lines.popleft())
+        if self.unreported_dropped:
+            lines.append(self.describe_dropped(self.unreported_dropped))
+            self.unreported_dropped = 0
         if not lines:
             return
         try:
             self.stream.write("\n".join(lines) + "\n")
             self.stream.flush()
         except (OSError, ValueError):
-            # Nobody reads any more. There is nowhere left to tell it; the counter does.
+            # Nothing reads the stream any more, so no log line can report this; the count does.
             self.total_dropped += len(lines)
--- a/packages/bendwind-node/src/bendwind_node/logs/formatters.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/formatters.py
@@ -1,4 +1,4 @@
-"""Format log records, those of numbered events and those of libraries alike."""
+"""Format the log records of numbered events and of libraries."""
 
 import logging
 
@@ -18,7 +18,7 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of a record."""
-        event = _find_event(record)
+        event = _get_event(record)
         level = record.levelname.lower()
         if event is None:
             detail = _describe(self, record)
@@ -43,7 +43,7 @@
 
 
 class TextFormatter(logging.Formatter):
-    """Format each record as a line for people."""
+    """Format each record as one line of plain text."""
 
     def __init__(self, instance: str):
         super().__init__()
@@ -51,7 +51,7 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of a record."""
-        event = _find_event(record)
+        event = _get_event(record)
         if event is None:
             text = f"{self.instance} {record.name} {_describe(self, record)}"
         else:
@@ -59,14 +59,14 @@
         return f"{record.levelname} {text}".replace("\n", "\\n")
 
 
-def describe_left_out(formatter: logging.Formatter, count: int) -> str:
-    """Return the line that tells how many lines found no room."""
+def describe_dropped(formatter: logging.Formatter, count: int) -> str:
+    """Return the line that reports how many lines were dropped because the queue was full."""
     kind = EventKind.LOG_LINES_LEFT_OUT
     record = logging.LogRecord(kind.name, logging.WARNING, "", 0, "%d lines", (count,), None)
     return formatter.format(record)
 
 
-def _find_event(record: logging.LogRecord) -> Event | None:
+def _get_event(record: logging.LogRecord) -> Event | None:
     return getattr(record, "event", None)
 
 
--- a/packages/bendwind-node/src/bendwind_node/logs/tests/test_background_handler.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/tests/test_background_handler.py
@@ -28,8 +28,8 @@
 
 
 class AsideHandlerTest(unittest.TestCase):
-    def make(self, stream, max_waiting=3):
-        handler = BackgroundHandler(stream, lambda count: f"left out {count}", max_waiting)
+    def make(self, stream, max_pending=3):
+        handler = BackgroundHandler(stream, lambda count: f"left out {count}", max_pending)
         self.addCleanup(handler.close)
         return handler
 
@@ -49,7 +49,7 @@
         self.assertTrue(stream.entered.wait(10))
         for number in range(10):
             log(handler, str(number))
-        self.assertEqual((len(handler.waiting), handler.total_dropped), (3, 7))
+        self.assertEqual((len(handler.pending_lines), handler.total_dropped), (3, 7))
         stream.released.set()
         handler.close()
         self.assertEqual(stream.text.split("\n"), ["first", "0", "1", "2", "left out 7", ""])
--- a/packages/bendwind-node/src/bendwind_node/security/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/security/__init__.py
@@ -1,6 +1,11 @@
-"""Offer the TLS contexts of links and the names that certificates prove."""
+"""Provide the TLS contexts of a process and the identities that certificates prove."""
 
-from bendwind_node.security.contexts import KeyFault, client_tls, operators_tls, server_tls
+from bendwind_node.security.contexts import (
+    KeyFault,
+    create_client_context,
+    create_operators_context,
+    create_server_context,
+)
 from bendwind_node.security.identity import Identity, Role, read_identity
 from bendwind_node.security.keys import Keys, load_keys
 from bendwind_node.security.reload import watch_keys
@@ -10,10 +15,10 @@
     "KeyFault",
     "Keys",
     "Role",
-    "client_tls",
+    "create_client_context",
+    "create_operators_context",
+    "create_server_context",
     "load_keys",
-    "operators_tls",
     "read_identity",
-    "server_tls",
     "watch_keys",
 ]
--- a/packages/bendwind-node/src/bendwind_node/security/identity.py
+++ b/packages/bendwind-node/src/bendwind_node/security/identity.py
@@ -1,4 +1,4 @@
-"""Read who a peer is from the certificate that it proved to hold."""
+"""Read the identity of a peer from its verified certificate."""
 
 import enum
 import ssl
@@ -9,30 +9,30 @@
 
 
 class Role(enum.StrEnum):
-    """Say what a certificate entitles its holder to."""
+    """Define the roles that a certificate can grant to its holder."""
 
     INSTANCE = "instance"
     OPERATOR = "operator"
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Name the holder of a certificate."""
+    """Identify the holder of a certificate by role and name."""
 
     role: Role
     name: str
 
     def is_instance(self, name: str) -> bool:
-        """Tell whether this is the instance of a name."""
+        """Return whether this is the identity of the instance with the given name."""
         return self.role is Role.INSTANCE and self.name == name
 
 
-def read_identity(link: ssl.SSLObject | ssl.SSLSocket) -> Identity | None:
-    """Return who is at the other end of a link, or None where the certificate does not say.
+def read_identity(connection: ssl.SSLObject | ssl.SSLSocket) -> Identity | None:
+    """Return the identity of the peer of a connection, or None if its certificate has none.
 
-    The handshake has verified the certificate before; an instance's and an operator's are told
-    apart here, so that neither is taken for the other. trio's SSLStream fits too.
+    The handshake has already verified the certificate. Certificates of instances and of operators
+    are distinguished here, so that neither is accepted as the other. A trio SSLStream also works.
     """
-    certificate = link.getpeercert() or {}
+    certificate = connection.getpeercert() or {}
     names = [value for kind, value in certificate.get("subjectAltName", ()) if kind == "URI"]
     found = [name.removeprefix(_SCHEME) for name in names if name.startswith(_SCHEME)]
     if len(found) != 1:
--- a/packages/bendwind-node/src/bendwind_node/security/keys.py
+++ b/packages/bendwind-node/src/bendwind_node/security/keys.py
@@ -1,4 +1,4 @@
-"""Hold a process's TLS contexts and renew them when their files change."""
+"""Hold a process's TLS contexts and reload them when the key files change."""
 
 import os
 import ssl
@@ -8,17 +8,17 @@
 from expression import Error, Result
 
 from bendwind_core.timeline import EventKind, Recorder
-from bendwind_node.security.contexts import Contexts, KeyFault, make_contexts
+from bendwind_node.security.contexts import Contexts, KeyFault, create_contexts
 from bendwind_node.settings import TlsTable
 
-_Stamps = tuple[tuple[int, int, int], ...]
+_FileStates = tuple[tuple[int, int, int], ...]
 
 
 class Keys(msgspec.Struct):
-    """Hold the newest usable contexts; links that run keep the ones they began with.
+    """Hold the newest usable contexts; open links keep the context with which they were opened.
 
-    `server` and `operators` never change as objects, so that listening sockets may hold them:
-    every handshake on them is moved to the newest context.
+    The objects `server` and `operators` are never replaced, so listening sockets can hold them:
+    every handshake on them is switched to the newest context.
     """
 
     table: TlsTable
@@ -27,7 +27,7 @@
     newest: Contexts
     server: ssl.SSLContext
     operators: ssl.SSLContext
-    stamps: _Stamps
+    file_states: _FileStates
 
     @property
     def client(self) -> ssl.SSLContext:
@@ -35,16 +35,16 @@
         return self.newest.client
 
     def reload(self) -> None:
-        """Take the key files into use if they changed and are whole; keep the old ones if not."""
+        """Use the key files if they changed and are complete; otherwise keep the old contexts."""
         try:
-            stamps = _read_stamps(self.table, self.client_authority)
+            file_states = _read_file_states(self.table, self.client_authority)
         except OSError:
-            # A file that is just being replaced; the next look finds it.
+            # A file is being replaced at this moment; the next check finds it.
             return
-        if stamps == self.stamps:
+        if file_states == self.file_states:
             return
-        self.stamps = stamps
-        match _make(self.table, self.client_authority, self.recorder):
+        self.file_states = file_states
+        match _create_recorded_contexts(self.table, self.client_authority, self.recorder):
             case Result(tag="error", error=fault):
                 self.recorder.record(EventKind.KEYS_REFUSED, detail=str(fault))
             case Result(ok=newest):
@@ -55,27 +55,27 @@
 def load_keys(
     table: TlsTable, recorder: Recorder, client_authority: str | None = None
 ) -> Result[Keys, KeyFault]:
-    """Load the keys that a settings file names; the recorder hears of refused handshakes.
+    """Load the keys that a settings file names; the recorder records refused handshakes.
 
     Errors: the file that cannot be used.
     """
     try:
-        stamps = _read_stamps(table, client_authority)
+        file_states = _read_file_states(table, client_authority)
     except OSError as error:
         return Error(KeyFault(str(error.filename), error.strerror or str(error)))
-    made = _make(table, client_authority, recorder)
-    return made.map(
-        lambda contexts: _create_keys(table, client_authority, recorder, contexts, stamps)
+    created = _create_recorded_contexts(table, client_authority, recorder)
+    return created.map(
+        lambda contexts: _create_keys(table, client_authority, recorder, contexts, file_states)
     )
 
 
-def _make(
+def _create_recorded_contexts(
     table: TlsTable, client_authority: str | None, recorder: Recorder
 ) -> Result[Contexts, KeyFault]:
     def record_refusal(reason: str) -> None:
         recorder.record(EventKind.HANDSHAKE_REFUSED, detail=reason)
 
-    return make_contexts(table, client_authority, record_refusal)
+    return create_contexts(table, client_authority, record_refusal)
 
 
 def _create_keys(
@@ -83,23 +83,25 @@
     client_authority: str | None,
     recorder: Recorder,
     contexts: Contexts,
-    stamps: _Stamps,
+    file_states: _FileStates,
 ) -> Keys:
     server, operators = contexts.server, contexts.operators
-    keys = Keys(table, client_authority, recorder, contexts, server, operators, stamps)
-    server.sni_callback = _move_to(lambda: keys.newest.server)
-    operators.sni_callback = _move_to(lambda: keys.newest.operators)
+    keys = Keys(table, client_authority, recorder, contexts, server, operators, file_states)
+    server.sni_callback = _make_sni_callback(lambda: keys.newest.server)
+    operators.sni_callback = _make_sni_callback(lambda: keys.newest.operators)
     return keys
 
 
-def _move_to(find: Callable[[], ssl.SSLContext]) -> Callable:
-    def move(link: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext) -> None:
-        link.context = find()
+def _make_sni_callback(find_context: Callable[[], ssl.SSLContext]) -> Callable:
+    def switch_context(
+        connection: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext
+    ) -> None:
+        connection.context = find_context()
 
-    return move
+    return switch_context
 
 
-def _read_stamps(table: TlsTable, client_authority: str | None) -> _Stamps:
+def _read_file_states(table: TlsTable, client_authority: str | None) -> _FileStates:
     files = [table.authority, table.certificate, table.key]
     if client_authority is not None:
         files.append(client_authority)
--- a/packages/bendwind-node/src/bendwind_node/security/reload.py
+++ b/packages/bendwind-node/src/bendwind_node/security/reload.py
@@ -1,15 +1,15 @@
-"""Take renewed keys into use while the process runs."""
+"""Reload renewed keys while the process runs."""
 
 import trio
 
 from bendwind_core.core import Seconds
 from bendwind_node.security.keys import Keys
 
-CHECK_PERIOD_S = 5.0
+CHECK_INTERVAL_S = 5.0
 
 
-async def watch_keys(keys: Keys, period_s: Seconds = CHECK_PERIOD_S) -> None:
-    """Look for renewed key files for as long as the process runs."""
+async def watch_keys(keys: Keys, interval_s: Seconds = CHECK_INTERVAL_S) -> None:
+    """Check the key files for changes periodically while the process runs."""
     while True:
-        await trio.sleep(period_s)
+        await trio.sleep(interval_s)
         keys.reload()
--- a/packages/bendwind-node/src/bendwind_node/security/roles.py
+++ b/packages/bendwind-node/src/bendwind_node/security/roles.py
@@ -1,4 +1,4 @@
-"""Refuse, at the end of a handshake, a certificate that is meant for another purpose."""
+"""Refuse a certificate that was issued for another role, at the end of the handshake."""
 
 import ssl
 from collections.abc import Callable
@@ -9,23 +9,23 @@
 
 
 class RoleContext(ssl.SSLContext):
-    """Hold the role that the other end of each link must prove, and who hears of refusals."""
+    """Hold the role that the peer must prove, and the function that records refusals."""
 
     required_role: Role | None = None
     record_refusal: RecordRefusal | None = None
 
 
-class RoleLink(ssl.SSLObject):
-    """Check the other end's role once the library has verified its certificate."""
+class RoleSslObject(ssl.SSLObject):
+    """Check the peer's role after the library has verified its certificate."""
 
     def do_handshake(self) -> None:
         """Finish the handshake.
 
-        Errors: raises ssl.SSLError as the library does, also for the wrong role.
+        Errors: raises ssl.SSLError, as the library does, also if the peer has the wrong role.
         """
         try:
             super().do_handshake()
-            _require(self, self.context.required_role)
+            _require_role(self, self.context.required_role)
         except (ssl.SSLWantReadError, ssl.SSLWantWriteError):
             raise
         except ssl.SSLError as error:
@@ -34,9 +34,9 @@
             raise
 
 
-def _require(link: ssl.SSLObject, role: Role | None) -> None:
+def _require_role(connection: ssl.SSLObject, role: Role | None) -> None:
     if role is None:
         return
-    found = read_identity(link)
-    if found is None or found.role is not role:
+    identity = read_identity(connection)
+    if identity is None or identity.role is not role:
         raise ssl.SSLError(ssl.SSL_ERROR_SSL, f"expected the certificate of an {role}")
--- a/packages/bendwind-node/src/bendwind_node/security/tests/test_keys.py
+++ b/packages/bendwind-node/src/bendwind_node/security/tests/test_keys.py
@@ -36,7 +36,7 @@
     return load_keys(table, Recorder("b", lambda: 1, 100)).ok
 
 
-async def shake_hands(client_context, server_context, name):
+async def complete_handshake(client_context, server_context, name):
     """Open a TLS link over memory; return both ends, or raise what the first end to fail did."""
     left, right = trio.testing.memory_stream_pair()
     client = trio.SSLStream(left, client_context, server_hostname=name)
@@ -71,7 +71,7 @@
         self.client = load(make_table(self.folder, "a"))
 
     def link(self, client, server, name="b"):
-        return trio.run(shake_hands, client, server, name)
+        return trio.run(complete_handshake, client, server, name)
 
     def assert_refused(self, client, server, name="b"):
         with self.assertRaises(trio.BrokenResourceError) as caught:
@@ -122,7 +122,7 @@
         self.link(bare, self.server.operators)
 
     def test_renewed_keys_serve_new_links_and_cut_no_running_one(self):
-        running, far = self.link(self.client.client, self.server.server)
+        running, server_stream = self.link(self.client.client, self.server.server)
         before = running.getpeercert()["serialNumber"]
         make_table(self.folder, "b")
         self.server.reload()
@@ -139,7 +139,7 @@
 
         async def talk():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(far.send_all, b"still here")
+                nursery.start_soon(server_stream.send_all, b"still here")
                 self.assertEqual(await running.receive_some(20), b"still here")
 
         trio.run(talk)
--- a/packages/bendwind-node/src/bendwind_node/streams/__init__.py
+++ b/packages/bendwind-node/src/bendwind_node/streams/__init__.py
@@ -1,4 +1,4 @@
-"""Offer TCP streams that cost a call less than trio's own."""
+"""Provide TCP streams that use less processor time for each call than trio's own."""
 
 from bendwind_node.streams.direct_stream import DirectListener, DirectStream, open_direct_stream
 
--- a/packages/bendwind-node/src/bendwind_node/streams/direct_stream.py
+++ b/packages/bendwind-node/src/bendwind_node/streams/direct_stream.py
@@ -1,9 +1,10 @@
-"""Wrap trio's TCP streams so that a short exchange passes the scheduler less often.
+"""Wrap trio's TCP streams so that a short exchange yields to the scheduler less often.
 
-trio's `send_all` yields to the scheduler after a successful send, and `receive_some` tries a read
-that mostly finds nothing before it waits. On a call that sends and receives a few hundred bytes
-four times, these are a good part of its processor time. Here data is written at once where the
-socket takes it, and a read waits first. Every receive still yields, so no task holds up others.
+trio's `send_all` yields to the scheduler after a successful send, and its `receive_some` first
+tries a read that usually finds no data, and only then waits. For a call that sends and receives a
+few hundred bytes four times, these steps are a large part of its processor time. These streams
+write data immediately if the socket accepts it, and wait before they read. Every receive still
+yields, so no task blocks others.
 """
 
 import os
@@ -15,7 +16,7 @@
 
 
 class DirectStream(trio.abc.HalfCloseableStream):
-    """Carry bytes over a connected TCP socket."""
+    """Send and receive bytes over a connected TCP socket."""
 
     __slots__ = ("inner", "socket")
 
@@ -30,47 +31,47 @@
             await self.inner.send_all(memoryview(data)[sent:])
 
     def send_nowait(self, data: bytes) -> int:
-        """Send what the socket takes at once and return how many bytes that were."""
+        """Send the bytes that the socket accepts immediately and return their number."""
         try:
-            return os.write(self._find_number(), data)
+            return os.write(self._get_file_descriptor(), data)
         except BlockingIOError:
             return 0
         except OSError as error:
             raise trio.BrokenResourceError(str(error)) from error
 
-    def _find_number(self) -> int:
-        number = self.socket.fileno()
-        if number < 0:
+    def _get_file_descriptor(self) -> int:
+        file_descriptor = self.socket.fileno()
+        if file_descriptor < 0:
             raise trio.ClosedResourceError
-        return number
+        return file_descriptor
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Wait until the socket takes data."""
+        """Wait until the socket accepts data."""
         await self.inner.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return the bytes that are there, empty at the end of the stream."""
+        """Wait for data and return it, empty at the end of the stream."""
         while True:
-            self._find_number()
+            self._get_file_descriptor()
             await trio.lowlevel.wait_readable(self.socket)
             try:
-                return os.read(self._find_number(), max_bytes or RECEIVE_BYTES)
+                return os.read(self._get_file_descriptor(), max_bytes or RECEIVE_BYTES)
             except BlockingIOError:
                 continue
             except OSError as error:
                 raise trio.BrokenResourceError(str(error)) from error
 
     def receive_nowait(self) -> bytes:
-        """Return the bytes that have come, empty where there are none."""
+        """Return the bytes that have arrived, empty if there are none."""
         try:
-            return os.read(self._find_number(), RECEIVE_BYTES)
+            return os.read(self._get_file_descriptor(), RECEIVE_BYTES)
         except BlockingIOError:
             return b""
         except OSError as error:
             raise trio.BrokenResourceError(str(error)) from error
 
     async def send_eof(self) -> None:
-        """End the sending direction."""
+        """Close the sending direction."""
         await self.inner.send_eof()
 
     async def aclose(self) -> None:
@@ -79,7 +80,7 @@
 
 
 class DirectListener(trio.abc.Listener):
-    """Accept connections as prompt streams."""
+    """Accept connections as direct streams."""
 
     __slots__ = ("inner", "silence_ms", "socket")
 
@@ -90,17 +91,20 @@
 
     async def accept(self) -> DirectStream:
         """Wait for a connection."""
-        return _bound_silence(DirectStream(await self.inner.accept()), self.silence_ms)
+        return _set_acknowledgement_timeout(
+            DirectStream(await self.inner.accept()), self.silence_ms
+        )
 
     async def aclose(self) -> None:
         """Stop listening."""
         await self.inner.aclose()
 
 
-def _bound_silence(stream: DirectStream, silence_ms: int | None) -> DirectStream:
-    """Have the system break a connection off whose peer acknowledges nothing for a time.
+def _set_acknowledgement_timeout(stream: DirectStream, silence_ms: int | None) -> DirectStream:
+    """Let the operating system abort the connection if its peer acknowledges nothing for a time.
 
-    Source: RFC 5482; a peer that lost power or is cut off gives no other sign.
+    A peer that lost power or is cut off from the network gives no other sign.
+    Source: RFC 5482.
     """
     if silence_ms is not None:
         stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms)
@@ -111,6 +115,9 @@
     """Connect to an address.
 
     Errors: raises OSError.
-    Units: `silence_ms` is how long the connection lasts without acknowledgement, in milliseconds.
+    Units: `silence_ms` is the time without acknowledgement after which the connection is aborted,
+    in milliseconds.
     """
-    return _bound_silence(DirectStream(await trio.open_tcp_stream(host, port)), silence_ms)
+    return _set_acknowledgement_timeout(
+        DirectStream(await trio.open_tcp_stream(host, port)), silence_ms
+    )
