--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_hub.py
@@ -20,25 +20,25 @@
         self.idle = True
         self.changed = trio.Event()
 
-    def _note(self):
+    def _signal_change(self):
         self.changed.set()
         self.changed = trio.Event()
 
     def link_opened(self, link, hello):
         self.opened.append(link)
-        self._note()
+        self._signal_change()
 
     def link_closed(self, link):
         self.closed.append(link)
-        self._note()
+        self._signal_change()
 
     def dial_failed(self, peer, unsent):
         self.unsent += unsent
-        self._note()
+        self._signal_change()
 
     def receive(self, link, message):
         self.received.append(message)
-        self._note()
+        self._signal_change()
 
     def is_idle(self, peer):
         return self.idle
@@ -50,14 +50,14 @@
     return create_link_hub(own, RecordingReceiver(), recorder, lambda epoch: Hello(own, epoch))
 
 
-async def set_after(event, seconds):
+async def set_event_after(event, seconds):
     await trio.sleep(seconds)
     event.set()
 
 
-async def wait_until(ear, is_so):
-    while not is_so():
-        await ear.changed.wait()
+async def wait_until(receiver, condition):
+    while not condition():
+        await receiver.changed.wait()
 
 
 class TestLinkHub(unittest.TestCase):
@@ -109,7 +109,7 @@
 
         self.run_with(check)
 
-    def test_unreached_peer_gives_back_what_never_left(self):
+    def test_failed_dial_returns_the_unsent_messages(self):
         async def check(connect, server):
             client = connect()
             client.set_address("c", "127.0.0.1", 1)
@@ -120,7 +120,7 @@
 
         self.run_with(check)
 
-    def test_newer_run_of_a_peer_replaces_its_link_and_an_older_one_is_turned_away(self):
+    def test_newer_incarnation_of_a_peer_replaces_its_link_and_an_older_one_is_refused(self):
         async def check(connect, server):
             new, old = connect(incarnation=2), connect(incarnation=1)
             new.send("b", Goodbye("new"))
@@ -137,7 +137,7 @@
 
         self.run_with(check)
 
-    def test_idle_link_is_closed_unless_something_is_awaited(self):
+    def test_idle_link_is_closed_unless_the_receiver_awaits_something(self):
         async def check(connect, server):
             client = connect()
             client.receiver.idle = False
@@ -167,7 +167,7 @@
 
         self.run_with(check)
 
-    def test_link_that_owes_an_answer_is_checked_and_closed_when_it_gives_no_sign(self):
+    def test_link_that_awaits_a_reply_is_pinged_and_closed_without_a_pong(self):
         async def check(connect, server):
             client = connect()
             client.send("b", Goodbye("a"))
@@ -182,17 +182,18 @@
 
         self.run_with(check)
 
-    def test_sign_of_life_may_wait_behind_a_large_body_on_a_slow_link(self):
-        # Links of 2.45 Mbit/s were closed at 0.55 s and 1.05 s after something was sent, while the
-        # answer to the ping waited behind an upload or a configuration: 175 of 454 uploads failed.
+    def test_pong_may_wait_behind_a_large_body_on_a_slow_link(self):
+        # Guards against closing a slow link because its pong is late. Links of 2.45 Mbit/s were
+        # closed 0.55 s and 1.05 s after a send, while the pong waited behind an upload or a
+        # configuration; 175 of 454 uploads failed.
         async def check(link_mbps: float) -> bool:
             hub = make_hub("a")
             hub.link_mbps = link_mbps
 
             async def ping() -> trio.Event:
-                answered = trio.Event()
-                nursery.start_soon(set_after, answered, 0.6)
-                return answered
+                pong = trio.Event()
+                nursery.start_soon(set_event_after, pong, 0.6)
+                return pong
 
             async with trio.open_nursery() as nursery:
                 link = Link(hub.own, 1, True, None, trio.CancelScope(), ping)
@@ -204,17 +205,17 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         self.assertFalse(trio.run(check, 1000.0, clock=clock))
 
-    def test_hub_without_anything_owed_never_wakes(self):
-        """Ten looks a second were an eighth of what a node that nobody calls wakes up for."""
+    def test_liveness_task_does_not_wake_while_no_reply_is_awaited(self):
+        """Polling ten times per second caused one eighth of the wake-ups of an idle node."""
 
-        class Steps(trio.abc.Instrument):
+        class StepCounter(trio.abc.Instrument):
             def __init__(self):
                 self.count = 0
 
             def before_task_step(self, task):
                 self.count += task.name.endswith("_run_liveness_checks")
 
-        steps = Steps()
+        step_counter = StepCounter()
 
         async def main():
             hub = make_hub("a")
@@ -223,8 +224,8 @@
                     nursery.start_soon(hub._run_liveness_checks)
 
         clock = trio.testing.MockClock(autojump_threshold=0)
-        trio.run(main, clock=clock, instruments=[steps])
-        self.assertLessEqual(steps.count, 2)
+        trio.run(main, clock=clock, instruments=[step_counter])
+        self.assertLessEqual(step_counter.count, 2)
 
     def test_full_queue_closes_the_link_instead_of_losing_single_messages(self):
         async def check(connect, server):
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
@@ -22,7 +22,7 @@
 
         trio.run(main)
 
-    def test_voter_tells_the_newest_run_it_has_a_link_with(self):
+    def test_voter_reports_the_newest_incarnation_among_its_links(self):
         async def check(server, address, nursery):
             client = make_hub("a", 7)
             client.nursery = nursery
@@ -33,22 +33,22 @@
 
         self.run_with(check)
 
-    def test_voter_tells_what_it_registered(self):
+    def test_voter_reports_the_registered_incarnation(self):
         async def check(server, address, nursery):
             server.find_registered_incarnation = {"a": 9}.get
             self.assertEqual(await query_incarnation("a", [address]), 9)
 
         self.run_with(check)
 
-    def test_nobody_to_ask_gives_nothing(self):
+    def test_query_returns_zero_if_no_voter_answers(self):
         async def main():
             return await query_incarnation("a", [Address("127.0.0.1", 1)])
 
         self.assertEqual(trio.run(main), 0)
 
 
-class QuietLinkTest(unittest.TestCase):
-    def test_link_whose_peer_gives_no_sign_of_life_is_closed(self):
+class LivenessCheckTest(unittest.TestCase):
+    def test_link_whose_peer_sends_no_pong_is_closed(self):
         async def main():
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             port = listeners[0].socket.getsockname()[1]
@@ -64,8 +64,8 @@
                     client.send("b", Goodbye("a"))
                     await wait_until(client.receiver, lambda: client.receiver.opened)
                     link = client.receiver.opened[0]
-                    # A peer that lost power answers nothing, and says nothing of its end either.
-                    link.ping = _ping_in_vain
+                    # A peer that lost power answers no ping and does not close its connection.
+                    link.ping = _ping_without_pong
                     link.send(Goodbye("a"))
                     await wait_until(client.receiver, lambda: client.receiver.closed)
                     nursery.cancel_scope.cancel()
@@ -77,7 +77,7 @@
             await server.run(listeners)
 
 
-async def _ping_in_vain():
+async def _ping_without_pong():
     return trio.Event()
 
 
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_secure_links.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_secure_links.py
@@ -13,7 +13,7 @@
 
 
 class RecordingReceiver:
-    """Remember the messages of every link."""
+    """Record the messages of every link."""
 
     def __init__(self):
         self.received = []
@@ -46,7 +46,7 @@
 
 
 async def send_one(client, server):
-    """Send one message from one hub to another; return when it came or could not."""
+    """Send one message from one hub to another; return when it arrived or the dial failed."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     client.set_address("b", "127.0.0.1", listeners[0].socket.getsockname()[1])
     with trio.fail_after(20):
@@ -68,25 +68,25 @@
         self.folder = make_authority(Path(folder.name, "keys"))
         self.a, self.b = (load(make_table(self.folder, name)) for name in "ab")
 
-    def kinds(self, hub):
+    def list_event_kinds(self, hub):
         return [event.kind for event in hub.recorder.events]
 
-    def test_proven_names_link(self):
+    def test_link_opens_if_certificates_match_the_names(self):
         client, server = make_hub("a", self.a), make_hub("b", self.b)
         trio.run(send_one, client, server)
         self.assertEqual(server.receiver.received, [("a", Goodbye("a"))])
 
-    def test_refuses_a_sender_whose_certificate_names_another(self):
+    def test_refuses_a_sender_whose_certificate_names_another_instance(self):
         client, server = make_hub("a", self.a, claimed_name="c"), make_hub("b", self.b)
         trio.run(send_one, client, server)
         self.assertEqual(server.receiver.received, [])
-        self.assertEqual(self.kinds(server), [EventKind.PEER_REFUSED])
+        self.assertEqual(self.list_event_kinds(server), [EventKind.PEER_REFUSED])
 
-    def test_refuses_a_server_that_is_another_instance(self):
+    def test_refuses_a_server_whose_certificate_names_another_instance(self):
         client, server = make_hub("a", self.a), make_hub("a", self.a, claimed_name="b")
         trio.run(send_one, client, server)
         self.assertEqual(server.receiver.received, [])
-        self.assertIn(EventKind.DIAL_FAILED, self.kinds(client))
+        self.assertIn(EventKind.DIAL_FAILED, self.list_event_kinds(client))
 
     def test_refuses_a_link_without_tls(self):
         client, server = make_hub("a", None), make_hub("b", self.b)
--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_stopping_hub.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_stopping_hub.py
@@ -1,8 +1,9 @@
-"""Stop a process whose answers are still on their way to the node that waits for them.
+"""Test that a process which stops still delivers the answers that it has queued.
 
-Callers got 502 for requests that their upstream had answered: the owner had nothing more in hand
-and ended 20 ms later, while its answers lay in the queue of a link, or in a connection that was
-reset as it was closed. The node that waited could only tell that the link broke.
+Guards against callers that get 502 for requests that their upstream had answered. The owner node
+had no more requests and ended 20 ms later, while its answers were still in the queue of a link, or
+in a connection that was reset when it was closed. The node that waited for the answers could only
+detect that the link broke.
 """
 
 import unittest
@@ -17,7 +18,7 @@
 from bendwind_node.settings.tables import StopTable
 
 SMALL_BUFFER = 8 * 1024
-# What a slow link lets through in each of its steps.
+# The slow link relays this many bytes in each step.
 STEP_BYTES = 8 * 1024
 STEP_S = 0.002
 MESSAGES = 40
@@ -26,31 +27,31 @@
 
 
 class SlowLink:
-    """Relay one connection, slowly towards the one that dials."""
+    """Relay one connection, slowly in the direction of the dialer."""
 
     def __init__(self):
-        self.may_pass = trio.Event()
+        self.may_relay = trio.Event()
         self.port = 0
 
     async def run(self, port, task_status):
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.port = listener.socket.getsockname()[1]
         task_status.started()
-        near = await listener.accept()
-        far_socket = trio.socket.socket()
-        far_socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_RCVBUF, SMALL_BUFFER)
-        await far_socket.connect(("127.0.0.1", port))
-        far = trio.SocketStream(far_socket)
+        dialer_stream = await listener.accept()
+        acceptor_socket = trio.socket.socket()
+        acceptor_socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_RCVBUF, SMALL_BUFFER)
+        await acceptor_socket.connect(("127.0.0.1", port))
+        acceptor_stream = trio.SocketStream(acceptor_socket)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._pass_on, near, far, 0.0)
-            nursery.start_soon(self._pass_on, far, near, STEP_S)
+            nursery.start_soon(self._relay, dialer_stream, acceptor_stream, 0.0)
+            nursery.start_soon(self._relay, acceptor_stream, dialer_stream, STEP_S)
 
-    async def _pass_on(self, source, target, step):
+    async def _relay(self, source, target, step):
         try:
             while data := await source.receive_some(STEP_BYTES):
                 await target.send_all(data)
                 if step:
-                    await self.may_pass.wait()
+                    await self.may_relay.wait()
                     await trio.sleep(step)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
@@ -77,7 +78,7 @@
                     entry.nursery = nursery
                     entry.set_address("owner", "127.0.0.1", link.port)
                     entry.send("owner", Goodbye("entry"))
-                    link.may_pass.set()
+                    link.may_relay.set()
                     await wait_until(owner.receiver, lambda: owner.receiver.received)
                     await check(owner, entry, link, scope)
                     nursery.cancel_scope.cancel()
@@ -85,14 +86,14 @@
         trio.run(main)
 
     async def stop(self, owner, scope):
-        """End a process that has nothing in hand, as its daemon does."""
+        """Stop a process without requests in flight, as its daemon does."""
         daemon = make_daemon(FakeRegister())
         daemon.settings.stop = StopTable(notice_ms=0, drain_ms=1000)
         daemon.dispatcher.hub = owner
         await _stop(daemon)
         scope.cancel()
 
-    def test_answers_on_their_way_over_a_slow_link_arrive_though_their_owner_stops(self):
+    def test_queued_answers_arrive_over_a_slow_link_while_their_owner_stops(self):
         async def check(owner, entry, link, scope):
             answers = [Goodbye(f"{number}".zfill(MESSAGE_BYTES)) for number in range(MESSAGES)]
             for answer in answers:
@@ -105,9 +106,9 @@
         with mock.patch(FLUSH_TIMEOUT, 10.0):
             self.run_with(check)
 
-    def test_peer_that_reads_nothing_does_not_hold_up_a_stop(self):
+    def test_peer_that_reads_nothing_does_not_delay_a_stop(self):
         async def check(owner, entry, link, scope):
-            link.may_pass = trio.Event()
+            link.may_relay = trio.Event()
             for _ in range(MESSAGES):
                 owner.send("entry", Goodbye("a" * MESSAGE_BYTES))
             await self.stop(owner, scope)
--- a/packages/bendwind-node/src/bendwind_node/logs/tests/test_background_handler.py
+++ b/packages/bendwind-node/src/bendwind_node/logs/tests/test_background_handler.py
@@ -6,8 +6,8 @@
 from bendwind_node.logs.background_handler import BackgroundHandler
 
 
-class StuckStream:
-    """Take nothing until it is released."""
+class BlockedStream:
+    """Block every write until it is released."""
 
     def __init__(self):
         self.released = threading.Event()
@@ -27,24 +27,24 @@
     handler.emit(logging.LogRecord("x", logging.INFO, "", 0, text, (), None))
 
 
-class AsideHandlerTest(unittest.TestCase):
-    def make(self, stream, max_pending=3):
+class BackgroundHandlerTest(unittest.TestCase):
+    def make_handler(self, stream, max_pending=3):
         handler = BackgroundHandler(stream, lambda count: f"left out {count}", max_pending)
         self.addCleanup(handler.close)
         return handler
 
     def test_lines_are_written_in_order(self):
         stream = io.StringIO()
-        handler = self.make(stream, 100)
+        handler = self.make_handler(stream, 100)
         for number in range(50):
             log(handler, str(number))
         handler.close()
         self.assertEqual(stream.getvalue().split(), [str(number) for number in range(50)])
 
-    def test_reader_that_stands_still_holds_nobody_up_and_what_is_left_out_is_told(self):
-        stream = StuckStream()
+    def test_blocked_reader_does_not_block_logging_and_dropped_lines_are_reported(self):
+        stream = BlockedStream()
         self.addCleanup(stream.released.set)
-        handler = self.make(stream)
+        handler = self.make_handler(stream)
         log(handler, "first")
         self.assertTrue(stream.entered.wait(10))
         for number in range(10):
@@ -54,9 +54,9 @@
         handler.close()
         self.assertEqual(stream.text.split("\n"), ["first", "0", "1", "2", "left out 7", ""])
 
-    def test_reader_that_is_gone_stops_nothing(self):
+    def test_lines_are_counted_as_dropped_after_the_stream_is_closed(self):
         stream = io.StringIO()
-        handler = self.make(stream)
+        handler = self.make_handler(stream)
         stream.close()
         log(handler, "lost")
         handler.close()
--- a/packages/bendwind-node/src/bendwind_node/security/contexts.py
+++ b/packages/bendwind-node/src/bendwind_node/security/contexts.py
@@ -63,7 +63,7 @@
 def create_client_context(table: TlsTable) -> Result[RoleContext, KeyFault]:
     """Create the context of links to peers, which checks the server's name.
 
-    The caller passes the peer's instance name as the server name when it connects.
+    Connections must pass the peer's instance name as the server name.
     Errors: the file that cannot be used.
     """
     context = _create_context(ssl.PROTOCOL_TLS_CLIENT)
--- a/packages/bendwind-node/src/bendwind_node/security/tests/test_keys.py
+++ b/packages/bendwind-node/src/bendwind_node/security/tests/test_keys.py
@@ -37,27 +37,27 @@
 
 
 async def complete_handshake(client_context, server_context, name):
-    """Open a TLS link over memory; return both ends, or raise what the first end to fail did."""
+    """Open a TLS link in memory; return both ends, or raise the error of the first that failed."""
     left, right = trio.testing.memory_stream_pair()
     client = trio.SSLStream(left, client_context, server_hostname=name)
     server = trio.SSLStream(right, server_context, server_side=True)
-    faults = []
+    errors = []
 
-    async def work(stream, use, *arguments):
+    async def run_end(stream, use, *arguments):
         try:
             await stream.do_handshake()
-            # TLS 1.3: a refusal of the client's certificate shows at its first read.
+            # In TLS 1.3 the client learns at its first read that its certificate was refused.
             await use(*arguments)
-        except trio.BrokenResourceError as fault:
-            faults.append(fault)
+        except trio.BrokenResourceError as error:
+            errors.append(error)
             await trio.aclose_forcefully(stream)
 
     with trio.fail_after(10):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(work, server, server.send_all, b"!")
-            nursery.start_soon(work, client, client.receive_some, 1)
-    if faults:
-        raise faults[0]
+            nursery.start_soon(run_end, server, server.send_all, b"!")
+            nursery.start_soon(run_end, client, client.receive_some, 1)
+    if errors:
+        raise errors[0]
     return client, server
 
 
@@ -70,16 +70,16 @@
         self.server = load(make_table(self.folder, "b"))
         self.client = load(make_table(self.folder, "a"))
 
-    def link(self, client, server, name="b"):
+    def open_link(self, client, server, name="b"):
         return trio.run(complete_handshake, client, server, name)
 
     def assert_refused(self, client, server, name="b"):
         with self.assertRaises(trio.BrokenResourceError) as caught:
-            self.link(client, server, name)
+            self.open_link(client, server, name)
         return repr(caught.exception.__cause__)
 
-    def test_each_end_learns_the_others_instance_name(self):
-        client, server = self.link(self.client.client, self.server.server)
+    def test_each_end_reads_the_instance_name_of_the_other(self):
+        client, server = self.open_link(self.client.client, self.server.server)
         self.assertEqual(read_identity(client), Identity(Role.INSTANCE, "b"))
         self.assertTrue(read_identity(server).is_instance("a"))
         self.assertFalse(read_identity(server).is_instance("b"))
@@ -88,15 +88,15 @@
         cause = self.assert_refused(self.client.client, self.server.server, "c")
         self.assertIn("Hostname mismatch", cause)
 
-    def test_refuses_either_end_of_another_authority(self):
+    def test_refuses_a_certificate_of_another_authority_at_either_end(self):
         table = make_table(self.other, "b")
         self.assert_refused(self.client.client, load(table).server)
-        stranger = load(make_table(self.other, "a", authority=self.folder))
-        self.assert_refused(stranger.client, self.server.server)
+        foreign_client = load(make_table(self.other, "a", authority=self.folder))
+        self.assert_refused(foreign_client.client, self.server.server)
 
     def test_refuses_a_client_without_a_certificate(self):
-        bare = ssl.create_default_context(cafile=self.server.table.authority)
-        self.assert_refused(bare, self.server.server)
+        context_without_certificate = ssl.create_default_context(cafile=self.server.table.authority)
+        self.assert_refused(context_without_certificate, self.server.server)
 
     def make_operator(self, name: str) -> ssl.SSLContext:
         self.assertTrue(make_keys(MakeOperatorKey(name, str(self.folder), "1")).is_ok())
@@ -105,12 +105,12 @@
         context.load_cert_chain(pair.certificate, pair.key)
         return context
 
-    def test_an_operator_is_no_peer_and_an_instance_no_operator(self):
+    def test_refuses_operators_as_peers_and_instances_as_operators(self):
         operator = self.make_operator("a")
         server = load_keys(self.server.table, self.server.recorder, self.server.table.authority).ok
-        _, seen = self.link(operator, server.operators)
-        self.assertEqual(read_identity(seen), Identity(Role.OPERATOR, "a"))
-        self.assertFalse(read_identity(seen).is_instance("a"))
+        _, peer_stream = self.open_link(operator, server.operators)
+        self.assertEqual(read_identity(peer_stream), Identity(Role.OPERATOR, "a"))
+        self.assertFalse(read_identity(peer_stream).is_instance("a"))
         self.assertIn("of an instance", self.assert_refused(operator, server.server))
         self.assertIn("of an operator", self.assert_refused(self.client.client, server.operators))
         details = [event.detail for event in self.server.recorder.events]
@@ -118,51 +118,51 @@
         self.assertEqual(len(details), 2)
 
     def test_operators_with_tokens_need_no_certificate(self):
-        bare = ssl.create_default_context(cafile=self.server.table.authority)
-        self.link(bare, self.server.operators)
+        context_without_certificate = ssl.create_default_context(cafile=self.server.table.authority)
+        self.open_link(context_without_certificate, self.server.operators)
 
-    def test_renewed_keys_serve_new_links_and_cut_no_running_one(self):
-        running, server_stream = self.link(self.client.client, self.server.server)
+    def test_renewed_keys_apply_to_new_links_and_keep_open_links(self):
+        running, server_stream = self.open_link(self.client.client, self.server.server)
         before = running.getpeercert()["serialNumber"]
         make_table(self.folder, "b")
         self.server.reload()
-        bare = ssl.create_default_context(cafile=self.server.table.authority)
+        context_without_certificate = ssl.create_default_context(cafile=self.server.table.authority)
         for client, server in (
             (self.client.client, self.server.server),
-            (bare, self.server.operators),
+            (context_without_certificate, self.server.operators),
         ):
-            renewed, _ = self.link(client, server)
+            renewed, _ = self.open_link(client, server)
             self.assertNotEqual(renewed.getpeercert()["serialNumber"], before)
         self.assertEqual(
             [event.kind for event in self.server.recorder.events], [EventKind.KEYS_RELOADED]
         )
 
-        async def talk():
+        async def exchange_data():
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(server_stream.send_all, b"still here")
                 self.assertEqual(await running.receive_some(20), b"still here")
 
-        trio.run(talk)
+        trio.run(exchange_data)
 
-    def test_a_renewed_authority_is_asked_of_new_links(self):
-        stranger = load(make_table(self.other, "a", authority=self.folder))
-        self.assert_refused(stranger.client, self.server.server)
+    def test_renewed_authority_applies_to_new_links(self):
+        foreign_client = load(make_table(self.other, "a", authority=self.folder))
+        self.assert_refused(foreign_client.client, self.server.server)
         both = (self.folder / "authority.pem").read_bytes()
         both += (self.other / "authority.pem").read_bytes()
         (self.folder / "authority.pem").write_bytes(both)
         self.server.reload()
-        self.link(stranger.client, self.server.server)
+        self.open_link(foreign_client.client, self.server.server)
 
-    def test_half_written_keys_are_refused_and_the_old_ones_stay(self):
+    def test_incomplete_keys_are_refused_and_the_old_ones_stay(self):
         Path(self.server.table.key).write_text("garbage")
         self.server.reload()
         self.server.reload()
         self.assertEqual(
             [event.kind for event in self.server.recorder.events], [EventKind.KEYS_REFUSED]
         )
-        self.link(self.client.client, self.server.server)
+        self.open_link(self.client.client, self.server.server)
 
-    def test_a_key_of_another_certificate_is_named(self):
+    def test_error_names_the_file_that_cannot_be_used(self):
         make_table(self.folder, "c")
         os.replace(self.folder / "c.key", self.folder / "b.key")
         self.assertIn("b.pem: ", str(load_keys(self.server.table, self.server.recorder).error))
--- a/packages/bendwind-node/src/bendwind_node/streams/tests/test_direct_stream.py
+++ b/packages/bendwind-node/src/bendwind_node/streams/tests/test_direct_stream.py
@@ -15,7 +15,7 @@
     return client, server
 
 
-class TestPromptStream(unittest.TestCase):
+class TestDirectStream(unittest.TestCase):
     def test_half_closed_stream_still_receives(self):
         async def main():
             client, server = await make_pair()
@@ -60,7 +60,7 @@
 
         trio.run(main)
 
-    def test_long_data_passes_a_slow_reader_whole(self):
+    def test_long_data_reaches_a_slow_reader_completely(self):
         async def main():
             client, server = await make_pair()
             sent = bytes(range(256)) * 40_000
--- a/packages/bendwind-node/src/bendwind_node/tests/test_clock.py
+++ b/packages/bendwind-node/src/bendwind_node/tests/test_clock.py
@@ -10,12 +10,12 @@
 from bendwind_node.clock import STEADY_CLOCK, SteadyClock, read_steady_clock
 
 SOURCES = Path(__file__).parents[1]
-# What people read, numbers of runs, and how long a disk takes.
+# Times shown to people and incarnation numbers; the duration of disk operations.
 OTHER_CLOCKS = {
     "daemon/build.py": {"time.time_ns"},
     "storage/measure.py": {"time.perf_counter"},
 }
-READ = re.compile(r"time\.(?:monotonic|perf_counter|time)(?:_ns)?(?=\()")
+CLOCK_CALL = re.compile(r"time\.(?:monotonic|perf_counter|time)(?:_ns)?(?=\()")
 
 
 class ClockTest(unittest.TestCase):
@@ -24,7 +24,7 @@
         before = time.clock_gettime(time.CLOCK_BOOTTIME)
         self.assertTrue(before <= read_steady_clock() <= time.clock_gettime(time.CLOCK_BOOTTIME))
 
-    def test_tasks_go_by_it_and_wait_by_it(self):
+    def test_tasks_read_and_wait_by_the_steady_clock(self):
         async def run():
             before = read_steady_clock()
             await trio.sleep(0.01)
@@ -32,7 +32,7 @@
 
         self.assertTrue(trio.run(run, clock=SteadyClock()))
 
-    def test_daemon_runs_by_it(self):
+    def test_daemon_uses_the_steady_clock(self):
         settings = mock.MagicMock()
         with (
             mock.patch.object(trio, "run") as run,
@@ -42,11 +42,11 @@
             main._run_checked(settings, Path("a.toml"))
         self.assertIsInstance(run.call_args.kwargs["clock"], SteadyClock)
 
-    def test_no_other_clock_is_read_but_where_it_is_named_here(self):
+    def test_other_clocks_are_read_only_in_the_listed_modules(self):
         found = {}
         for file in sorted(SOURCES.rglob("*.py")):
             name = str(file.relative_to(SOURCES))
-            if "tests/" not in name and (reads := set(READ.findall(file.read_text()))):
+            if "tests/" not in name and (reads := set(CLOCK_CALL.findall(file.read_text()))):
                 found[name] = reads
         self.assertEqual(found, OTHER_CLOCKS)
 
--- a/packages/bendwind-node/src/bendwind_node/tests/test_deferred_imports.py
+++ b/packages/bendwind-node/src/bendwind_node/tests/test_deferred_imports.py
@@ -22,12 +22,12 @@
         done = subprocess.run(command, capture_output=True, text=True, check=True)
         return json.loads(done.stdout)
 
-    def test_loading_the_daemon_leaves_each_deferred_module_that_it_meets_for_later(self):
+    def test_loading_the_daemon_does_not_load_deferred_modules(self):
         lazy = set(self.load_daemon()["lazy"])
         self.assertLessEqual(lazy, DEFERRED)
         self.assertGreaterEqual(lazy, {"expression.collections", "importlib.metadata"})
 
-    def test_deferred_module_works_once_it_is_used(self):
+    def test_deferred_module_works_when_it_is_used(self):
         self.assertEqual(self.load_daemon()["mean"], 2)
 
 
--- a/packages/bendwind-node/src/bendwind_node/tests/test_early_signals.py
+++ b/packages/bendwind-node/src/bendwind_node/tests/test_early_signals.py
@@ -4,8 +4,8 @@
 import sys
 import unittest
 
-# The process tells once it holds its signals, and then waits to be told to go on.
-HOLDING = """
+# The process prints a line when it captures its signals, and then waits for a line of input.
+PROGRAM = """
 from bendwind_node.early_signals import capture_signals, is_reload_requested, is_stop_requested
 capture_signals()
 print("holds", flush=True)
@@ -17,7 +17,7 @@
 class EarlySignalsTest(unittest.TestCase):
     def run_with(self, *numbers):
         process = subprocess.Popen(
-            [sys.executable, "-c", HOLDING],
+            [sys.executable, "-c", PROGRAM],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             env=dict(os.environ),
@@ -30,11 +30,12 @@
         self.assertEqual(process.returncode, 0)
         return out.strip()
 
-    def test_reload_that_is_asked_for_early_is_kept(self):
-        # A reload asked for while a process started ended the process: nobody listened yet.
+    def test_early_reload_request_is_recorded(self):
+        # Guards against a reload request that ends a process during its start, before a signal
+        # receiver is open.
         self.assertEqual(self.run_with(signal.SIGHUP), "False True")
 
-    def test_stop_that_is_asked_for_early_is_kept(self):
+    def test_early_stop_request_is_recorded(self):
         self.assertEqual(self.run_with(signal.SIGTERM, signal.SIGINT), "True False")
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,4 @@
-"""Run every package's unit tests, one process per test module, and print a verdict."""
+"""Run every package's unit tests, one process per test module, and print a summary."""
 
 import concurrent.futures
 import os
@@ -19,7 +19,7 @@
 
 
 def find_modules(pattern: str) -> list[str]:
-    """List the dotted names of test modules whose file name contains the pattern."""
+    """Return the dotted names of the test modules whose file name contains the pattern."""
     patterns = ("packages/*/src/*/**/tests/test_*.py", "platform/src/*/**/tests/test_*.py")
     files = sorted(file for pattern in patterns for file in ROOT.glob(pattern))
     named = [file for file in files if pattern in file.stem]
@@ -35,7 +35,7 @@
 
 
 def run_module(module: str) -> tuple[str, int, list[str], str]:
-    """Run one test module and return its name, test count, failed tests and output."""
+    """Run one test module and return its name, number of tests, failed tests and output."""
     command = [sys.executable, "-m", "unittest", module]
     environment = {"HYPOTHESIS_PROFILE": "ci", "PYTHONPATH": SOURCES} | dict(os.environ)
     done = subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True)
@@ -48,7 +48,7 @@
 
 
 def read_known_red() -> list[str]:
-    """Read the names of tests that are listed as failing for a known fault."""
+    """Return the names of the tests that are listed as failing because of a known fault."""
     if not KNOWN_RED.exists():
         return []
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
