--- a/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
@@ -10,7 +10,7 @@
 from bendwind_core.membership.renewal import MAX_WATCHED
 from bendwind_core.routing.subset import SUBSET_SIZE
 from bendwind_node.claims.placer import PLACEMENT_INTERVAL
-from bendwind_node.links.hub import IDLE_LINK, PING_INTERVAL_S
+from bendwind_node.links.hub import IDLE_LINK_TIMEOUT, PING_INTERVAL_S
 
 
 class Design(msgspec.Struct, frozen=True):
@@ -37,7 +37,7 @@
     claims, log, lease = ClaimLimits(), ReplicaSettings(), LeaseTimes()
     return Design(
         ping_s=PING_INTERVAL_S,
-        idle_link_s=IDLE_LINK,
+        idle_link_s=IDLE_LINK_TIMEOUT,
         subset=SUBSET_SIZE,
         watched_most=MAX_WATCHED,
         claims=claims.claims,
