--- a/packages/bendwind-node/src/bendwind_node/clock.py
+++ b/packages/bendwind-node/src/bendwind_node/clock.py
@@ -27,7 +27,7 @@
 
 
 class SteadyClock:
-    """Make trio use the steady clock; implements `trio.abc.Clock`, which is slow to import.
+    """Make trio use the steady clock; implements `trio.abc.Clock`, which is expensive to import.
 
     The kernel waits by a clock that stops while the machine is suspended. After a suspension, a
     task may therefore wake up late, by at most the rest of its wait, and then reads the true time.
--- a/packages/bendwind-node/src/bendwind_node/main.py
+++ b/packages/bendwind-node/src/bendwind_node/main.py
@@ -30,7 +30,7 @@
 
 
 def _run_checked(settings, file: Path) -> None:
-    # These modules are slow to import, and a check of the settings needs none of them.
+    # These modules are expensive to import, and a check of the settings needs none of them.
     import trio
 
     from bendwind_node.clock import SteadyClock
