--- a/packages/bendwind-node/src/bendwind_node/http/asgi_server.py
+++ b/packages/bendwind-node/src/bendwind_node/http/asgi_server.py
@@ -25,7 +25,7 @@
 
 async def serve_asgi(app: Callable, server: AsgiServer) -> None:
     """Serve an ASGI application until shutdown, then finish the requests in flight."""
-    # hypercorn is expensive to import, and a process that only checks its settings does not need it.
+    # hypercorn is expensive to import, and a process that only checks settings does not need it.
     from hypercorn.config import Config
     from hypercorn.trio import serve
 
