--- a/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
+++ b/packages/bendwind-node/src/bendwind_node/links/tests/test_incarnation.py
@@ -4,7 +4,7 @@
 import trio.testing
 
 from bendwind_core.messages import Goodbye
-from bendwind_node.links import Address, ask_incarnation
+from bendwind_node.links import Address, query_incarnation
 from bendwind_node.links.tests.test_hub import make_hub, wait_until
 
 
@@ -22,33 +22,33 @@
 
         trio.run(main)
 
-    def test_voter_tells_the_newest_run_it_has_a_link_with(self):
+    def test_voter_reports_the_newest_incarnation_among_its_links(self):
         async def check(server, address, nursery):
             client = make_hub("a", 7)
             client.nursery = nursery
-            client.learn_address("b", address.host, address.port)
+            client.set_address("b", address.host, address.port)
             client.send("b", Goodbye("a"))
-            await wait_until(server.receiver, lambda: server.receiver.heard)
-            self.assertEqual(await ask_incarnation("a", [address]), 7)
+            await wait_until(server.receiver, lambda: server.receiver.received)
+            self.assertEqual(await query_incarnation("a", [address]), 7)
 
         self.run_with(check)
 
-    def test_voter_tells_what_it_registered(self):
+    def test_voter_reports_the_registered_incarnation(self):
         async def check(server, address, nursery):
-            server.find_registered = {"a": 9}.get
-            self.assertEqual(await ask_incarnation("a", [address]), 9)
+            server.find_registered_incarnation = {"a": 9}.get
+            self.assertEqual(await query_incarnation("a", [address]), 9)
 
         self.run_with(check)
 
-    def test_nobody_to_ask_gives_nothing(self):
+    def test_query_returns_zero_if_no_voter_answers(self):
         async def main():
-            return await ask_incarnation("a", [Address("127.0.0.1", 1)])
+            return await query_incarnation("a", [Address("127.0.0.1", 1)])
 
         self.assertEqual(trio.run(main), 0)
 
 
-class QuietLinkTest(unittest.TestCase):
-    def test_link_whose_peer_gives_no_sign_of_life_is_closed(self):
+class LivenessCheckTest(unittest.TestCase):
+    def test_link_whose_peer_sends_no_pong_is_closed(self):
         async def main():
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             port = listeners[0].socket.getsockname()[1]
@@ -59,13 +59,13 @@
                     scope = trio.CancelScope()
                     nursery.start_soon(self.serve, server, listeners, scope)
                     nursery.start_soon(client.run, own)
-                    client.learn_address("b", "127.0.0.1", port)
+                    client.set_address("b", "127.0.0.1", port)
                     await trio.testing.wait_all_tasks_blocked()
                     client.send("b", Goodbye("a"))
                     await wait_until(client.receiver, lambda: client.receiver.opened)
                     link = client.receiver.opened[0]
-                    # A peer that lost power answers nothing, and says nothing of its end either.
-                    link.ping = _ping_in_vain
+                    # A peer that lost power answers no ping and does not close its connection.
+                    link.ping = _ping_without_pong
                     link.send(Goodbye("a"))
                     await wait_until(client.receiver, lambda: client.receiver.closed)
                     nursery.cancel_scope.cancel()
@@ -77,7 +77,7 @@
             await server.run(listeners)
 
 
-async def _ping_in_vain():
+async def _ping_without_pong():
     return trio.Event()
 
 
