--- a/packages/bendwind-bench/src/bendwind_bench/emulator/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Emulate deployments in virtual time: the product's own decisions on models of everything else."""
+"""Emulate deployments in virtual time: real bendwind decisions, everything else is modelled."""
 
 from bendwind_bench.emulator.scenario import Scenario, list_scenarios, load_scenario
 from bendwind_bench.emulator.tally import Figures
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/agenda.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/agenda.py
@@ -1,4 +1,4 @@
-"""Keep virtual time: what is to be done, and when."""
+"""Run actions in virtual time."""
 
 import heapq
 import itertools
@@ -10,7 +10,7 @@
 
 
 class Agenda:
-    """Hold the actions to come, in the order of their times, first put first done."""
+    """Hold scheduled actions in time order; actions of the same time run in scheduling order."""
 
     __slots__ = ("_entries", "_order", "now")
 
@@ -20,15 +20,15 @@
         self._order = itertools.count()
 
     def at(self, when: Seconds, action: Action) -> None:
-        """Do an action at a time, at once if that is over."""
+        """Run an action at a time, or now if that time has passed."""
         heapq.heappush(self._entries, (max(when, self.now), next(self._order), action))
 
     def after(self, delay: Seconds, action: Action) -> None:
-        """Do an action after a time."""
+        """Run an action after a delay."""
         self.at(self.now + delay, action)
 
     def run(self, until: Seconds) -> None:
-        """Do everything up to a time."""
+        """Run all actions up to and including a time, then set the clock to it."""
         while self._entries and self._entries[0][0] <= until:
             self.now, _, action = heapq.heappop(self._entries)
             action()
@@ -36,9 +36,9 @@
 
 
 class PausableAgenda:
-    """Put the actions of one process on an agenda; while it stands still, they wait.
+    """Schedule the actions of one process and defer them while the process is suspended.
 
-    Its clock goes on meanwhile, as one does that counts suspended time.
+    Its clock continues meanwhile, like a clock that counts suspended time.
     """
 
     __slots__ = ("_agenda", "_paused_until")
@@ -49,24 +49,24 @@
 
     @property
     def now(self) -> Seconds:
-        """Return the time."""
+        """Return the current time."""
         return self._agenda.now
 
     @property
     def is_paused(self) -> bool:
-        """Tell whether the process stands still."""
+        """Return whether the process is suspended."""
         return self.now < self._paused_until
 
     def pause(self, length: Seconds) -> None:
-        """Have the process stand still."""
+        """Suspend the process for a time."""
         self._paused_until = max(self._paused_until, self.now + length)
 
     def at(self, when: Seconds, action: Action) -> None:
-        """Do an action at a time, or when the process goes on."""
+        """Run an action at a time, or when the process resumes."""
         self._agenda.at(when, lambda: self._do(action))
 
     def after(self, delay: Seconds, action: Action) -> None:
-        """Do an action after a time, or when the process goes on."""
+        """Run an action after a delay, or when the process resumes."""
         self.at(self.now + delay, action)
 
     def _do(self, action: Action) -> None:
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/callers.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Emulate callers: when they come, how long they wait, and what they do when they are refused."""
+"""Emulate callers: request times, timeouts and retries after refusals and failures."""
 
 import itertools
 import random
@@ -16,12 +16,12 @@
 from bendwind_core.world import Repeat
 
 _FAILED_STATUS = 500
-# A caller does as Retry-After says if that leaves it two thirds of its time.
+# A caller follows Retry-After if two thirds of its remaining time are left after the wait.
 PATIENCE = 1 / 3
 
 
 class Request(msgspec.Struct, eq=False):
-    """Hold one request of a caller over all of its tries."""
+    """Hold one request of a caller, including all its retries."""
 
     route: RouteTable
     node: str
@@ -34,12 +34,12 @@
 
     @property
     def deadline_at(self) -> Seconds:
-        """Return when the caller gives up."""
+        """Return the time at which the caller gives up."""
         return self.began_at + self.route.timeout_ms / MILLISECONDS_PER_SECOND
 
     @property
     def target_at(self) -> Seconds:
-        """Return until when an answer is in time."""
+        """Return the time until which an answer is in time."""
         return self.began_at + self.route.target_ms / MILLISECONDS_PER_SECOND
 
 
@@ -58,7 +58,7 @@
         self.until: Seconds = 0.0
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start to send requests."""
         self.until = self.world.agenda.now + self.world.scenario.seconds
         for route in self.world.scenario.routes:
             if route.per_second > 0.0:
@@ -88,7 +88,7 @@
         return f"/{route.name}/{number}".encode()
 
     def send_crashing(self, route: RouteTable, target: bytes) -> None:
-        """Send a request that ends upstreams to any node; what becomes of it is not counted."""
+        """Send a request that crashes upstreams to a random node; its outcome is not counted."""
         node = self.rng.choice(self.names)
         retries = self.world.scenario.callers.retries
         now = self.world.agenda.now
@@ -97,7 +97,7 @@
     def _try(self, request: Request) -> None:
         node = self.world.nodes[request.node]
         if not node.is_up:
-            # A port with nothing behind it: the caller turns to another instance.
+            # Nothing listens on the port: the caller connects to another instance.
             up = [name for name, other in self.world.nodes.items() if other.is_up]
             if not up:
                 self._hear(request, Refused(MILLISECONDS_PER_SECOND))
@@ -153,7 +153,7 @@
         self.world.tally.note(request.route, request.began_at, fate, rank, sender.customer)
 
     def call_from_upstream(self, node: Instance, name: str, deadline_at: Seconds, done) -> None:
-        """Carry a call that an upstream makes at its own node."""
+        """Start a call that an upstream makes through its own node."""
         if not node.is_up:
             done(False)
             return
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/command.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/command.py
@@ -1,4 +1,4 @@
-"""Carry out `emulate`: run scenarios, compare, and show what came of it."""
+"""Run the `emulate` command: run scenarios, compare them and print the figures."""
 
 import sys
 import tempfile
@@ -39,7 +39,7 @@
     json: str = "",
     size: int = 1,
 ) -> int:
-    """Run scenarios, all that are shipped if none is named, and return the exit code."""
+    """Run scenarios, all shipped ones if none is named, and return the exit code."""
     names = scenarios or list_scenarios()
     wanted = parse_seeds(seeds)
     if wanted.is_error():
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/compare.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/compare.py
@@ -1,4 +1,4 @@
-"""Run scenarios over seeds, side by side with another revision or setting."""
+"""Run scenarios with several seeds and compare them with another revision or setting."""
 
 import concurrent.futures
 import json
@@ -36,9 +36,9 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """Name one run: a scenario, its seed, keys changed, the folder of another core, if any.
+    """Describe one run: scenario, seed, changed keys and the folder of another core, if any.
 
-    `size` is by how much upstreams and callers are multiplied.
+    `size` multiplies the number of upstreams and the request rates.
     """
 
     scenario: str
@@ -49,19 +49,19 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Hold the mean difference of a figure over seeds and its standard error."""
+    """Hold the mean difference of a figure over all seeds and its standard error."""
 
     mean: float
     error: float
 
     @property
     def is_clear(self) -> bool:
-        """Tell whether the difference exceeds twice its error."""
+        """Return whether the difference exceeds twice its standard error."""
         return abs(self.mean) > 2 * self.error
 
 
 def run_job(job: Job) -> Figures:
-    """Run one job, in a process of its own where it needs another core."""
+    """Run one job, in a separate process if it needs another core."""
     if job.core:
         return _run_with_core(job)
     loaded = load_scenario(job.scenario, job.changes)
@@ -82,7 +82,7 @@
 
 
 def run_all(jobs: list[Job], workers: int, note) -> list[Figures]:
-    """Run jobs on some processes and return their figures in order; `note` hears of each end."""
+    """Run jobs in `workers` processes and return figures in order; call `on_done` after each."""
     if workers <= 1:
         return [_run_noted(job, note) for job in jobs]
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
@@ -99,7 +99,7 @@
 
 
 def find_differences(before: list[Figures], after: list[Figures]) -> dict[str, Difference]:
-    """Return the paired differences of the figures, `after` less `before`."""
+    """Return the differences of the figures, `after` minus `before`, paired by seed."""
     found = {}
     for name in COMPARED:
         pairs = zip(before, after, strict=True)
@@ -110,9 +110,9 @@
 
 
 def parse_seeds(text: str) -> Result[range, str]:
-    """Read `A..B` or one number.
+    """Parse `A..B` or one number.
 
-    Errors: a text that says what was expected.
+    Errors: a text that states the expected format.
 
     >>> list(parse_seeds("3..5").ok)
     [3, 4, 5]
@@ -125,9 +125,9 @@
 
 
 def check_out(revision: str, folder: Path) -> Result[str, str]:
-    """Lay out the core of a revision in a folder and return where it is.
+    """Extract the core of a revision into a folder and return the path of its sources.
 
-    Errors: what git says.
+    Errors: the error message of git.
     """
     root = Path(__file__).parents[5]
     archive = ["git", "-C", str(root), "archive", revision, "packages/bendwind-core/src"]
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/demand.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/demand.py
@@ -1,4 +1,4 @@
-"""Say how many requests come, at which nodes and from which customers."""
+"""Model the demand: request rates, the nodes that receive requests and their customers."""
 
 import itertools
 import math
@@ -11,7 +11,7 @@
 
 
 class Sender(msgspec.Struct, frozen=True):
-    """Name whose requests they are; `rank` is None where the route's holds."""
+    """Identify the customer that sends a request; with `rank` None the route's rank applies."""
 
     customer: str = ""
     rank: int | None = None
@@ -21,7 +21,7 @@
 
 
 class _Shares(msgspec.Struct, frozen=True):
-    """Hold who sends a route's requests; `factor` is their sum against the usual."""
+    """Hold the senders of a route's requests; `factor` is their total rate relative to usual."""
 
     senders: tuple[Sender, ...]
     cumulated: tuple[float, ...]
@@ -34,12 +34,12 @@
 
 
 class Demand:
-    """Hold how much comes now; without customers and waves, that is the routes' rates."""
+    """Hold the current demand; without customers and waves it equals the rates of the routes."""
 
     __slots__ = ("_hot", "_names", "_shares", "places", "rate_factors", "rng", "scenario")
 
     def __init__(self, scenario: Scenario, places: dict[str, str], rng: random.Random):
-        """Create the demand; `places` maps each node to its data centre."""
+        """Create the demand; `node_data_centres` maps each node to its data centre."""
         self.scenario = scenario
         self.places = places
         self.rng = rng
@@ -49,16 +49,18 @@
         self._shares: dict[str, _Shares] = {}
 
     def set_rate(self, route: str, factor: float) -> None:
-        """Have a route's requests, all where it is empty, come so many times as often as usual."""
+        """Multiply the request rate of a route, or of all routes if `route` is empty."""
         self.rate_factors[route] = factor
 
     def heat(self, customer: str, factor: float) -> None:
-        """Have a customer send so many times its usual; 1 ends that."""
+        """Multiply the request rate of a customer; a factor of 1 restores the usual rate."""
         self._hot[customer] = factor
         self._shares.clear()
 
     def find_rate(self, route: RouteTable, now: Seconds) -> float:
-        """Return how many requests of a route come in a second."""
+        """Return the request rate of a route.
+
+        Units: requests per second."""
         heights = self._list_heights(now)
         whole = sum(wave.weight for wave in self.scenario.callers.waves)
         level = sum(heights) / whole if heights else 1.0
@@ -66,20 +68,20 @@
         return route.per_second * factor * level * self._find_shares(route).factor
 
     def pick_node(self, now: Seconds) -> str:
-        """Return the node that the next request comes to."""
+        """Return the node that receives the next request."""
         waves = self.scenario.callers.waves
         if not waves:
             return self.rng.choice(self._names)
         [wave] = self.rng.choices(waves, self._list_heights(now))
         there = [name for name, place in self.places.items() if place == wave.data_centre]
-        # A data centre without an instance has callers, which come to any.
+        # Callers of a data centre without an instance use any instance.
         return self.rng.choice(there or self._names)
 
     def _list_heights(self, now: Seconds) -> list[float]:
         return [_find_height(wave, now) for wave in self.scenario.callers.waves]
 
     def pick_sender(self, route: RouteTable) -> Sender:
-        """Return whose the next request of a route is."""
+        """Return the sender of the next request of a route."""
         shares = self._find_shares(route)
         if not shares.senders:
             return NOBODY
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
@@ -1,4 +1,4 @@
-"""Emulate an entry node: the product's calls, tables and choice decide."""
+"""Emulate an entry node with bendwind's own calls, upstream tables and upstream choice."""
 
 import random
 from collections.abc import Callable
@@ -44,19 +44,19 @@
 
 
 class Answered(msgspec.Struct, frozen=True):
-    """Say that a call was answered, by the upstream's status."""
+    """Report that a call was answered, with the upstream's status."""
 
     status: int
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """Say that a call did not run, and when to come back."""
+    """Report that a call did not run, and after which time to retry."""
 
     retry_after_ms: Milliseconds
 
 
 class Lost(msgspec.Struct, frozen=True):
-    """Say that nobody knows whether a call ran."""
+    """Report that it is unknown whether a call ran."""
 
 
 Outcome = Answered | Refused | Lost
@@ -64,26 +64,26 @@
 
 
 class Network(Protocol):
-    """State what an entry node asks of the world."""
+    """Declare what an entry node needs from its environment."""
 
     def send(self, sender: str, to: str, message: Record) -> None:
-        """Carry a message to a node's owner side."""
+        """Send a message to the owner side of a node."""
 
     def note_attempt(self, upstream: str) -> None:
         """Count an attempt that was sent."""
 
     def note_sent_back(self, target: bytes, reason: NotRunReason) -> None:
-        """Count an attempt that was sent back unrun."""
+        """Count an attempt that an owner refused without running it."""
 
     def find_run_rank(self, name: str) -> float | None:
-        """Return the most urgent rank of what runs beside a node."""
+        """Return the most urgent rank among the requests that run at a node's upstream."""
 
     def note_retry(self) -> None:
-        """Count an attempt that the retry budget paid for."""
+        """Count an attempt that was charged to the retry budget."""
 
 
 class CallRun(msgspec.Struct, eq=False):
-    """Hold one call, its timers and who awaits it."""
+    """Hold one call, its timers and the callback for its outcome."""
 
     call: EntryCall
     route: RouteTable
@@ -94,7 +94,7 @@
 
 
 class EntrySide:
-    """Own the calls that came to a node."""
+    """Hold the calls that a node received."""
 
     __slots__ = (
         "agenda",
@@ -153,7 +153,7 @@
             )
 
     def hear_upstreams(self, service: str, upstreams: tuple[Upstream, ...]) -> None:
-        """Hear which upstreams serve a service."""
+        """Update the upstreams that serve a service."""
         used = choose_subset(self.name, self.data_centre, upstreams)
         set_upstreams(self.tables[service], used, self.agenda.now)
 
@@ -167,7 +167,7 @@
         customer: str = "",
         rank: int | None = None,
     ) -> None:
-        """Take a call and tell its outcome once; `rank` is the customer's, if it has one."""
+        """Start a call and report its outcome once; `rank` is the customer's, if it has one."""
         rule = Rule(
             "*",
             repeat=route.repeat,
@@ -269,13 +269,13 @@
         )
 
     def _find_run_rank(self) -> dict[str, float | None]:
-        # A core that is compared against may not know of it.
+        # An older core that is compared may lack this field.
         if "run_rank" not in HandOver.__struct_fields__:
             return {}
         return {"run_rank": self.network.find_run_rank(self.name)}
 
     def _find_limit(self, run: CallRun, upstream: Upstream) -> dict[str, float | None]:
-        # A core that is compared against may not know of it.
+        # An older core that is compared may lack this field.
         if "limit_per_s" not in HandOver.__struct_fields__:
             return {}
         from bendwind_core.routing import find_rate_limit
@@ -283,13 +283,13 @@
         return {"limit_per_s": find_rate_limit(self.tables[run.route.service].notices, upstream)}
 
     def _name_near(self) -> dict[str, str]:
-        # A core that is compared against may not know of it.
+        # An older core that is compared may lack this field.
         if not self.scenario.policy.near_first or "near" not in EntryCall.__struct_fields__:
             return {}
         return {"near": self.data_centre}
 
     def _combine_ranks(self, run: CallRun) -> float:
-        # A core that is compared against may not know of it.
+        # An older core that is compared may lack this field.
         combine = getattr(world, "combine_ranks", lambda rank, route_rank: rank)
         return combine(run.call.rank, run.route.priority)
 
@@ -310,7 +310,7 @@
         run.done(outcome)
 
     def hear(self, message: Record) -> None:
-        """Hear a message of an owner node; one that matches no open attempt is dropped."""
+        """Handle a message of an owner node; drop it if it matches no open attempt."""
         run = self.runs.get(message.attempt.sequence)
         is_own = message.attempt.incarnation == self.incarnation
         attempt = find_attempt(run.call, message.attempt) if run is not None and is_own else None
@@ -334,7 +334,7 @@
                 self._feed(run, ev.FenceAnswered(id, verdict))
 
     def lose(self, node: str) -> None:
-        """Hear that the link to a node broke."""
+        """Handle the loss of the link to a node."""
         for run in list(self.runs.values()):
             for attempt in list(run.call.attempts):
                 is_there = attempt.upstream.owner.name == node
@@ -348,7 +348,7 @@
                     self._feed(run, ev.OwnerLinkLost(attempt.id))
 
     def stop(self) -> None:
-        """End with the process: callers see their connections close."""
+        """Stop as the process ends: the callers' connections close."""
         self.is_stopped = True
         runs = {id(run): run for run in self.runs.values()}
         self.runs.clear()
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Have the faults of a scenario happen at their times."""
+"""Inject the faults of a scenario at their times."""
 
 from bendwind_bench.emulator.interfaces import Instance, Stage
 from bendwind_bench.emulator.tables import Fault, FaultKind
@@ -6,7 +6,7 @@
 
 
 def plan_faults(world: Stage) -> None:
-    """Plan every fault of the scenario, counted from now."""
+    """Schedule every fault of the scenario; its times count from now."""
     for fault in world.scenario.faults:
         world.agenda.after(fault.at, lambda fault=fault: _begin(world, fault))
 
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/interfaces.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/interfaces.py
@@ -1,6 +1,6 @@
-"""State what the parts of an emulated deployment ask of each other.
+"""Declare the interfaces between the parts of an emulated deployment.
 
-The modules of the parts import this one, and only `world` imports them.
+The parts import this module, and only `world` imports the parts, which avoids import cycles.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 
 class Instance(Protocol):
-    """State what others see of a node."""
+    """Declare what other parts use of a node."""
 
     name: str
     agenda: PausableAgenda
@@ -30,7 +30,7 @@
 
 
 class Site(Protocol):
-    """State what all parts see of the deployment that they are in."""
+    """Declare what all parts use of their deployment."""
 
     agenda: Agenda
     nodes: Mapping[str, Instance]
@@ -40,63 +40,63 @@
 
 
 class Surroundings(Site, Protocol):
-    """State what a node asks of the world around it."""
+    """Declare what a node needs from its environment."""
 
     evacuated: set[str]
 
     def carry_back(self, sender: str, to: str, message: Record) -> None:
-        """Carry a message of an owner node to an entry node."""
+        """Send a message of an owner node to an entry node."""
 
     def note_attempt(self, upstream: str) -> None:
         """Count an attempt that was sent."""
 
     def note_retry(self) -> None:
-        """Count an attempt that the retry budget paid for."""
+        """Count an attempt that was charged to the retry budget."""
 
     def note_sent_back(self, target: bytes, reason: NotRunReason) -> None:
-        """Count an attempt that was sent back unrun."""
+        """Count an attempt that an owner refused without running it."""
 
     def push(self) -> None:
-        """Have all nodes hear soon which upstreams serve."""
+        """Schedule a push of the serving upstreams to all nodes."""
 
     def send(self, sender: str, to: str, message: Record) -> None:
-        """Carry a message of an entry node to an owner node."""
+        """Send a message of an entry node to an owner node."""
 
     def tell_voters(self, told: tuple[SuspectReport, ...]) -> None:
-        """Carry to the voters what a node knows against requests."""
+        """Send a node's suspect reports to the voters."""
 
 
 class Demand(Protocol):
-    """State what faults change of the callers' demand."""
+    """Declare how faults change the callers' demand."""
 
     def set_rate(self, route: str, factor: float) -> None:
-        """Have a route's requests, all where it is empty, come so many times as often as usual."""
+        """Multiply the request rate of a route, or of all routes if `route` is empty."""
 
     def heat(self, customer: str, factor: float) -> None:
-        """Have a customer send so many times its usual; 1 ends that."""
+        """Multiply the request rate of a customer; a factor of 1 restores the usual rate."""
 
 
 class Crowd(Protocol):
-    """State what faults ask of the callers."""
+    """Declare what faults use of the callers."""
 
     demand: Demand
 
     def send_crashing(self, route: RouteTable, target: bytes) -> None:
-        """Send a request that ends upstreams to any node."""
+        """Send a request that crashes upstreams to a random node."""
 
 
 class Stage(Site, Protocol):
-    """State what faults may do to a deployment."""
+    """Declare how faults change a deployment."""
 
     callers: Crowd
     crashes: dict[bytes, CrashCount]
     rng: random.Random
 
     def kill(self, node: Instance, restart: Seconds = ...) -> None:
-        """Kill the process of a node and start it again."""
+        """Kill the process of a node and restart it after a delay."""
 
     def set_evacuated(self, data_centre: str, *, evacuated: bool) -> None:
-        """Evacuate a data centre or take it back."""
+        """Evacuate a data centre or end its evacuation."""
 
 
 __all__ = ["Crowd", "Demand", "Instance", "Site", "Stage", "Surroundings"]
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/names.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/names.py
@@ -1,4 +1,4 @@
-"""Check that the names in a scenario are of what it has."""
+"""Check that the names in a scenario refer to things that it defines."""
 
 from collections.abc import Iterator
 
@@ -6,7 +6,7 @@
 
 
 def list_wrong_names(scenario: Scenario) -> Iterator[tuple[str, set[str]]]:
-    """List the keys that name what is not there, each with the names that are."""
+    """List the keys with an undefined name, each with the names that are defined."""
     services = {service.name for service in scenario.services}
     routes = {route.name for route in scenario.routes}
     places = set(scenario.places.data_centres)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
@@ -1,4 +1,4 @@
-"""Hold one emulated instance: its owner side, its entry side and the upstream beside them."""
+"""Emulate one instance: its owner side, its entry side and its upstream."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """Hold one instance: its owner side, its entry side and the upstream beside them."""
+    """Hold one instance: its owner side, its entry side and its upstream."""
 
     __slots__ = (
         "agenda",
@@ -43,7 +43,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start a new run of the process."""
+        """Start the process as a new incarnation."""
         world, upstream = self.world, self.upstream
         self.incarnation += 1
         self.is_up = True
@@ -70,29 +70,30 @@
         self.world.carry_back(self.name, entry, message)
 
     def tell_all(self) -> None:
-        """Have all nodes hear of this node's upstream."""
+        """Schedule a push of the serving upstreams to all nodes."""
         self.world.push()
 
     def tell_suspects(self) -> None:
-        """Tell the voters what is new against requests."""
+        """Send new suspect reports to the voters."""
         self.world.tell_voters(pop_unreported(self.suspects, self.world.agenda.now))
 
     def hear_suspects(self, told: tuple[SuspectReport, ...]) -> None:
-        """Hear from the voters what is known against requests."""
+        """Merge suspect reports that the voters sent."""
         for one in told:
             merge_report(self.suspects, one, self.world.agenda.now)
 
     def describe(self) -> Upstream:
-        """Return the upstream as it is announced."""
+        """Return the description with which the upstream is announced."""
         place = Instance(self.name, self.upstream.data_centre, "", 0, self.incarnation)
         slots = self.upstream.table.slots
         return Upstream(self.upstream.name, self.upstream.table.name, place, slots, 10 * slots)
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether other nodes are told to use the upstream."""
+        """Return whether the upstream is pushed to other nodes as usable."""
         is_open = self.upstream.data_centre not in self.world.evacuated
-        # A core that is compared against may not know that upstreams leave by their answers.
+        # An older core that is compared may not support upstreams that announce their leaving in
+        # answers.
         is_leaving = getattr(self.owner.owner_state, "is_leaving", False)
         return self.is_up and is_open and not self.owner.is_unreachable and not is_leaving
 
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/owner_side.py
@@ -1,4 +1,4 @@
-"""Emulate an owner node: the product's owner decides, the model of its upstream answers."""
+"""Emulate an owner node: bendwind's owner decides, and a model of the upstream answers."""
 
 from typing import Protocol
 
@@ -21,14 +21,14 @@
 from bendwind_core.suspicion import SuspectTable
 from bendwind_core.world import LoadSample, UpstreamState, WarmUpRule
 
-# A round trip within the instance.
+# Duration of a round trip within the instance.
 NEAR: Seconds = 0.0003
 RETRY_PAUSE: Seconds = 0.5
 QUEUE = 16
 
 
 class Answer(Record, frozen=True):
-    """Carry an upstream's whole answer to the entry node."""
+    """Hold an upstream's complete answer on its way to the entry node."""
 
     attempt: AttemptId
     status: int
@@ -36,20 +36,20 @@
 
 
 class Beside(Protocol):
-    """State what an owner node asks of the process that it is part of."""
+    """Declare what an owner side needs from the node that it is part of."""
 
     def reply(self, entry: str, message: Record) -> None:
         """Send a message to an entry node."""
 
     def tell_all(self) -> None:
-        """Have all nodes hear of this node's upstream."""
+        """Schedule a push of the serving upstreams to all nodes."""
 
     def tell_suspects(self) -> None:
-        """Have all nodes hear what is new against requests."""
+        """Send new suspect reports, by way of the voters, to all nodes."""
 
 
 class OwnerSide:
-    """Hold the state of the one upstream beside a node."""
+    """Hold the owner state of a node's only upstream."""
 
     __slots__ = (
         "agenda",
@@ -98,17 +98,17 @@
         )
 
     def find_run_rank(self) -> float | None:
-        """Return the most urgent rank of what runs, None where nothing does."""
+        """Return the most urgent rank among the running requests, None if none runs."""
         return min((run.effective_rank for run in self.owner_state.running.values()), default=None)
 
     def announce(self, state: UpstreamState = UpstreamState.READY) -> None:
-        """Have the owner hear the upstream's announcement and its answer on the health path."""
+        """Deliver the upstream's announcement to the owner and query the upstream."""
         slots = self.upstream.table.slots
         self.feed(ov.UpstreamAnnounced(slots, 10 * slots, state))
         self.ask()
 
     def ask(self) -> None:
-        """Ask the upstream how cold it is and how fast it works."""
+        """Query the upstream's remaining warm-up time and its load report on the health path."""
         asked_at = self.agenda.now
         self.agenda.after(NEAR, lambda: self._hear_health(asked_at))
 
@@ -122,7 +122,7 @@
             self.feed(ov.LoadNotReported(has_load_endpoint=False))
 
     def feed(self, event: ov.OwnerEvent) -> None:
-        """Apply an event and carry out what the owner decides."""
+        """Apply an event and the effects that the owner returns."""
         for effect in owner.step(self.owner_state, event, self.agenda.now):
             self._carry_out(effect)
         if self.owner_state.suspects.unreported:
@@ -171,7 +171,7 @@
         self.take_back()
 
     def take_back(self) -> None:
-        """Use the upstream again after a new start or an evacuation; it may be cold."""
+        """Use the upstream again after a restart or an evacuation; it may be cold."""
         self.is_unreachable = False
         self.feed(ov.UpstreamReachable())
         self.feed(ov.UpstreamAssumedCold())
@@ -220,8 +220,8 @@
         self.beside.reply(attempt.entry, Answer(attempt, status, load))
 
     def _hear_notice(self, sent_at: Seconds) -> None:
-        """Have the owner hear what the answer says of the upstream."""
-        # A core that is compared against may not know of it.
+        """Pass the upstream's rate limit and its leaving, as stated in an answer, to the owner."""
+        # An older core that is compared may lack this field.
         if "rate_limit" not in owner.OwnerState.__struct_fields__:
             return
         limit = self.owner_state.rate_limit
@@ -239,7 +239,7 @@
         if run is not None:
             self.upstream.cancel(run)
         if attempt in self.owner_state.running:
-            # Fed later, as a task does: the owner is in the middle of a step.
+            # The event is scheduled, as a task does, since the owner is in the middle of a step.
             self.agenda.at(self.agenda.now, lambda: self._end_dropped(attempt, reason))
 
     def _end_dropped(self, attempt: AttemptId, reason: CutReason) -> None:
@@ -247,7 +247,7 @@
             self.feed(ov.DispatchUnknown(attempt, reason))
 
     def stop(self) -> None:
-        """End with the process: the upstream sees its connections close."""
+        """Stop as the process ends: the connections to the upstream close."""
         for run in self.runs.values():
             self.upstream.cancel(run)
         self.runs.clear()
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/quota.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/quota.py
@@ -1,4 +1,4 @@
-"""Keep customers within their quotas, as if all nodes shared one bucket for each at no cost."""
+"""Enforce customers' quotas with one token bucket each, shared by all nodes at no cost."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class _Bucket(msgspec.Struct):
-    """Hold what a customer may still send at once."""
+    """Hold the token bucket of one customer."""
 
     rate_per_s: float
     burst: float
@@ -16,7 +16,7 @@
 
 
 class Quotas:
-    """Hold a bucket for each customer that has a quota."""
+    """Hold a token bucket for each customer that has a quota."""
 
     __slots__ = ("_buckets",)
 
@@ -29,7 +29,7 @@
         }
 
     def take(self, customer: str, now: Seconds) -> Milliseconds | None:
-        """Take a token; return how long until there is one if there is none, else None."""
+        """Consume a token; if there is none, return the time until the next one, else None."""
         bucket = self._buckets.get(customer)
         if bucket is None:
             return None
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/report.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/report.py
@@ -1,4 +1,4 @@
-"""Show the figures of emulated runs as a table, a plot and JSON."""
+"""Format the figures of emulated runs as tables, a plot and JSON."""
 
 import statistics
 from collections.abc import Iterator
@@ -38,7 +38,7 @@
 
 
 class Side(msgspec.Struct, frozen=True):
-    """Hold the runs of one side of a comparison; `label` says which."""
+    """Hold the runs of one side of a comparison; `label` names the side."""
 
     label: str
     seeds: tuple[int, ...]
@@ -46,7 +46,7 @@
 
 
 class ScenarioReport(msgspec.Struct, frozen=True):
-    """Hold what was run of one scenario, with the differences of the second side, if any."""
+    """Hold the runs of one scenario and, if two sides were run, their differences."""
 
     scenario: str
     sides: tuple[Side, ...]
@@ -54,12 +54,12 @@
 
 
 def render(reports: list[ScenarioReport]) -> str:
-    """Return the table of the mean figures, with paired differences below each pair."""
+    """Return the table of mean figures, with the paired differences below each pair of sides."""
     return _render_table(reports, _FATES)
 
 
 def render_room(reports: list[ScenarioReport]) -> str:
-    """Return the table of what waited, was refused and ran for nothing."""
+    """Return the table of waits, refusals, runs for nothing, worst customers and rate limits."""
     return _render_table(reports, _ROOM)
 
 
@@ -91,7 +91,7 @@
 
 
 def render_kinds(reports: list[ScenarioReport]) -> str:
-    """Return for each scenario what became of the requests of each route and of each rank."""
+    """Return the table of request outcomes by route and by rank for each scenario."""
     lines = [_render_row("", list(_KIND))]
     for report in reports:
         for side in report.sides:
@@ -112,7 +112,7 @@
 
 
 def render_windows(reports: list[ScenarioReport]) -> str:
-    """Return, for each scenario, the share in time by window of two seconds."""
+    """Return the share of requests in time by window of two seconds for each scenario."""
     lines = []
     for report in reports:
         for side in report.sides:
@@ -129,7 +129,7 @@
 
 
 def to_json(reports: list[ScenarioReport]) -> bytes:
-    """Return the figures for machines; the same runs give the same bytes."""
+    """Return the figures as JSON; the same runs give the same bytes."""
     rows = [
         {
             "scenario": report.scenario,
@@ -146,7 +146,7 @@
 
 
 def write_plot(reports: list[ScenarioReport], file: Path) -> None:
-    """Draw the share in time by window, one panel a scenario."""
+    """Plot the share of requests in time by window, with one panel for each scenario."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/scenario.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""Read a scenario, change its keys and its size."""
+"""Load scenarios, change their keys and scale them."""
 
 from pathlib import Path
 
@@ -23,14 +23,14 @@
 
 
 def list_scenarios() -> tuple[str, ...]:
-    """Return the names of the scenarios that come with the program."""
+    """Return the names of the shipped scenarios."""
     return tuple(sorted(file.stem for file in FOLDER.glob("*.toml")))
 
 
 def load_scenario(name: str, changes: tuple[str, ...] = ()) -> Result[Scenario, TomlError]:
-    """Read a scenario by the name of a shipped one or by its file, with keys changed.
+    """Load a shipped scenario by its name or any scenario by its file, and change keys of it.
 
-    Errors: the first thing that is wrong: file, key and what was expected.
+    Errors: the first fault, with file, key and expectation.
     """
     shipped = FOLDER / f"{name}.toml"
     file = shipped if shipped.is_file() else Path(name)
@@ -43,9 +43,9 @@
 
 
 def parse_scenario(data: bytes, file: str) -> Result[Scenario, TomlError]:
-    """Check a scenario's TOML text in full.
+    """Parse and check the TOML text of a scenario.
 
-    Errors: the first thing that is wrong with it.
+    Errors: the first fault.
     """
     read = decode_toml(data, file, Scenario).bind(lambda scenario: _complete(scenario, file))
     return read.bind(lambda scenario: _check_names(scenario, file))
@@ -56,7 +56,7 @@
 
 
 def _complete(scenario: Scenario, file: str) -> Result[Scenario, TomlError]:
-    """Fill in what a scenario leaves to its base, or to the defaults."""
+    """Fill in tables that a scenario omits from its base, or from the defaults without a base."""
     filled = {name: value for name, value in _DEFAULTS.items() if getattr(scenario, name) is None}
     if scenario.base:
         base = load_scenario(scenario.base)
@@ -71,9 +71,9 @@
 
 
 def change_scenario(scenario: Scenario, changes: tuple[str, ...]) -> Result[Scenario, TomlError]:
-    """Return a scenario with keys changed, as `policy.slot_share=1.0` or `services.a.slots=8`.
+    """Return a scenario with changed keys, e.g. `policy.slot_share=1.0` or `services.a.slots=8`.
 
-    Errors: a key that is not there, or a value that its key does not take.
+    Errors: an unknown key, or a value that is invalid for its key.
     """
     plain = msgspec.to_builtins(scenario)
     for change in changes:
@@ -87,7 +87,7 @@
 
 
 def scale_scenario(scenario: Scenario, size: int) -> Scenario:
-    """Return a scenario with so many times the upstreams and the callers."""
+    """Return a scenario with its upstream counts and request rates multiplied by `size`."""
     services = tuple(
         replace(service, upstreams=service.upstreams * size) for service in scenario.services
     )
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tables.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tables.py
@@ -1,4 +1,4 @@
-"""Define what a scenario may state: services, routes, customers, callers, places, faults."""
+"""Define the tables of a scenario: services, routes, customers, callers, places and faults."""
 
 import enum
 from typing import Annotated
@@ -22,13 +22,13 @@
 
 
 class _Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Hold one table of a scenario; unknown keys are refused."""
+    """Hold one table of a scenario; unknown keys are rejected."""
 
 
 class Phases(_Table, frozen=True, kw_only=True):
-    """State the slow phases that each upstream has by itself; work begun in one stays slow.
+    """Define the slow phases that each upstream has independently; work begun in one stays slow.
 
-    Units: `every_s` is the mean time from one phase's end to the next one's beginning.
+    Units: `every_s` is the mean time in seconds from the end of a phase to the next start.
     """
 
     every_s: Positive
@@ -37,7 +37,10 @@
 
 
 class WarmUp(_Table, frozen=True, kw_only=True):
-    """State how an upstream is after a start; `falls_over` above what it bears in a second."""
+    """Define an upstream's warm-up after a start.
+
+    With `falls_over`, a cold upstream crashes if more requests arrive within a second than
+    `per_second` times `overage`, plus `slack`."""
 
     seconds: Positive
     per_second: Positive
@@ -48,11 +51,12 @@
 
 
 class ServiceTable(_Table, frozen=True, kw_only=True):
-    """State a service and its upstreams.
+    """Define a service and its upstreams.
 
-    Above `knee` of its slots an upstream takes `knee_factor` times as long. `queue` is how many
-    requests it holds itself before it sheds. `scatter` is the deviation of the logarithm of work.
-    Its upstreams are spread over `data_centres`, over all where none is named.
+    If more than the share `knee` of its slots is in use, an upstream takes `knee_factor` times as
+    long. `queue` is the number of requests that an upstream queues itself before it sheds.
+    `scatter` is the standard deviation of the logarithm of the work. The upstreams are spread over
+    `data_centres`, or over all data centres if none is named.
     """
 
     name: Name
@@ -69,10 +73,10 @@
 
 
 class RouteTable(_Table, frozen=True, kw_only=True):
-    """State a route; the share `calling` of its runs make `calls`, by route, one after the other.
+    """Define a route; the share `calling` of its runs make `calls`, by route, one after the other.
 
-    `priority` is its rank, 0 the most urgent, for requests of customers that have none. Its
-    requests ask for `targets` different things, each for another one if that is 0.
+    `priority` is the rank, 0 the most urgent, of requests from customers without a rank. Its
+    requests have `targets` different paths; if that is 0, each request has its own path.
     """
 
     name: Name
@@ -90,11 +94,12 @@
 
 
 class CustomerTable(_Table, frozen=True, kw_only=True):
-    """State a group of customers, whose names are the group's with `-0`, `-1` and so on.
+    """Define a group of customers, named after the group with the suffixes `-0`, `-1` and so on.
 
-    The n-th, counted from 1, sends in proportion to n to the power of -`zipf`. `weight` is the part
-    of the group in the requests of `routes`, of all where none is named. `rank` goes before that of
-    a route. Each may send `rate_per_s`, and `burst` at once; without a rate it has no quota.
+    The n-th customer, counted from 1, sends requests in proportion to n to the power of -`zipf`.
+    `weight` is the relative part of the group in the requests of `routes`, or of all routes if none
+    is named. `rank` takes precedence over the rank of the route. Each customer may send
+    `rate_per_s`, and `burst` at once; without a rate it has no quota.
     """
 
     name: Name
@@ -112,9 +117,9 @@
 
 
 class Wave(_Table, frozen=True, kw_only=True):
-    """State how many of the callers come to a data centre, and how their rate rises and falls.
+    """Define the part of the callers that use a data centre, and the periodic change of their rate.
 
-    `weight` is relative to the other waves; `phase` is where the wave begins, as a part of it.
+    `weight` is relative to the other waves; `phase` is the initial phase as a share of the period.
     """
 
     data_centre: Name
@@ -125,9 +130,9 @@
 
 
 class Callers(_Table, frozen=True, kw_only=True):
-    """State how callers behave: tries beyond the first, and the share that asks again at once.
+    """Define how callers behave: the number of retries, and the share that retry at once.
 
-    Without `waves` they come to all nodes alike.
+    Without `waves` callers use all nodes equally.
     """
 
     retries: Annotated[int, Meta(ge=0, le=20)] = 1
@@ -136,7 +141,10 @@
 
 
 class Places(_Table, frozen=True, kw_only=True):
-    """State the data centres, over which upstreams are spread in turn, and the ways between."""
+    """Define the data centres, over which upstreams are spread in turn, and the network delays.
+
+    `within_ms` and `between_ms` are the delays of a message within a data centre and between two;
+    `push_ms` is the delay of pushes to all nodes."""
 
     data_centres: Annotated[tuple[Name, ...], Meta(min_length=1)] = ("north", "south", "east")
     within_ms: NotNegative = 0.3
@@ -145,7 +153,7 @@
 
 
 class PolicyTable(_Table, frozen=True, kw_only=True):
-    """State the settings of the product that the run uses."""
+    """Define the bendwind settings of the run."""
 
     policy: Policy = Policy.SCORE
     near_first: bool = True
@@ -159,7 +167,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """Name what may happen during a run."""
+    """Enumerate the faults that may occur during a run."""
 
     BURST = "burst"
     SLOW = "slow"
@@ -179,13 +187,14 @@
 
 
 class Fault(_Table, frozen=True, kw_only=True):
-    """State one fault; `service` or `data_centre` empty means all, `share` how many of those.
-
-    A crashing request ends each upstream that runs it. It comes at `count` nodes at once, and then
-    `x` times a second for `for_s`; two such faults with one `target` are the same request. A hot
-    `customer` sends `x` times its usual; a burst is one of a `route`, of all where that is empty.
-    With a limit, upstreams name `x` requests a second in their answers; with a leave, they say in
-    their answers that they leave, and for good.
+    """Define one fault; it affects the share `share` of the nodes.
+
+    The nodes are those of `service` in `data_centre`; an empty value means all. A crashing request
+    ends each upstream that runs it. It arrives at `count` nodes at once, and then `x` times a
+    second for `for_s`; two such faults with the same `target` are the same request. A hot
+    `customer` sends `x` times its usual requests; a burst concerns a `route`, or all routes if that
+    is empty. With a limit, upstreams state a rate limit of `x` requests a second in their answers;
+    with a leave, they state in their answers that they leave, permanently.
     """
 
     kind: FaultKind
@@ -202,9 +211,9 @@
 
 
 class Scenario(_Table, frozen=True, kw_only=True):
-    """Hold a whole scenario; tables that it leaves out are those of its `base`, if it names one.
+    """Hold a complete scenario; tables that it omits are taken from its `base`, if it names one.
 
-    Units: `seconds` is how long callers come.
+    Units: `seconds` is the time during which callers send requests.
     """
 
     name: Name
@@ -220,9 +229,9 @@
     faults: tuple[Fault, ...] = ()
 
     def find_service(self, name: str) -> ServiceTable:
-        """Return the service of a name that is known to exist."""
+        """Return the service with a name; the name must exist."""
         return next(service for service in self.services if service.name == name)
 
     def find_route(self, name: str) -> RouteTable:
-        """Return the route of a name that is known to exist."""
+        """Return the route with a name; the name must exist."""
         return next(route for route in self.routes if route.name == name)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
@@ -1,4 +1,4 @@
-"""Count what became of callers' requests, by route and by window, and what it cost."""
+"""Count the outcomes of callers' requests, by route and by time window, and their cost."""
 
 import collections
 import enum
@@ -13,17 +13,17 @@
 from bendwind_core.core import Seconds
 
 WINDOW: Seconds = 2.0
-# So many upstreams end under a request before it can be told from others, and so long it may take
-# until all nodes that reach their voters know of it.
+# Number of upstream ends under a request before it can be distinguished from other requests, and
+# the maximum time until all nodes that can reach their voters know of it.
 TELLING_ENDS = 3
 TELLING: Seconds = 3.0
-# Of customers with fewer requests, one answer more or less decides the share.
+# For customers with fewer requests, a single answer changes the share too much.
 FEWEST_REQUESTS = 10
 WORST_SHARE = 0.1
 
 
 class Fate(enum.StrEnum):
-    """Say what a caller got in the end."""
+    """Enumerate the final outcomes of a caller's request."""
 
     IN_TIME = "in-time"
     LATE = "late"
@@ -35,23 +35,24 @@
 
 
 class Figures(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the figures of one run; shares are of the requests that callers made.
-
-    `sent_back` is attempts returned unrun for each request, `busiest` the most attempts of an
-    upstream against the mean of its service, `retries` the share of attempts that the retry budget
-    paid for, and `worst` the mean share in time of the two worst windows. `crashed` counts the
-    upstreams that ended under requests which end them, `crash_repeats` how often the worst of these
-    reached upstreams later than `TELLING` after the third end under it, and `wronged` the attempts
-    for each request that were quarantined though the request ends nothing.
-
-    A call is one try of a caller, or one call that an upstream makes. `sent_back_a_call` is
-    `sent_back` for each of these, `waited_free` the share of them that waited over 20 ms at an
-    owner while another upstream of the service was free, and `waited_free_s` how long all waited
-    so. `for_nothing` is the share of upstreams' own calls that were refused, each of which ended a
-    run with an error. `worst_in_time` and `worst_served` are the shares of the tenth of the
-    customers that fared worst by that, 1 where the scenario has none.
-    `routes`, `ranks` and `customers` hold for each the number of requests, the share served at all
-    and the shares by what became of them, `routes` also the rank of each.
+    """Hold the figures of one run; shares are relative to the requests that callers made.
+
+    `sent_back` is the number of attempts refused without running, per request. `busiest` is the
+    highest number of attempts at an upstream relative to the mean of its service. `retries` is the
+    share of attempts that were charged to the retry budget, and `worst` the mean share in time of
+    the two worst windows. `crashed` counts the upstreams that ended under crashing requests.
+    `crash_repeats` is how often the worst crashing request reached upstreams later than
+    `SUSPICION_DELAY` after the third end under it. `wronged` is the number of quarantined attempts
+    per request whose request crashes no upstream.
+
+    A call is one send of a caller, retries included, or one call that an upstream makes.
+    `sent_back_a_call` is `sent_back` per call. `waited_free` is the share of calls that waited over
+    20 ms at an owner while another upstream of the service was free, and `waited_free_s` the total
+    time of such waits. `for_nothing` is the share of upstreams' own calls that were refused, each
+    of which ended a run with an error. `worst_in_time` and `worst_served` are the mean shares of
+    the tenth of the customers with the lowest such shares, 1 if the scenario has no customers.
+    `routes`, `ranks` and `customers` hold for each item the number of requests, the share served at
+    all and the share of each outcome; `routes` also holds the rank of each route.
     """
 
     requests: int
@@ -83,9 +84,10 @@
 
 
 class Tally:
-    """Collect the fates of one run, and what it cost.
+    """Collect the request outcomes of one run and their cost.
 
-    `waited_long` counts the calls that waited while another upstream was free, `waited_s` how long.
+    `long_waits` counts the calls that waited over 20 ms while another upstream was free, `waited_s`
+    is the total time of all such waits, shorter ones included.
     """
 
     __slots__ = (
@@ -126,7 +128,7 @@
     def note(
         self, route: RouteTable, began_at: Seconds, fate: Fate, rank: int, customer: str
     ) -> None:
-        """Count what became of one request of a caller."""
+        """Count the outcome of one request of a caller."""
         self.by_rank.setdefault(rank, collections.Counter())[fate] += 1
         if customer:
             self.by_customer.setdefault(customer, collections.Counter())[fate] += 1
@@ -138,7 +140,7 @@
     def summarize(
         self, services: dict[str, list[str]], fell_over: int, crashes: Iterable[CrashCount] = ()
     ) -> Figures:
-        """Return the figures; `services` lists the upstreams of each."""
+        """Return the figures; `services` lists the upstreams of each service."""
         total = sum(self.by_route.values(), collections.Counter())
         requests = sum(total.values())
         shares = _find_shares(total)
@@ -201,7 +203,7 @@
 
 
 def _find_worst(groups: Iterable[collections.Counter], fates: tuple[Fate, ...]) -> float:
-    """Return the mean share of some fates among the tenth of the groups where it is lowest."""
+    """Return the mean share of `fates` in the tenth of the groups where that share is lowest."""
     counted = [counts for counts in groups if counts.total() >= FEWEST_REQUESTS]
     shares = sorted(sum(counts[fate] for fate in fates) / counts.total() for counts in counted)
     worst = shares[: math.ceil(WORST_SHARE * len(shares))]
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_choosing_ranks.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_choosing_ranks.py
@@ -1,4 +1,4 @@
-"""Replay the worked example of docs/OPERATIONS.md: each setting is worth what the page says."""
+"""Test that each setting in the worked example of docs/OPERATIONS.md has the stated effect."""
 
 import re
 import unittest
@@ -15,7 +15,7 @@
 
 
 def play(*changes):
-    """Return the shares in time of lookups and of the office, and of all in the worst seconds."""
+    """Return the shares in time of lookups, of the office and of all in the worst windows."""
     scenario = load_scenario("choosing-ranks", changes).ok
     runs = [run_scenario(scenario, seed) for seed in SEEDS]
     lookup = sum(run.routes["lookup"]["in-time"] for run in runs) / len(runs)
@@ -31,7 +31,7 @@
         quota = play()
         lookups = [step[0] for step in (nothing, slots, ranks, quota)]
         self.assertEqual(lookups, sorted(lookups))
-        # As much as the page says, less the scatter of two seeds.
+        # The effect that the page states, minus a margin for the scatter of two seeds.
         self.assertGreater(slots[0] - nothing[0], 0.03)
         self.assertGreater(ranks[0] - slots[0], 0.03)
         self.assertGreater(quota[0], 0.97)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_crashing_request.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_crashing_request.py
@@ -1,14 +1,14 @@
-"""Replay a request that ends every upstream which runs it.
+"""Test that a request that crashes each upstream which runs it is stopped.
 
-A request ended the upstream that ran it, and came again, with a new id, at another node. Nothing
-connected it with what had become of it before, so that each node placed it as new, at whichever
-upstream had just started: all upstreams of its service went down, and each that came back went down
-again within two seconds. The log of one end shows the harmless beside it:
+The failure: a caller sends such a request again, with a new id, to another node. If the nodes do
+not connect it with the earlier crashes, each sends it as a new request to the upstream that started
+last. All upstreams of the service crash, and each crashes again within two seconds after a restart.
+Each crash also cuts the harmless requests that run beside it, as the log of one crash shows:
 
 42.950 DISPATCH_FINISHED i-941efb0b20 unknown: upstream-reset (seven within 1 ms, nine ran)
 42.977 DISPATCH_FINISHED i-941efb0b20 not-run: connect-failed
 
-Fourteen upstreams ended under one request, and it had reached ten after the third.
+Without the protection one request crashed fourteen upstreams, ten of them reached after the third.
 """
 
 import unittest
@@ -18,7 +18,7 @@
 from bendwind_bench.emulator import load_scenario, run_scenario
 from bendwind_bench.emulator.scenario import Fault, FaultKind, change_scenario
 
-# What may still be sent once all nodes can know of three ends: to find out whether it is over.
+# Trial runs allowed once all nodes can know of three ends; they test whether the fault is over.
 MOST_REPEATS = 3
 
 
@@ -72,7 +72,7 @@
         self.assertGreater(figures.windows["8"]["in-time"], 0.97)
 
     def test_end_of_many_upstreams_at_once_has_hardly_anybody_refused(self):
-        """Nodes go on here, and see their upstreams end under the same few requests."""
+        """Nodes stay up and observe that their upstreams end under the same few requests."""
         ended = [
             Fault(kind=FaultKind.CRASH, at=at, for_s=1.0, service="catastro", share=0.5)
             for at in (3.0, 6.0, 9.0)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_demand.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_demand.py
@@ -98,7 +98,7 @@
         heated = msgspec.structs.replace(calm, faults=(hot,))
         usual, figures = run_scenario(calm, 1), run_scenario(heated, 1)
         sent = [one.customers["workshop-1"]["requests"] for one in (usual, figures)]
-        # Nine times the usual for one of six seconds.
+        # Nine times the usual rate during one of six seconds.
         self.assertAlmostEqual(sent[1] / sent[0], 14 / 6, delta=0.8)
 
     def test_runs_whose_call_was_refused_are_for_nothing(self):
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_limited.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_limited.py
@@ -1,4 +1,4 @@
-"""Replay loads at upstreams that name a limit of their rate, or leave by their answers alone."""
+"""Test upstreams that state a rate limit, or their leaving, only in their answers."""
 
 import unittest
 
@@ -43,7 +43,7 @@
         count.name(5.0, 100.0)
         for step in range(100):
             count.note_arrival(100.0 + step * 0.04)
-        # Ninety-nine came in the last four seconds, where 35 may.
+        # 100 requests arrived in the last four seconds, where 35 are allowed.
         self.assertAlmostEqual(count.worst, 100 / 35, delta=0.02)
         count.name(None, 104.0)
         self.assertAlmostEqual(count.allowed, 5.0)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_room_faults.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_room_faults.py
@@ -1,4 +1,4 @@
-"""Test who is served under lasting overload while something else fails."""
+"""Test which requests are served under lasting overload while faults occur."""
 
 import statistics
 import unittest
@@ -8,18 +8,18 @@
 from bendwind_bench.emulator.scenario import Fault, FaultKind, load_scenario
 from bendwind_bench.emulator.world import run_scenario
 
-# What callers are promised of kinds and customers, as a share of how often all are served.
+# Guaranteed served share of each route and customer, relative to the served share of all requests.
 PROMISED = 0.25
 PUT_BEHIND = 0.05
-# Of a customer with fewer requests the share that is served says little.
+# With fewer requests the served share of a customer is not meaningful.
 LEAST_REQUESTS = 20
 SEEDS = range(1, 6)
-# The most urgent first.
+# Ordered by urgency, most urgent first.
 KINDS = ("check", "deposit", "history")
 
 
 def find_least(figures, parts):
-    """Return how often the worst-served part is served, as a share of how often all are."""
+    """Return the lowest served share of the parts, relative to that of all requests."""
     served = [part["served"] for part in parts.values() if part["requests"] >= LEAST_REQUESTS]
     return min(served) / (figures.in_time + figures.late)
 
@@ -34,7 +34,7 @@
         for figures in runs:
             self.assertGreater(find_least(figures, figures.routes), PROMISED)
             self.assertGreater(find_least(figures, figures.customers), PROMISED)
-        # A run has about a hundred deposits, whose share is known to three in a hundred only.
+        # A run has only about 100 deposits, so the error of their share is about 3 %.
         served = [statistics.mean(run.routes[kind]["served"] for run in runs) for kind in KINDS]
         for urgent, other in zip(served, served[1:], strict=False):
             self.assertLess(other, urgent + PUT_BEHIND)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_waiting.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_waiting.py
@@ -14,7 +14,7 @@
 
 
 class Site:
-    """Hold two nodes of one service, of which the first has something waiting when told so."""
+    """Hold two nodes, of one service by default; `wait` keeps an attempt waiting at the first."""
 
     def __init__(self, services=("s", "s")):
         self.agenda = Agenda()
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_world.py
@@ -37,7 +37,7 @@
         self.assertEqual(figures.fell_over, 0)
 
     def test_service_that_lost_power_comes_back_and_nothing_falls_over(self):
-        """Replay the return after a loss of power, beside what came of it without the bound."""
+        """Compare the restart after a power loss with and without the bound on cold upstreams."""
         faults = tuple(
             msgspec.structs.replace(fault, at=1.0) if fault.kind is FaultKind.POWER_LOSS else fault
             for fault in load_scenario("power-loss").ok.faults
@@ -91,7 +91,7 @@
 
 
 class InvariantsTest(unittest.TestCase):
-    """Check what must hold whatever happens, on small random scenarios."""
+    """Test invariants on small random scenarios."""
 
     @settings(max_examples=20)
     @given(faults, st.integers(1, 6), st.sampled_from([20.0, 120.0]), st.integers(0, 1000))
@@ -113,7 +113,7 @@
 
 
 class Watch:
-    """Note which attempts truly ran, and what each call was told, over a whole run."""
+    """Record which attempts ran and the outcome that each call reported, over a whole run."""
 
     def __init__(self):
         self.ran = set()
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
@@ -1,4 +1,4 @@
-"""Model an upstream: slots, a knee, slow phases, a cold start, and what it bears."""
+"""Model an upstream: slots, a load knee, slow phases, a cold start and its capacity while cold."""
 
 import collections
 import math
@@ -12,13 +12,13 @@
 from bendwind_bench.limit_count import LimitCount
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 
-# An upstream that fell over starts again after this time; a guess for a supervised process.
+# Time after which a supervisor restarts an upstream that fell over from overload.
 RESTART: Seconds = 1.0
-# A request that ends its upstream does so early in its run, and a supervisor has the upstream back
-# after some seconds: 30 to 90 ms, and 1.3 to 4.9 s, in the logs of an incident.
+# A crashing request ends its upstream early in its run, and a supervisor restarts the upstream
+# after some seconds: logs of an incident show 30 to 90 ms and 1.3 to 4.9 s.
 CRASH_AFTER: Seconds = 0.05
 CRASH_RESTART: Seconds = 1.5
-# What an upstream that leaves is sent this long after it first said so comes too late.
+# Requests that arrive later than this after an upstream first stated its leaving are too late.
 DRAIN: Seconds = 2.0
 OK = 200
 SHED = 503
@@ -30,7 +30,7 @@
 
 
 class Run(msgspec.Struct, eq=False):
-    """Hold one request at an upstream; `reply` takes its status, None for a lost connection."""
+    """Hold one request at an upstream; `reply` receives its status, None for a lost connection."""
 
     route: RouteTable
     reply: Reply
@@ -41,14 +41,14 @@
 
 
 class CrashCount(msgspec.Struct):
-    """Hold when a request that ends upstreams reached one, and when one ended under it."""
+    """Hold the times at which a crashing request reached upstreams and at which it ended them."""
 
     arrived: list[Seconds] = msgspec.field(default_factory=list)
     ended: list[Seconds] = msgspec.field(default_factory=list)
 
 
 class UpstreamModel:
-    """Answer requests as the scenario states."""
+    """Answer requests as the scenario defines."""
 
     __slots__ = (
         "after_leaving",
@@ -107,21 +107,21 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether the upstream says in its answers that it leaves."""
+        """Return whether the upstream states in its answers that it leaves."""
         return self.agenda.now >= self.leaves_at
 
     @property
     def is_cold(self) -> bool:
-        """Tell whether the upstream started a short while ago."""
+        """Return whether the upstream is still warming up."""
         return self.agenda.now < self.cold_until
 
     @property
     def warm_up_left_ms(self) -> Milliseconds:
-        """Return how much longer the upstream is cold."""
+        """Return the remaining warm-up time."""
         return max(0.0, self.cold_until - self.agenda.now) * MILLISECONDS_PER_SECOND
 
     def find_factor(self) -> float:
-        """Return how many times the usual work takes that begins now."""
+        """Return the factor by which work that begins now takes longer than usual."""
         factor = self.slow_factor if self.agenda.now < self.slow_until else 1.0
         if self.is_cold and self.table.warm_up is not None:
             factor *= self.table.warm_up.factor
@@ -137,14 +137,14 @@
         self.agenda.after(phases.length_s, self._plan_phase)
 
     def slow(self, factor: float, length: Seconds) -> None:
-        """Make work that begins within a time slower."""
+        """Slow down work that begins within a time from now."""
         self.slow_factor = factor
         self.slow_until = max(self.slow_until, self.agenda.now + length)
 
     def receive(
         self, route: RouteTable, deadline_at: Seconds, reply: Reply, target: bytes = b""
     ) -> Run | None:
-        """Take a request; None, with the reply made, where it is not taken."""
+        """Accept a request; if it is not accepted, reply to it and return None."""
         self._note_arrival()
         self.limit.note_arrival(self.agenda.now)
         self.after_leaving += self.agenda.now > self.leaves_at + DRAIN
@@ -227,7 +227,7 @@
             self._start(self.queue.popleft())
 
     def cancel(self, run: Run) -> None:
-        """Drop a request whose connection was closed."""
+        """Cancel a request whose connection was closed."""
         run.is_cancelled = True
         if run in self.queue:
             self.queue.remove(run)
@@ -235,7 +235,7 @@
             self._end(run, FAILED)
 
     def crash(self, down_s: Seconds) -> None:
-        """End; the connections are lost, and a cold start follows after a time."""
+        """End the process: all connections are lost, and a cold start follows after `down_s`."""
         lost = [*self.running, *self.queue]
         self.generation += 1
         self.running.clear()
@@ -256,6 +256,6 @@
         self.on_restart()
 
     def turn_cold(self) -> None:
-        """Begin a warm-up."""
+        """Start the warm-up."""
         if self.table.warm_up is not None:
             self.cold_until = self.agenda.now + self.table.warm_up.seconds
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/waiting.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/waiting.py
@@ -1,4 +1,4 @@
-"""Watch what waits at owners while another upstream of its service is free."""
+"""Measure waits at owners while another upstream of the service is free."""
 
 import collections
 
@@ -6,14 +6,15 @@
 from bendwind_core.attempts.owner_state import is_accepting
 from bendwind_core.core import Seconds
 
-# Waits are measured to this; a fourth of the shortest that counts, and cheap beside the calls.
+# Resolution of the waits: a fourth of the shortest wait that counts as long. Sampling this often is
+# cheap compared with the calls.
 LOOK_EVERY: Seconds = 0.005
-# Shorter waits are of the order of a few round trips, which asking another upstream would take.
+# Shorter waits are similar to the few round trips that asking another upstream would take.
 SHORT: Seconds = 0.020
 
 
 class WaitWatch:
-    """Look at all owners again and again, and add up for each call how long it waited so."""
+    """Sample all owners periodically and add up how long each call waited while one was free."""
 
     __slots__ = ("_looks", "_services", "_site")
 
@@ -25,13 +26,13 @@
             self._services.setdefault(node.upstream.table.name, []).append(node)
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start to sample."""
         self._site.agenda.after(LOOK_EVERY, self._look)
 
     def _look(self) -> None:
         for nodes in self._services.values():
             waited_at = [node for node in nodes if node.is_up and node.owner.owner_state.waiting]
-            # One with something waiting is not free, so that a free one is always another.
+            # An upstream with waiting attempts is not free, so a free one is always another one.
             if waited_at and any(is_free(node) for node in nodes):
                 for node in waited_at:
                     self._looks.update(
@@ -40,20 +41,20 @@
         self._site.agenda.after(LOOK_EVERY, self._look)
 
     def _find_call(self, attempt):
-        """Return what stands for the call of an attempt; its entry node may have ended."""
+        """Return the call of an attempt; the attempt itself if its entry node has ended."""
         return self._site.nodes[attempt.entry].entry.runs.get(attempt.sequence, attempt)
 
     def count_long(self) -> int:
-        """Return how many calls waited so for over `SHORT`."""
+        """Return the number of calls that waited longer than `MAX_SHORT_WAIT` in total."""
         return sum(looks * LOOK_EVERY > SHORT for looks in self._looks.values())
 
     def sum_up(self) -> Seconds:
-        """Return how long all calls together waited so."""
+        """Return the total waiting time of all calls."""
         return self._looks.total() * LOOK_EVERY
 
 
 def is_free(node: Instance) -> bool:
-    """Tell whether a node's upstream could start a request at once, at its usual pace."""
+    """Return whether a node's upstream could start a request at once, at its usual pace."""
     if not node.is_up or node.agenda.is_paused or node.upstream.is_down:
         return False
     owner_state = node.owner.owner_state
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
@@ -1,4 +1,4 @@
-"""Put nodes, upstreams, callers and faults together and run a scenario in virtual time."""
+"""Assemble nodes, upstreams, callers and faults, and run a scenario in virtual time."""
 
 import random
 
@@ -23,16 +23,17 @@
 )
 from bendwind_core.world import Upstream, UpstreamState
 
-# Callers' last requests end within their timeouts; nothing new begins after the scenario's time.
+# Time for the callers' last requests to end within their timeouts; no new requests begin after the
+# scenario's time.
 AFTERMATH: Seconds = 10.0
-# A link that broke is noticed by a reset.
+# A connection reset reveals a broken link after this time.
 LINK_LOSS: Seconds = 0.02
-# A process that was killed is up again after this time; Python and its libraries take half of it.
+# Time until a killed process is up again; loading Python and its libraries takes half of it.
 NODE_RESTART: Seconds = 1.0
 
 
 class World:
-    """Hold a run."""
+    """Hold the state of one run of a scenario."""
 
     __slots__ = (
         "agenda",
@@ -104,7 +105,7 @@
         return self.tally.summarize(services, fell_over, self.crashes.values())
 
     def call(self, upstream: UpstreamModel, route: str, deadline_at: Seconds, done) -> None:
-        """Carry a call that an upstream makes while it runs a request."""
+        """Start a call that an upstream makes while it runs a request."""
         self.callers.call_from_upstream(
             self.nodes[f"node-{upstream.name}"], route, deadline_at, done
         )
@@ -119,7 +120,7 @@
         return delay_ms / MILLISECONDS_PER_SECOND
 
     def send(self, sender: str, to: str, message: Record) -> None:
-        """Carry a message of an entry node to an owner node; lost if that is down."""
+        """Send a message of an entry node to an owner node; it is lost if that node is down."""
         delay = self._find_delay(sender, to)
         self.nodes[to].agenda.after(delay, lambda: self._arrive(sender, to, message))
 
@@ -137,7 +138,7 @@
                 node.owner.feed(ov.FenceArrived(message, self.nodes[sender].incarnation))
 
     def carry_back(self, sender: str, to: str, message: Record) -> None:
-        """Carry a message of an owner node to an entry node."""
+        """Send a message of an owner node to an entry node."""
         delay = self._find_delay(sender, to)
         self.nodes[to].agenda.after(delay, lambda: self._arrive_back(to, message))
 
@@ -150,21 +151,21 @@
         self.tally.attempts[upstream] += 1
 
     def note_sent_back(self, target: bytes, reason: NotRunReason) -> None:
-        """Count an attempt that was sent back unrun."""
+        """Count an attempt that an owner refused without running it."""
         self.tally.sent_back += 1
         if reason is NotRunReason.QUARANTINED and target not in self.crashes:
             self.tally.wronged += 1
 
     def find_run_rank(self, name: str) -> float | None:
-        """Return the most urgent rank of what runs beside a node."""
+        """Return the most urgent rank among the requests that run at a node's upstream."""
         return self.nodes[name].owner.find_run_rank()
 
     def note_retry(self) -> None:
-        """Count an attempt that the retry budget paid for."""
+        """Count an attempt that was charged to the retry budget."""
         self.tally.retries += 1
 
     def push(self) -> None:
-        """Have all nodes hear soon which upstreams serve."""
+        """Schedule a push of the serving upstreams to all nodes."""
         if not self.has_push:
             self.has_push = True
             delay = self.scenario.places.push_ms / MILLISECONDS_PER_SECOND
@@ -182,7 +183,7 @@
                     node.entry.hear_upstreams(service, tuple(upstreams))
 
     def tell_voters(self, told: tuple[SuspectReport, ...]) -> None:
-        """Carry to the voters what a node knows against requests, and on to all nodes."""
+        """Send a node's suspect reports to the voters, which forward them to all nodes."""
         delay = self.scenario.places.push_ms / MILLISECONDS_PER_SECOND
         self.agenda.after(delay, lambda: self._pass_on(told))
 
@@ -195,7 +196,7 @@
                 node.hear_suspects(news)
 
     def kill(self, node: Node, restart: Seconds = NODE_RESTART) -> None:
-        """Kill the process of a node and start it again."""
+        """Kill the process of a node and restart it after a delay."""
         if not node.is_up:
             return
         node.is_up = False
@@ -216,7 +217,7 @@
         node.hear_suspects(tuple(create_report(suspect, self.agenda.now) for suspect in known))
 
     def set_evacuated(self, data_centre: str, *, evacuated: bool) -> None:
-        """Evacuate a data centre or take it back."""
+        """Evacuate a data centre or end its evacuation."""
         (self.evacuated.add if evacuated else self.evacuated.discard)(data_centre)
         self._push_now()
         for node in self.nodes.values():
@@ -231,5 +232,5 @@
 
 
 def run_scenario(scenario: Scenario, seed: int) -> Figures:
-    """Run a scenario with a seed; the same two give the same figures."""
+    """Run a scenario with a seed; equal arguments give equal figures."""
     return World(scenario, seed).run()
