--- a/packages/bendwind-bench/src/bendwind_bench/emulator/compare.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/compare.py
@@ -17,7 +17,7 @@
 from bendwind_bench.emulator.tally import Figures
 from bendwind_bench.emulator.world import run_scenario
 
-COMPARED = (
+COMPARED_FIGURES = (
     "in_time",
     "late",
     "refused",
@@ -74,34 +74,34 @@
     command += [f"--seeds={job.seed}..{job.seed}", "--jobs=1", "--json=-", f"--size={job.size}"]
     folders = [job.core, str(Path(__file__).parents[2])]
     environment = os.environ | {"PYTHONPATH": os.pathsep.join(folders)}
-    done = subprocess.run(command, env=environment, capture_output=True, text=True)
-    if done.returncode != 0:
-        raise RuntimeError(f"that revision's core does not run here: {done.stderr.strip()[-400:]}")
-    rows = json.loads(done.stdout)
+    child = subprocess.run(command, env=environment, capture_output=True, text=True)
+    if child.returncode != 0:
+        raise RuntimeError(f"that revision's core does not run here: {child.stderr.strip()[-400:]}")
+    rows = json.loads(child.stdout)
     return msgspec.convert(rows[0]["runs"][0]["figures"], Figures)
 
 
-def run_all(jobs: list[Job], workers: int, note) -> list[Figures]:
+def run_jobs(jobs: list[Job], workers: int, on_done) -> list[Figures]:
     """Run jobs in `workers` processes and return figures in order; call `on_done` after each."""
     if workers <= 1:
-        return [_run_noted(job, note) for job in jobs]
+        return [_run_and_notify(job, on_done) for job in jobs]
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
         futures = [pool.submit(run_job, job) for job in jobs]
         for future in concurrent.futures.as_completed(futures):
-            note(jobs[futures.index(future)])
+            on_done(jobs[futures.index(future)])
         return [future.result() for future in futures]
 
 
-def _run_noted(job: Job, note) -> Figures:
+def _run_and_notify(job: Job, on_done) -> Figures:
     figures = run_job(job)
-    note(job)
+    on_done(job)
     return figures
 
 
 def find_differences(before: list[Figures], after: list[Figures]) -> dict[str, Difference]:
     """Return the differences of the figures, `after` minus `before`, paired by seed."""
     found = {}
-    for name in COMPARED:
+    for name in COMPARED_FIGURES:
         pairs = zip(before, after, strict=True)
         deltas = [getattr(new, name) - getattr(old, name) for old, new in pairs]
         spread = statistics.stdev(deltas) if len(deltas) > 1 else math.nan
@@ -124,18 +124,18 @@
     return Ok(found) if found else Error(f"--seeds: expected A <= B, got {text!r}")
 
 
-def check_out(revision: str, folder: Path) -> Result[str, str]:
+def extract_core(revision: str, folder: Path) -> Result[str, str]:
     """Extract the core of a revision into a folder and return the path of its sources.
 
     Errors: the error message of git.
     """
     root = Path(__file__).parents[5]
     archive = ["git", "-C", str(root), "archive", revision, "packages/bendwind-core/src"]
-    made = subprocess.run(archive, capture_output=True)
-    if made.returncode != 0:
-        return Error(f"--against: {made.stderr.decode().strip()}")
+    archived = subprocess.run(archive, capture_output=True)
+    if archived.returncode != 0:
+        return Error(f"--against: {archived.stderr.decode().strip()}")
     with tempfile.TemporaryFile() as file:
-        file.write(made.stdout)
+        file.write(archived.stdout)
         file.seek(0)
         subprocess.run(["tar", "-x", "-C", str(folder)], stdin=file, check=True)
     return Ok(str(folder / "packages/bendwind-core/src"))
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/entry_side.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from bendwind_bench.emulator.agenda import PausableAgenda
 from bendwind_bench.emulator.owner_side import Answer
 from bendwind_bench.emulator.scenario import RouteTable, Scenario
+from bendwind_bench.emulator.scheduler import PausableScheduler
 from bendwind_core import world
 from bendwind_core.attempts import (
     Cancel,
@@ -55,30 +55,30 @@
     retry_after_ms: Milliseconds
 
 
-class Lost(msgspec.Struct, frozen=True):
+class ResultUnknown(msgspec.Struct, frozen=True):
     """Report that it is unknown whether a call ran."""
 
 
-Outcome = Answered | Refused | Lost
-Done = Callable[[Outcome], None]
+Outcome = Answered | Refused | ResultUnknown
+OutcomeCallback = Callable[[Outcome], None]
 
 
 class Network(Protocol):
     """Declare what an entry node needs from its environment."""
 
-    def send(self, sender: str, to: str, message: Record) -> None:
+    def send_to_owner(self, sender: str, to: str, message: Record) -> None:
         """Send a message to the owner side of a node."""
 
-    def note_attempt(self, upstream: str) -> None:
+    def record_attempt(self, upstream: str) -> None:
         """Count an attempt that was sent."""
 
-    def note_sent_back(self, target: bytes, reason: NotRunReason) -> None:
+    def record_refused_attempt(self, target: bytes, reason: NotRunReason) -> None:
         """Count an attempt that an owner refused without running it."""
 
     def find_run_rank(self, name: str) -> float | None:
         """Return the most urgent rank among the requests that run at a node's upstream."""
 
-    def note_retry(self) -> None:
+    def record_retry(self) -> None:
         """Count an attempt that was charged to the retry budget."""
 
 
@@ -87,7 +87,7 @@
 
     call: EntryCall
     route: RouteTable
-    done: Done
+    on_done: OutcomeCallback
     target: bytes
     timers: dict[ev.TimerKind, Seconds] = msgspec.field(default_factory=dict)
     status: int = 0
@@ -97,7 +97,7 @@
     """Hold the calls that a node received."""
 
     __slots__ = (
-        "agenda",
+        "scheduler",
         "budgets",
         "data_centre",
         "ids",
@@ -120,7 +120,7 @@
         data_centre: str,
         origin: str,
         scenario: Scenario,
-        agenda: PausableAgenda,
+        scheduler: PausableScheduler,
         network: Network,
         rng: random.Random,
         incarnation: int,
@@ -130,7 +130,7 @@
         self.data_centre = data_centre
         self.origin = origin
         self.scenario = scenario
-        self.agenda = agenda
+        self.scheduler = scheduler
         self.network = network
         self.rng = rng
         self.incarnation = incarnation
@@ -152,17 +152,17 @@
                 near_first=scenario.policy.near_first,
             )
 
-    def hear_upstreams(self, service: str, upstreams: tuple[Upstream, ...]) -> None:
+    def update_upstreams(self, service: str, upstreams: tuple[Upstream, ...]) -> None:
         """Update the upstreams that serve a service."""
         used = choose_subset(self.name, self.data_centre, upstreams)
-        set_upstreams(self.tables[service], used, self.agenda.now)
+        set_upstreams(self.tables[service], used, self.scheduler.now)
 
-    def begin(
+    def start_call(
         self,
         route: RouteTable,
         deadline_at: Seconds,
         target_at: Seconds,
-        done: Done,
+        on_done: OutcomeCallback,
         target: bytes,
         customer: str = "",
         rank: int | None = None,
@@ -187,11 +187,11 @@
             target_at=target_at,
             rank=rank,
             customer=customer,
-            **self._name_near(),
+            **self._make_near_argument(),
         )
-        self._feed(CallRun(call, route, done, target), ev.Begin())
+        self._apply_event(CallRun(call, route, on_done, target), ev.Begin())
 
-    def _feed(self, run: CallRun, event: ev.EntryEvent) -> None:
+    def _apply_event(self, run: CallRun, event: ev.EntryEvent) -> None:
         if self.is_stopped:
             return
         table = self.tables[run.route.service]
@@ -199,52 +199,56 @@
         def choose(excluded: frozenset[str]) -> Upstream | NoCapacity | None:
             return self._choose(run, table, excluded)
 
-        for effect in entry.step(run.call, event, self.agenda.now, choose):
-            self._carry_out(run, table, effect)
+        for effect in entry.step(run.call, event, self.scheduler.now, choose):
+            self._apply_effect(run, table, effect)
 
     def _choose(
         self, run: CallRun, table: UpstreamTable, excluded: frozenset[str]
     ) -> Upstream | NoCapacity | None:
         policy = self.scenario.policy
-        now = self.agenda.now
+        now = self.scheduler.now
         near = self.data_centre if policy.near_first else None
         chosen = choose_upstream(
             policy.policy, table, excluded, now, self.rng, near, target_at=run.call.target_at
         )
         if chosen is not None:
             return chosen
-        room_at = find_earliest_capacity_at(table)
-        if room_at is None or room_at <= now:
+        capacity_at = find_earliest_capacity_at(table)
+        if capacity_at is None or capacity_at <= now:
             return None
-        return NoCapacity((room_at - now) * MILLISECONDS_PER_SECOND)
+        return NoCapacity((capacity_at - now) * MILLISECONDS_PER_SECOND)
 
-    def _carry_out(self, run: CallRun, table: UpstreamTable, effect: ev.EntryEffect) -> None:
-        now = self.agenda.now
+    def _apply_effect(self, run: CallRun, table: UpstreamTable, effect: ev.EntryEffect) -> None:
+        now = self.scheduler.now
         match effect:
             case ev.SendHandOver(attempt=attempt, upstream=upstream):
                 self.runs[attempt.sequence] = run
                 record_attempt_sent(table, upstream.name, attempt, now)
-                self.network.note_attempt(upstream.name)
-                if any(one.not_run is None for one in run.call.attempts[:-1]):
-                    self.network.note_retry()
-                self.network.send(self.name, upstream.owner.name, self._make(run, effect))
+                self.network.record_attempt(upstream.name)
+                if any(earlier.not_run is None for earlier in run.call.attempts[:-1]):
+                    self.network.record_retry()
+                self.network.send_to_owner(
+                    self.name, upstream.owner.name, self._make_hand_over(run, effect)
+                )
             case ev.SendCancel(attempt=attempt, upstream=upstream):
                 record_attempt_cancelled(table, upstream.name, attempt, now)
-                self.network.send(self.name, upstream.owner.name, Cancel(attempt, upstream.name))
+                self.network.send_to_owner(
+                    self.name, upstream.owner.name, Cancel(attempt, upstream.name)
+                )
             case ev.SendFence(attempt=attempt, upstream=upstream):
                 fence = Fence(attempt, upstream.owner.incarnation, upstream.name)
-                self.network.send(self.name, upstream.owner.name, fence)
+                self.network.send_to_owner(self.name, upstream.owner.name, fence)
             case ev.StartTimer(kind=kind, at=at):
                 run.timers[kind] = at
-                self.agenda.at(at, lambda: self._fire(run, kind, at))
+                self.scheduler.call_at(at, lambda: self._fire_timer(run, kind, at))
             case ev.FinishDelivered():
-                self._finish(run, Answered(run.status))
+                self._finish_call(run, Answered(run.status))
             case ev.FinishNotRun(retry_after_ms=retry_after_ms):
-                self._finish(run, Refused(retry_after_ms))
+                self._finish_call(run, Refused(retry_after_ms))
             case ev.FinishUnknown() | ev.Cut() | ev.FinishRefused():
-                self._finish(run, Lost())
+                self._finish_call(run, ResultUnknown())
 
-    def _make(self, run: CallRun, effect: ev.SendHandOver) -> HandOver:
+    def _make_hand_over(self, run: CallRun, effect: ev.SendHandOver) -> HandOver:
         return HandOver(
             effect.attempt,
             effect.upstream.owner.incarnation,
@@ -264,17 +268,17 @@
             rank=self._combine_ranks(run),
             customer=run.call.customer,
             may_wait=effect.may_wait,
-            **self._find_run_rank(),
-            **self._find_limit(run, effect.upstream),
+            **self._make_run_rank_argument(),
+            **self._make_limit_argument(run, effect.upstream),
         )
 
-    def _find_run_rank(self) -> dict[str, float | None]:
+    def _make_run_rank_argument(self) -> dict[str, float | None]:
         # An older core that is compared may lack this field.
         if "run_rank" not in HandOver.__struct_fields__:
             return {}
         return {"run_rank": self.network.find_run_rank(self.name)}
 
-    def _find_limit(self, run: CallRun, upstream: Upstream) -> dict[str, float | None]:
+    def _make_limit_argument(self, run: CallRun, upstream: Upstream) -> dict[str, float | None]:
         # An older core that is compared may lack this field.
         if "limit_per_s" not in HandOver.__struct_fields__:
             return {}
@@ -282,7 +286,7 @@
 
         return {"limit_per_s": find_rate_limit(self.tables[run.route.service].notices, upstream)}
 
-    def _name_near(self) -> dict[str, str]:
+    def _make_near_argument(self) -> dict[str, str]:
         # An older core that is compared may lack this field.
         if not self.scenario.policy.near_first or "near" not in EntryCall.__struct_fields__:
             return {}
@@ -297,19 +301,19 @@
         if not self.suspects.suspects:
             return None
         signature = compute_signature("GET", run.target, (), b"")
-        return find_report(self.suspects, signature, self.agenda.now)
+        return find_report(self.suspects, signature, self.scheduler.now)
 
-    def _fire(self, run: CallRun, kind: ev.TimerKind, at: Seconds) -> None:
+    def _fire_timer(self, run: CallRun, kind: ev.TimerKind, at: Seconds) -> None:
         if run.timers.get(kind) == at:
-            self._feed(run, ev.TimerFired(kind))
+            self._apply_event(run, ev.TimerFired(kind))
 
-    def _finish(self, run: CallRun, outcome: Outcome) -> None:
+    def _finish_call(self, run: CallRun, outcome: Outcome) -> None:
         for attempt in run.call.attempts:
             self.runs.pop(attempt.id.sequence, None)
         run.timers.clear()
-        run.done(outcome)
+        run.on_done(outcome)
 
-    def hear(self, message: Record) -> None:
+    def handle_message(self, message: Record) -> None:
         """Handle a message of an owner node; drop it if it matches no open attempt."""
         run = self.runs.get(message.attempt.sequence)
         is_own = message.attempt.incarnation == self.incarnation
@@ -317,23 +321,23 @@
         if attempt is None:
             return
         table = self.tables[run.route.service]
-        name, now = attempt.upstream.name, self.agenda.now
+        name, now = attempt.upstream.name, self.scheduler.now
         match message:
             case Answer(attempt=id, status=status, load=load):
                 run.status = status
                 record_attempt_answered(table, name, id, now, status, load)
-                self._feed(run, ev.AttemptHead(id, status, True))
+                self._apply_event(run, ev.AttemptHead(id, status, True))
             case NotRun(attempt=id, reason=reason, load=load, wait_ms=wait_ms):
                 record_attempt_not_run(table, name, id, now, reason, load)
-                self.network.note_sent_back(run.target, reason)
-                self._feed(run, ev.AttemptNotRun(id, reason, load, wait_ms))
+                self.network.record_refused_attempt(run.target, reason)
+                self._apply_event(run, ev.AttemptNotRun(id, reason, load, wait_ms))
             case Unknown(attempt=id, reason=reason):
                 record_attempt_unknown(table, name, id, now)
-                self._feed(run, ev.AttemptUnknown(id, reason))
+                self._apply_event(run, ev.AttemptUnknown(id, reason))
             case Fenced(attempt=id, verdict=verdict):
-                self._feed(run, ev.FenceAnswered(id, verdict))
+                self._apply_event(run, ev.FenceAnswered(id, verdict))
 
-    def lose(self, node: str) -> None:
+    def handle_link_lost(self, node: str) -> None:
         """Handle the loss of the link to a node."""
         for run in list(self.runs.values()):
             for attempt in list(run.call.attempts):
@@ -343,9 +347,9 @@
                         self.tables[run.route.service],
                         attempt.upstream.name,
                         attempt.id,
-                        self.agenda.now,
+                        self.scheduler.now,
                     )
-                    self._feed(run, ev.OwnerLinkLost(attempt.id))
+                    self._apply_event(run, ev.OwnerLinkLost(attempt.id))
 
     def stop(self) -> None:
         """Stop as the process ends: the callers' connections close."""
@@ -353,4 +357,6 @@
         runs = {id(run): run for run in self.runs.values()}
         self.runs.clear()
         for run in runs.values():
-            self.agenda.at(self.agenda.now, lambda done=run.done: done(Lost()))
+            self.scheduler.call_at(
+                self.scheduler.now, lambda on_done=run.on_done: on_done(ResultUnknown())
+            )
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
@@ -1,25 +1,27 @@
 """Inject the faults of a scenario at their times."""
 
-from bendwind_bench.emulator.interfaces import Instance, Stage
+from bendwind_bench.emulator.interfaces import EmulatedNode, FaultTarget
 from bendwind_bench.emulator.tables import Fault, FaultKind
-from bendwind_bench.emulator.upstream import CrashCount
+from bendwind_bench.emulator.upstream import CrashHistory
 
 
-def plan_faults(world: Stage) -> None:
+def schedule_faults(world: FaultTarget) -> None:
     """Schedule every fault of the scenario; its times count from now."""
     for fault in world.scenario.faults:
-        world.agenda.after(fault.at, lambda fault=fault: _begin(world, fault))
+        world.scheduler.call_later(fault.at, lambda fault=fault: _start_fault(world, fault))
 
 
-def _begin(world: Stage, fault: Fault) -> None:
-    nodes = _pick(world, fault)
+def _start_fault(world: FaultTarget, fault: Fault) -> None:
+    nodes = _choose_nodes(world, fault)
     match fault.kind:
         case FaultKind.BURST:
-            world.callers.demand.set_rate(fault.route, fault.x)
-            world.agenda.after(fault.for_s, lambda: world.callers.demand.set_rate(fault.route, 1.0))
+            world.callers.demand.set_rate_factor(fault.route, fault.x)
+            world.scheduler.call_later(
+                fault.for_s, lambda: world.callers.demand.set_rate_factor(fault.route, 1.0)
+            )
         case FaultKind.SLOW:
             for node in nodes:
-                node.upstream.slow(fault.x, fault.for_s)
+                node.upstream.slow_down(fault.x, fault.for_s)
         case FaultKind.SHED:
             _shed(world, nodes, fault)
         case FaultKind.CRASH | FaultKind.RETURN_COLD:
@@ -32,7 +34,7 @@
         case FaultKind.RESTART_EACH:
             for position, node in enumerate(nodes):
                 delay = fault.for_s * position / len(nodes)
-                world.agenda.after(delay, lambda node=node: node.upstream.crash(1.0))
+                world.scheduler.call_later(delay, lambda node=node: node.upstream.crash(1.0))
         case FaultKind.KILL_NODES:
             for node in nodes:
                 world.kill(node)
@@ -41,64 +43,68 @@
                 node.owner.is_reporting = False
         case FaultKind.SUSPEND:
             for node in nodes:
-                node.agenda.pause(fault.for_s)
+                node.scheduler.pause(fault.for_s)
         case FaultKind.EVACUATE:
             _evacuate(world, fault)
         case FaultKind.HOT_CUSTOMER:
-            world.callers.demand.heat(fault.customer, fault.x)
-            world.agenda.after(fault.for_s, lambda: world.callers.demand.heat(fault.customer, 1.0))
+            world.callers.demand.set_customer_factor(fault.customer, fault.x)
+            world.scheduler.call_later(
+                fault.for_s, lambda: world.callers.demand.set_customer_factor(fault.customer, 1.0)
+            )
         case FaultKind.LIMIT:
             for node in nodes:
-                _limit(world, node, fault)
+                _set_limit(world, node, fault)
         case FaultKind.LEAVE:
             for node in nodes:
-                node.upstream.leaves_at = world.agenda.now
+                node.upstream.leaves_at = world.scheduler.now
         case FaultKind.CRASHING_REQUEST:
-            _send_crashing(world, fault)
+            _send_crashing_requests(world, fault)
 
 
-def _pick(world: Stage, fault: Fault) -> list[Instance]:
-    fitting = [
+def _choose_nodes(world: FaultTarget, fault: Fault) -> list[EmulatedNode]:
+    candidates = [
         node
         for node in world.nodes.values()
         if fault.service in ("", node.upstream.table.name)
         and fault.data_centre in ("", node.upstream.data_centre)
     ]
-    count = max(1, round(fault.share * len(fitting)))
-    if count >= len(fitting):
-        return fitting
-    return world.rng.sample(fitting, count)
+    count = max(1, round(fault.share * len(candidates)))
+    if count >= len(candidates):
+        return candidates
+    return world.rng.sample(candidates, count)
 
 
-def _limit(world: Stage, node: Instance, fault: Fault) -> None:
+def _set_limit(world: FaultTarget, node: EmulatedNode, fault: Fault) -> None:
     limit = node.upstream.limit
-    limit.name(fault.x, world.agenda.now)
-    world.agenda.after(fault.for_s, lambda: limit.name(None, world.agenda.now))
+    limit.name(fault.x, world.scheduler.now)
+    world.scheduler.call_later(fault.for_s, lambda: limit.name(None, world.scheduler.now))
 
 
-def _shed(world: Stage, nodes: list[Instance], fault: Fault) -> None:
+def _shed(world: FaultTarget, nodes: list[EmulatedNode], fault: Fault) -> None:
     for node in nodes:
         node.upstream.shed_share = min(1.0, fault.x)
-    world.agenda.after(fault.for_s, lambda: _stop_shedding(nodes))
+    world.scheduler.call_later(fault.for_s, lambda: _stop_shedding(nodes))
 
 
-def _stop_shedding(nodes: list[Instance]) -> None:
+def _stop_shedding(nodes: list[EmulatedNode]) -> None:
     for node in nodes:
         node.upstream.shed_share = 0.0
 
 
-def _send_crashing(world: Stage, fault: Fault) -> None:
-    called = [route for route in world.scenario.routes if route.per_second > 0.0]
-    route = next(route for route in called if fault.service in ("", route.service))
+def _send_crashing_requests(world: FaultTarget, fault: Fault) -> None:
+    called_routes = [route for route in world.scenario.routes if route.per_second > 0.0]
+    route = next(route for route in called_routes if fault.service in ("", route.service))
     target = f"/{route.name}/{fault.target}".encode()
-    world.crashes.setdefault(target, CrashCount())
+    world.crashes.setdefault(target, CrashHistory())
     for _ in range(fault.count):
-        world.callers.send_crashing(route, target)
+        world.callers.send_crashing_request(route, target)
     for number in range(1, int(fault.for_s * fault.x) + 1):
-        world.agenda.after(number / fault.x, lambda: world.callers.send_crashing(route, target))
+        world.scheduler.call_later(
+            number / fault.x, lambda: world.callers.send_crashing_request(route, target)
+        )
 
 
-def _evacuate(world: Stage, fault: Fault) -> None:
+def _evacuate(world: FaultTarget, fault: Fault) -> None:
     name = fault.data_centre or world.scenario.places.data_centres[0]
     world.set_evacuated(name, evacuated=True)
-    world.agenda.after(fault.for_s, lambda: world.set_evacuated(name, evacuated=False))
+    world.scheduler.call_later(fault.for_s, lambda: world.set_evacuated(name, evacuated=False))
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
@@ -2,10 +2,10 @@
 
 import random
 
-from bendwind_bench.emulator.agenda import PausableAgenda
 from bendwind_bench.emulator.entry_side import EntrySide
-from bendwind_bench.emulator.interfaces import Surroundings
+from bendwind_bench.emulator.interfaces import NodeEnvironment
 from bendwind_bench.emulator.owner_side import OwnerSide
+from bendwind_bench.emulator.scheduler import PausableScheduler
 from bendwind_bench.emulator.upstream import UpstreamModel
 from bendwind_core.core import Record
 from bendwind_core.suspicion import (
@@ -22,7 +22,7 @@
     """Hold one instance: its owner side, its entry side and its upstream."""
 
     __slots__ = (
-        "agenda",
+        "scheduler",
         "entry",
         "incarnation",
         "is_up",
@@ -33,13 +33,13 @@
         "world",
     )
 
-    def __init__(self, name: str, upstream: UpstreamModel, world: Surroundings):
+    def __init__(self, name: str, upstream: UpstreamModel, world: NodeEnvironment):
         self.name = name
         self.upstream = upstream
         self.world = world
         self.incarnation = 0
         self.is_up = False
-        self.agenda = PausableAgenda(world.agenda)
+        self.scheduler = PausableScheduler(world.scheduler)
         self.start()
 
     def start(self) -> None:
@@ -51,14 +51,14 @@
         limits = SuspicionLimits(policy.apart_from, policy.quarantine_from, policy.quarantine_s)
         self.suspects = SuspectTable(self.name, limits)
         self.owner = OwnerSide(
-            world.scenario, upstream, self.agenda, self, self.incarnation, self.suspects
+            world.scenario, upstream, self.scheduler, self, self.incarnation, self.suspects
         )
         self.entry = EntrySide(
             self.name,
             upstream.data_centre,
             upstream.table.name,
             world.scenario,
-            self.agenda,
+            self.scheduler,
             world,
             random.Random(f"{world.seed} {self.name} {self.incarnation}"),
             self.incarnation,
@@ -67,20 +67,20 @@
 
     def reply(self, entry: str, message: Record) -> None:
         """Send a message of the owner side to an entry node."""
-        self.world.carry_back(self.name, entry, message)
+        self.world.send_to_entry(self.name, entry, message)
 
-    def tell_all(self) -> None:
+    def request_push(self) -> None:
         """Schedule a push of the serving upstreams to all nodes."""
-        self.world.push()
+        self.world.schedule_push()
 
-    def tell_suspects(self) -> None:
+    def send_suspects(self) -> None:
         """Send new suspect reports to the voters."""
-        self.world.tell_voters(pop_unreported(self.suspects, self.world.agenda.now))
+        self.world.report_to_voters(pop_unreported(self.suspects, self.world.scheduler.now))
 
-    def hear_suspects(self, told: tuple[SuspectReport, ...]) -> None:
+    def merge_suspect_reports(self, reports: tuple[SuspectReport, ...]) -> None:
         """Merge suspect reports that the voters sent."""
-        for one in told:
-            merge_report(self.suspects, one, self.world.agenda.now)
+        for report in reports:
+            merge_report(self.suspects, report, self.world.scheduler.now)
 
     def describe(self) -> Upstream:
         """Return the description with which the upstream is announced."""
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/quota.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/quota.py
@@ -28,13 +28,13 @@
             for number in range(group.count)
         }
 
-    def take(self, customer: str, now: Seconds) -> Milliseconds | None:
+    def consume_token(self, customer: str, now: Seconds) -> Milliseconds | None:
         """Consume a token; if there is none, return the time until the next one, else None."""
         bucket = self._buckets.get(customer)
         if bucket is None:
             return None
-        came = bucket.rate_per_s * (now - bucket.filled_at)
-        bucket.level = min(bucket.burst, bucket.level + came)
+        refill = bucket.rate_per_s * (now - bucket.filled_at)
+        bucket.level = min(bucket.burst, bucket.level + refill)
         bucket.filled_at = now
         if bucket.level >= 1.0:
             bucket.level -= 1.0
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/report.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/report.py
@@ -9,7 +9,7 @@
 from bendwind_bench.emulator.compare import Difference
 from bendwind_bench.emulator.tally import Fate, Figures
 
-_FATES = (
+_OUTCOME_COLUMNS = (
     ("in_time", "in time"),
     ("late", "late"),
     ("refused", "refused"),
@@ -23,7 +23,7 @@
     ("crash_repeats", "repeats"),
     ("wronged", "wronged"),
 )
-_ROOM = (
+_CAPACITY_COLUMNS = (
     ("waited_free", "waited"),
     ("waited_free_s", "seconds"),
     ("sent_back_a_call", "back/call"),
@@ -33,8 +33,8 @@
     ("limit_worst", "limit worst"),
     ("limit_used", "limit used"),
 )
-_KIND = ("requests", "in-time", "served", "late", "refused", "failed")
-_WIDTH = 12
+_GROUP_COLUMNS = ("requests", "in-time", "served", "late", "refused", "failed")
+_COLUMN_WIDTH = 12
 
 
 class Side(msgspec.Struct, frozen=True):
@@ -55,26 +55,26 @@
 
 def render(reports: list[ScenarioReport]) -> str:
     """Return the table of mean figures, with the paired differences below each pair of sides."""
-    return _render_table(reports, _FATES)
+    return _render_table(reports, _OUTCOME_COLUMNS)
 
 
-def render_room(reports: list[ScenarioReport]) -> str:
+def render_capacity(reports: list[ScenarioReport]) -> str:
     """Return the table of waits, refusals, runs for nothing, worst customers and rate limits."""
-    return _render_table(reports, _ROOM)
+    return _render_table(reports, _CAPACITY_COLUMNS)
 
 
 def _render_table(reports: list[ScenarioReport], columns: tuple[tuple[str, str], ...]) -> str:
     lines = [_render_row("scenario", [title for _, title in columns])]
     for report in reports:
-        lines += _render_one(report, [key for key, _ in columns])
+        lines += _render_report(report, [key for key, _ in columns])
     return "\n".join(lines)
 
 
 def _render_row(name: str, cells: list[str]) -> str:
-    return f"{name[:24]:24}" + "".join(cell.rjust(_WIDTH) for cell in cells)
+    return f"{name[:24]:24}" + "".join(cell.rjust(_COLUMN_WIDTH) for cell in cells)
 
 
-def _render_one(report: ScenarioReport, keys: list[str]) -> Iterator[str]:
+def _render_report(report: ScenarioReport, keys: list[str]) -> Iterator[str]:
     for side in report.sides:
         name = report.scenario if side.label == "" else f"  {side.label}"
         means = [statistics.mean(getattr(run, key) for run in side.runs) for key in keys]
@@ -90,22 +90,22 @@
     return "" if item is None else f"{item.mean:+.3f}{'*' if item.is_clear else ''}"
 
 
-def render_kinds(reports: list[ScenarioReport]) -> str:
+def render_groups(reports: list[ScenarioReport]) -> str:
     """Return the table of request outcomes by route and by rank for each scenario."""
-    lines = [_render_row("", list(_KIND))]
+    lines = [_render_row("", list(_GROUP_COLUMNS))]
     for report in reports:
         for side in report.sides:
             lines.append(side.label or report.scenario)
-            lines += _render_groups(side, "routes")
-            lines += _render_groups(side, "ranks")
+            lines += _render_group_rows(side, "routes")
+            lines += _render_group_rows(side, "ranks")
     return "\n".join(lines)
 
 
-def _render_groups(side: Side, table: str) -> Iterator[str]:
+def _render_group_rows(side: Side, table: str) -> Iterator[str]:
     tables = [getattr(run, table) for run in side.runs]
     for group in sorted({group for found in tables for group in found}):
         rows = [found[group] for found in tables if group in found]
-        means = [statistics.mean(row[key] for row in rows) for key in _KIND]
+        means = [statistics.mean(row[key] for row in rows) for key in _GROUP_COLUMNS]
         cells = [f"{means[0]:.0f}", *(f"{mean:.3f}" for mean in means[1:])]
         name = f"  {group} (rank {rows[0]['rank']:g})" if table == "routes" else f"  rank {group}"
         yield _render_row(name, cells)
@@ -175,8 +175,8 @@
     "ScenarioReport",
     "Side",
     "render",
-    "render_kinds",
-    "render_room",
+    "render_capacity",
+    "render_groups",
     "render_windows",
     "to_json",
     "write_plot",
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/scenario.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/scenario.py
@@ -6,7 +6,6 @@
 from expression import Error, Ok, Result
 from msgspec.structs import replace
 
-from bendwind_bench.emulator.names import list_wrong_names
 from bendwind_bench.emulator.tables import (
     Callers,
     Fault,
@@ -17,14 +16,15 @@
     Scenario,
     ServiceTable,
 )
+from bendwind_bench.emulator.undefined_names import list_undefined_names
 from bendwind_core.core import TomlError, decode_toml
 
-FOLDER = Path(__file__).parent / "scenarios"
+SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 
 
 def list_scenarios() -> tuple[str, ...]:
     """Return the names of the shipped scenarios."""
-    return tuple(sorted(file.stem for file in FOLDER.glob("*.toml")))
+    return tuple(sorted(file.stem for file in SCENARIO_FOLDER.glob("*.toml")))
 
 
 def load_scenario(name: str, changes: tuple[str, ...] = ()) -> Result[Scenario, TomlError]:
@@ -32,14 +32,14 @@
 
     Errors: the first fault, with file, key and expectation.
     """
-    shipped = FOLDER / f"{name}.toml"
+    shipped = SCENARIO_FOLDER / f"{name}.toml"
     file = shipped if shipped.is_file() else Path(name)
     try:
         data = file.read_bytes()
     except OSError as error:
         expected = f"expected a readable file or one of {', '.join(list_scenarios())}"
         return Error(TomlError(name, "", f"{expected}: {error.strerror}"))
-    return parse_scenario(data, str(file)).bind(lambda read: change_scenario(read, changes))
+    return parse_scenario(data, str(file)).bind(lambda parsed: change_scenario(parsed, changes))
 
 
 def parse_scenario(data: bytes, file: str) -> Result[Scenario, TomlError]:
@@ -47,8 +47,8 @@
 
     Errors: the first fault.
     """
-    read = decode_toml(data, file, Scenario).bind(lambda scenario: _complete(scenario, file))
-    return read.bind(lambda scenario: _check_names(scenario, file))
+    parsed = decode_toml(data, file, Scenario).bind(lambda scenario: _complete(scenario, file))
+    return parsed.bind(lambda scenario: _check_names(scenario, file))
 
 
 _TABLES = ("services", "routes", "customers", "places", "callers", "policy")
@@ -57,13 +57,17 @@
 
 def _complete(scenario: Scenario, file: str) -> Result[Scenario, TomlError]:
     """Fill in tables that a scenario omits from its base, or from the defaults without a base."""
-    filled = {name: value for name, value in _DEFAULTS.items() if getattr(scenario, name) is None}
+    filled_tables = {
+        name: value for name, value in _DEFAULTS.items() if getattr(scenario, name) is None
+    }
     if scenario.base:
         base = load_scenario(scenario.base)
         if base.is_error():
             return Error(TomlError(file, "base", str(base.error)))
-        filled = {name: getattr(base.ok, name) for name in _TABLES if not getattr(scenario, name)}
-    completed = replace(scenario, base="", **filled)
+        filled_tables = {
+            name: getattr(base.ok, name) for name in _TABLES if not getattr(scenario, name)
+        }
+    completed = replace(scenario, base="", **filled_tables)
     for name in ("services", "routes"):
         if not getattr(completed, name):
             return Error(TomlError(file, name, f"expected [[{name}]], here or in a base"))
@@ -75,13 +79,13 @@
 
     Errors: an unknown key, or a value that is invalid for its key.
     """
-    plain = msgspec.to_builtins(scenario)
+    tables = msgspec.to_builtins(scenario)
     for change in changes:
         key, _, text = change.partition("=")
-        if not _put(plain, key.split("."), text):
+        if not _set_value(tables, key.split("."), text):
             return Error(TomlError("--against", key, "expected a key of the scenario"))
     try:
-        return _check_names(msgspec.convert(plain, Scenario), "--against")
+        return _check_names(msgspec.convert(tables, Scenario), "--against")
     except msgspec.ValidationError as error:
         return Error(TomlError("--against", ", ".join(changes), f"expected otherwise: {error}"))
 
@@ -95,9 +99,9 @@
     return replace(scenario, services=services, routes=routes)
 
 
-def _put(table, keys: list[str], text: str) -> bool:
+def _set_value(table, keys: list[str], text: str) -> bool:
     for key in keys[:-1]:
-        table = _find_inner(table, key)
+        table = _find_subtable(table, key)
         if table is None:
             return False
     if not isinstance(table, dict) or keys[-1] not in table:
@@ -109,23 +113,23 @@
     return True
 
 
-def _find_inner(table, key: str):
+def _find_subtable(table, key: str):
     if isinstance(table, dict):
         return table.get(key)
     return next((item for item in table or () if item.get("name") == key), None)
 
 
 def _check_names(scenario: Scenario, file: str) -> Result[Scenario, TomlError]:
-    wrong = next(list_wrong_names(scenario), None)
-    if wrong is None:
+    undefined = next(list_undefined_names(scenario), None)
+    if undefined is None:
         return Ok(scenario)
-    key, names = wrong
+    key, names = undefined
     expected = f"expected one of {', '.join(sorted(names))}" if names else "expected [[customers]]"
     return Error(TomlError(file, key, expected))
 
 
 __all__ = [
-    "FOLDER",
+    "SCENARIO_FOLDER",
     "Fault",
     "FaultKind",
     "RouteTable",
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/agenda.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/scheduler.py
@@ -9,7 +9,7 @@
 Action = Callable[[], None]
 
 
-class Agenda:
+class Scheduler:
     """Hold scheduled actions in time order; actions of the same time run in scheduling order."""
 
     __slots__ = ("_entries", "_order", "now")
@@ -19,13 +19,13 @@
         self._entries: list[tuple[Seconds, int, Action]] = []
         self._order = itertools.count()
 
-    def at(self, when: Seconds, action: Action) -> None:
-        """Run an action at a time, or now if that time has passed."""
+    def call_at(self, when: Seconds, action: Action) -> None:
+        """Run an action at a time, or at the current time if that has passed."""
         heapq.heappush(self._entries, (max(when, self.now), next(self._order), action))
 
-    def after(self, delay: Seconds, action: Action) -> None:
+    def call_later(self, delay: Seconds, action: Action) -> None:
         """Run an action after a delay."""
-        self.at(self.now + delay, action)
+        self.call_at(self.now + delay, action)
 
     def run(self, until: Seconds) -> None:
         """Run all actions up to and including a time, then set the clock to it."""
@@ -35,22 +35,22 @@
         self.now = until
 
 
-class PausableAgenda:
+class PausableScheduler:
     """Schedule the actions of one process and defer them while the process is suspended.
 
     Its clock continues meanwhile, like a clock that counts suspended time.
     """
 
-    __slots__ = ("_agenda", "_paused_until")
+    __slots__ = ("_scheduler", "_paused_until")
 
-    def __init__(self, agenda: Agenda):
-        self._agenda = agenda
+    def __init__(self, scheduler: Scheduler):
+        self._scheduler = scheduler
         self._paused_until: Seconds = 0.0
 
     @property
     def now(self) -> Seconds:
         """Return the current time."""
-        return self._agenda.now
+        return self._scheduler.now
 
     @property
     def is_paused(self) -> bool:
@@ -61,16 +61,16 @@
         """Suspend the process for a time."""
         self._paused_until = max(self._paused_until, self.now + length)
 
-    def at(self, when: Seconds, action: Action) -> None:
+    def call_at(self, when: Seconds, action: Action) -> None:
         """Run an action at a time, or when the process resumes."""
-        self._agenda.at(when, lambda: self._do(action))
+        self._scheduler.call_at(when, lambda: self._run_or_defer(action))
 
-    def after(self, delay: Seconds, action: Action) -> None:
+    def call_later(self, delay: Seconds, action: Action) -> None:
         """Run an action after a delay, or when the process resumes."""
-        self.at(self.now + delay, action)
+        self.call_at(self.now + delay, action)
 
-    def _do(self, action: Action) -> None:
+    def _run_or_defer(self, action: Action) -> None:
         if self.is_paused:
-            self.at(self._paused_until, action)
+            self.call_at(self._paused_until, action)
         else:
             action()
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tables.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tables.py
@@ -15,7 +15,7 @@
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0, le=1_000_000)]
-NotNegative = Annotated[float, Meta(ge=0, le=1_000_000)]
+NonNegative = Annotated[float, Meta(ge=0, le=1_000_000)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 Factor = Annotated[float, Meta(ge=1, le=1_000)]
 Name = Annotated[str, Meta(min_length=1, max_length=63)]
@@ -46,7 +46,7 @@
     per_second: Positive
     factor: Factor = 2.0
     overage: Factor = 1.5
-    slack: NotNegative = 8.0
+    slack: NonNegative = 8.0
     falls_over: bool = True
 
 
@@ -84,7 +84,7 @@
     work_ms: Positive
     target_ms: Positive
     timeout_ms: Positive
-    per_second: NotNegative = 0.0
+    per_second: NonNegative = 0.0
     repeat: Repeat = Repeat.IDEMPOTENT
     priority: Annotated[int, Meta(ge=0)] = 0
     attempts: Count = 3
@@ -147,9 +147,9 @@
     `push_ms` is the delay of pushes to all nodes."""
 
     data_centres: Annotated[tuple[Name, ...], Meta(min_length=1)] = ("north", "south", "east")
-    within_ms: NotNegative = 0.3
-    between_ms: NotNegative = 1.4
-    push_ms: NotNegative = 100.0
+    within_ms: NonNegative = 0.3
+    between_ms: NonNegative = 1.4
+    push_ms: NonNegative = 100.0
 
 
 class PolicyTable(_Table, frozen=True, kw_only=True):
@@ -198,8 +198,8 @@
     """
 
     kind: FaultKind
-    at: NotNegative
-    for_s: NotNegative = 2.0
+    at: NonNegative
+    for_s: NonNegative = 2.0
     service: str = ""
     data_centre: str = ""
     share: Share = 1.0
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
@@ -8,17 +8,17 @@
 import msgspec
 
 from bendwind_bench.emulator.tables import RouteTable
-from bendwind_bench.emulator.upstream import CrashCount
+from bendwind_bench.emulator.upstream import CrashHistory
 from bendwind_bench.limit_count import LimitCount
 from bendwind_core.core import Seconds
 
 WINDOW: Seconds = 2.0
 # Number of upstream ends under a request before it can be distinguished from other requests, and
 # the maximum time until all nodes that can reach their voters know of it.
-TELLING_ENDS = 3
-TELLING: Seconds = 3.0
+SUSPICION_ENDS = 3
+SUSPICION_DELAY: Seconds = 3.0
 # For customers with fewer requests, a single answer changes the share too much.
-FEWEST_REQUESTS = 10
+MIN_CUSTOMER_REQUESTS = 10
 WORST_SHARE = 0.1
 
 
@@ -98,12 +98,12 @@
         "by_window",
         "calls",
         "inner_calls",
-        "inner_refused",
+        "inner_calls_refused",
         "limits",
         "priorities",
         "retries",
         "sent_back",
-        "waited_long",
+        "long_waits",
         "waited_s",
         "wronged",
     )
@@ -120,12 +120,12 @@
         self.retries = 0
         self.calls = 0
         self.inner_calls = 0
-        self.inner_refused = 0
+        self.inner_calls_refused = 0
         self.limits: list[LimitCount] = []
-        self.waited_long = 0
+        self.long_waits = 0
         self.waited_s: Seconds = 0.0
 
-    def note(
+    def record_outcome(
         self, route: RouteTable, began_at: Seconds, fate: Fate, rank: int, customer: str
     ) -> None:
         """Count the outcome of one request of a caller."""
@@ -138,7 +138,7 @@
         self.by_window.setdefault(window, collections.Counter())[fate] += 1
 
     def summarize(
-        self, services: dict[str, list[str]], fell_over: int, crashes: Iterable[CrashCount] = ()
+        self, services: dict[str, list[str]], fell_over: int, crashes: Iterable[CrashHistory] = ()
     ) -> Figures:
         """Return the figures; `services` lists the upstreams of each service."""
         total = sum(self.by_route.values(), collections.Counter())
@@ -166,11 +166,11 @@
             crash_repeats=max((_count_repeats(crash) for crash in crashes), default=0),
             calls=self.calls,
             sent_back_a_call=_round(self.sent_back / max(1, self.calls)),
-            waited_free=_round(self.waited_long / max(1, self.calls)),
+            waited_free=_round(self.long_waits / max(1, self.calls)),
             waited_free_s=_round(self.waited_s),
-            for_nothing=_round(self.inner_refused / max(1, self.inner_calls)),
-            worst_in_time=_find_worst(self.by_customer.values(), (Fate.IN_TIME,)),
-            worst_served=_find_worst(self.by_customer.values(), _SERVED),
+            for_nothing=_round(self.inner_calls_refused / max(1, self.inner_calls)),
+            worst_in_time=_find_worst_share(self.by_customer.values(), (Fate.IN_TIME,)),
+            worst_served=_find_worst_share(self.by_customer.values(), _SERVED),
             limit_worst=_round(max((limit.worst for limit in self.limits), default=0.0)),
             limit_used=self._find_limit_used(),
             routes={
@@ -195,16 +195,16 @@
         return _round(max(ratios, default=1.0))
 
 
-def _count_repeats(crash: CrashCount) -> int:
-    if len(crash.ended) < TELLING_ENDS:
+def _count_repeats(crash: CrashHistory) -> int:
+    if len(crash.ended) < SUSPICION_ENDS:
         return 0
-    told_at = crash.ended[TELLING_ENDS - 1] + TELLING
-    return sum(at > told_at for at in crash.arrived)
+    known_at = crash.ended[SUSPICION_ENDS - 1] + SUSPICION_DELAY
+    return sum(at > known_at for at in crash.arrived)
 
 
-def _find_worst(groups: Iterable[collections.Counter], fates: tuple[Fate, ...]) -> float:
+def _find_worst_share(groups: Iterable[collections.Counter], fates: tuple[Fate, ...]) -> float:
     """Return the mean share of `fates` in the tenth of the groups where that share is lowest."""
-    counted = [counts for counts in groups if counts.total() >= FEWEST_REQUESTS]
+    counted = [counts for counts in groups if counts.total() >= MIN_CUSTOMER_REQUESTS]
     shares = sorted(sum(counts[fate] for fate in fates) / counts.total() for counts in counted)
     worst = shares[: math.ceil(WORST_SHARE * len(shares))]
     return _round(sum(worst) / len(worst)) if worst else 1.0
@@ -222,8 +222,8 @@
 
 
 def _find_shares(counts: collections.Counter) -> dict[str, float]:
-    whole = max(1, sum(counts.values()))
-    return {str(fate): _round(counts[fate] / whole) for fate in Fate}
+    total = max(1, sum(counts.values()))
+    return {str(fate): _round(counts[fate] / total) for fate in Fate}
 
 
 def _round(value: float) -> float:
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_choosing_ranks.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_choosing_ranks.py
@@ -14,7 +14,7 @@
 SEEDS = (1, 2)
 
 
-def play(*changes):
+def run_with_changes(*changes):
     """Return the shares in time of lookups, of the office and of all in the worst windows."""
     scenario = load_scenario("choosing-ranks", changes).ok
     runs = [run_scenario(scenario, seed) for seed in SEEDS]
@@ -24,28 +24,28 @@
 
 
 class ChoosingRanksTest(unittest.TestCase):
-    def test_each_setting_helps_the_urgent_and_the_quota_takes_from_the_office(self):
-        nothing = play(ALL_SLOTS, NO_RANKS, NO_QUOTA)
-        slots = play(NO_RANKS, NO_QUOTA)
-        ranks = play(NO_QUOTA)
-        quota = play()
-        lookups = [step[0] for step in (nothing, slots, ranks, quota)]
+    def test_each_setting_improves_urgent_requests_and_quota_limits_the_office(self):
+        baseline = run_with_changes(ALL_SLOTS, NO_RANKS, NO_QUOTA)
+        slots = run_with_changes(NO_RANKS, NO_QUOTA)
+        ranks = run_with_changes(NO_QUOTA)
+        quota = run_with_changes()
+        lookups = [step[0] for step in (baseline, slots, ranks, quota)]
         self.assertEqual(lookups, sorted(lookups))
         # The effect that the page states, minus a margin for the scatter of two seeds.
-        self.assertGreater(slots[0] - nothing[0], 0.03)
+        self.assertGreater(slots[0] - baseline[0], 0.03)
         self.assertGreater(ranks[0] - slots[0], 0.03)
         self.assertGreater(quota[0], 0.97)
         self.assertLess(quota[1], ranks[1] - 0.05)
-        self.assertGreater(quota[2], nothing[2])
+        self.assertGreater(quota[2], baseline[2])
 
-    def test_page_takes_away_what_the_scenario_has(self):
+    def test_commands_of_the_page_remove_settings_of_the_scenario(self):
         commands = re.findall(r"--against=\"([^\"]+)\"'", PAGE.read_text())
         self.assertEqual(len(commands), 3)
         for changes in commands:
             self.assertTrue(load_scenario("choosing-ranks", tuple(changes.split())).is_ok())
         self.assertEqual(commands[-1].split(), [ALL_SLOTS, NO_RANKS, NO_QUOTA])
 
-    def test_page_names_the_slots_that_are_in_use(self):
+    def test_page_states_the_number_of_usable_slots(self):
         slots = load_scenario("choosing-ranks").ok.find_service("archive").slots
         used = int(slots * PolicyTable().slot_share)
         self.assertRegex(PAGE.read_text(), f"slots: {used} of {slots} in use")
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_command.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_command.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from bendwind_bench.emulator.command import emulate
-from bendwind_bench.emulator.compare import Difference, Job, find_differences, parse_seeds, run_all
+from bendwind_bench.emulator.compare import Difference, Job, find_differences, parse_seeds, run_jobs
 from bendwind_bench.emulator.tests.test_world import SMALL
 from bendwind_bench.emulator.world import run_scenario
 
@@ -57,7 +57,7 @@
     def test_size_multiplies_upstreams_and_callers(self):
         with contextlib.redirect_stderr(io.StringIO()):
             counts = [
-                run_all([Job(str(self.file), 1, size=size)], 1, lambda job: None)[0].requests
+                run_jobs([Job(str(self.file), 1, size=size)], 1, lambda job: None)[0].requests
                 for size in (1, 4)
             ]
         self.assertGreater(counts[1], 2 * counts[0])
@@ -74,16 +74,16 @@
         first, again = (self.emulate(json="-")[1] for _ in range(2))
         self.assertEqual(first, again)
 
-    def test_bad_input_is_one_line_that_says_what_was_expected(self):
+    def test_bad_input_gives_one_line_with_the_expectation(self):
         cases = {
             "expected A..B": {"seeds": "x"},
             "expected A <= B": {"seeds": "5..2"},
             "expected a key of the scenario": {"against": "policy.none=1"},
             "--against": {"against": "no-such-revision"},
         }
-        for text, given in cases.items():
-            code, out, err = self.emulate(**given)
-            self.assertEqual((code, out), (2, ""), given)
+        for text, arguments in cases.items():
+            code, out, err = self.emulate(**arguments)
+            self.assertEqual((code, out), (2, ""), arguments)
             self.assertIn(text, err)
             self.assertEqual(err.count("\n"), 1, err)
         self.assertEqual(emulate((str(self.file),), size=0), 2)
@@ -93,7 +93,7 @@
 
 
 class CompareTest(unittest.TestCase):
-    def test_seeds_are_read(self):
+    def test_seeds_are_parsed(self):
         self.assertEqual(list(parse_seeds("4").ok), [4])
         self.assertEqual(list(parse_seeds("4..6").ok), [4, 5, 6])
 
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_crashing_request.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_crashing_request.py
@@ -19,42 +19,42 @@
 from bendwind_bench.emulator.scenario import Fault, FaultKind, change_scenario
 
 # Trial runs allowed once all nodes can know of three ends; they test whether the fault is over.
-MOST_REPEATS = 3
+MAX_REPEATS = 3
 
 
 class CrashingRequestTest(unittest.TestCase):
-    def test_request_under_which_three_upstreams_ended_reaches_few_more(self):
+    def test_request_that_ended_three_upstreams_reaches_few_more(self):
         figures = run_scenario(load_scenario("crashing-request").ok, 1)
         self.assertGreaterEqual(figures.crashed, 3)
-        self.assertLessEqual(figures.crash_repeats, MOST_REPEATS)
+        self.assertLessEqual(figures.crash_repeats, MAX_REPEATS)
 
     def run_with(self, *faults, base="calm", seconds=20.0, seed=1, changes=()):
         scenario = msgspec.structs.replace(load_scenario(base).ok, seconds=seconds, faults=faults)
         return run_scenario(change_scenario(scenario, changes).ok, seed)
 
-    def test_request_that_comes_at_ten_nodes_at_once_and_then_slowly_for_long(self):
+    def test_request_at_ten_nodes_at_once_and_then_at_a_low_rate(self):
         figures = run_scenario(load_scenario("crashing-at-many").ok, 1)
         self.assertGreaterEqual(figures.crashed, 3)
-        self.assertLessEqual(figures.crash_repeats, MOST_REPEATS)
+        self.assertLessEqual(figures.crash_repeats, MAX_REPEATS)
         self.assertGreater(figures.in_time, 0.98)
 
-    def test_two_such_requests_at_once_are_both_found_and_those_beside_them_served(self):
+    def test_two_crashing_requests_are_both_found_and_other_requests_are_served(self):
         for seed in (1, 2, 3):
             figures = run_scenario(load_scenario("crashing-two").ok, seed)
-            self.assertLessEqual(figures.crash_repeats, MOST_REPEATS)
+            self.assertLessEqual(figures.crash_repeats, MAX_REPEATS)
             self.assertLessEqual(figures.crashed, 16)
             self.assertGreater(figures.in_time, 0.9)
             self.assertLess(figures.wronged, 0.002)
 
-    def test_service_of_two_whose_upstreams_meet_the_request_with_each_start(self):
+    def test_service_of_two_upstreams_that_receive_the_request_after_each_restart(self):
         crashing = Fault(
             kind=FaultKind.CRASHING_REQUEST, at=2.0, for_s=40.0, x=20.0, service="repositorio"
         )
         figures = self.run_with(crashing, seconds=45.0)
-        self.assertLessEqual(figures.crash_repeats, MOST_REPEATS)
+        self.assertLessEqual(figures.crash_repeats, MAX_REPEATS)
         self.assertGreater(figures.windows["20"]["in-time"], 0.98)
 
-    def test_nodes_beside_the_first_upstreams_that_ended_are_killed_meanwhile(self):
+    def test_nodes_of_the_first_ended_upstreams_are_killed_meanwhile(self):
         crashing = Fault(kind=FaultKind.CRASHING_REQUEST, at=2.0, for_s=15.0, x=2.0)
         killed = [
             Fault(kind=FaultKind.KILL_NODES, at=at, service="catastro", share=0.34)
@@ -62,16 +62,16 @@
         ]
         for seed in (1, 2, 3):
             figures = self.run_with(crashing, *killed, seed=seed)
-            self.assertLessEqual(figures.crash_repeats, MOST_REPEATS)
+            self.assertLessEqual(figures.crash_repeats, MAX_REPEATS)
 
-    def test_loss_of_power_has_nobody_refused_though_few_things_are_asked_for(self):
+    def test_power_loss_quarantines_no_request_although_few_targets_are_requested(self):
         lost = Fault(kind=FaultKind.POWER_LOSS, at=3.0, for_s=1.0, data_centre="north")
         few = ("routes.lookup.targets=3", "routes.read.targets=3", "routes.booking.targets=3")
         figures = self.run_with(lost, changes=few)
         self.assertEqual(figures.wronged, 0.0)
         self.assertGreater(figures.windows["8"]["in-time"], 0.97)
 
-    def test_end_of_many_upstreams_at_once_has_hardly_anybody_refused(self):
+    def test_end_of_many_upstreams_at_once_quarantines_hardly_any_request(self):
         """Nodes stay up and observe that their upstreams end under the same few requests."""
         ended = [
             Fault(kind=FaultKind.CRASH, at=at, for_s=1.0, service="catastro", share=0.5)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_interfaces.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_interfaces.py
@@ -14,7 +14,7 @@
 
 
 class ImportsTest(unittest.TestCase):
-    def test_imports_point_one_way_also_those_for_types_alone(self):
+    def test_imports_have_no_cycles_including_type_imports(self):
         files = [file for file in FOLDER.glob("*.py") if file.stem != "__init__"]
         graph = {file.stem: list_imports(file) for file in files}
         self.assertIn("interfaces", graph["faults"])
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_scenario.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_scenario.py
@@ -13,11 +13,11 @@
 
 class ScenarioTest(unittest.TestCase):
     def find_fault(self, data):
-        read = parse_scenario(data, "x.toml")
-        self.assertTrue(read.is_error(), data)
-        return read.error
+        parsed = parse_scenario(data, "x.toml")
+        self.assertTrue(parsed.is_error(), data)
+        return parsed.error
 
-    def test_every_shipped_scenario_is_right_and_says_what_it_is(self):
+    def test_every_shipped_scenario_is_valid_and_has_a_description(self):
         self.assertGreaterEqual(len(list_scenarios()), 12)
         for name in list_scenarios():
             scenario = load_scenario(name)
@@ -25,21 +25,22 @@
             self.assertEqual(scenario.ok.name, name)
             self.assertTrue(scenario.ok.about)
 
-    def test_faulty_keys_are_named_with_file_and_what_was_expected(self):
-        whole = HEAD + SERVICE + ROUTE
+    def test_errors_name_the_file_the_key_and_the_expectation(self):
+        complete = HEAD + SERVICE + ROUTE
         cases = {
-            whole.replace(b"slots", b"slosts"): "services[0]",
-            whole.replace(b"upstreams = 2", b"upstreams = 0"): "services[0].upstreams",
-            whole.replace(b'service = "a"', b'service = "b"'): "routes[0].service",
-            whole + b'calls = ["nowhere"]\n': "routes[0].calls",
-            whole + b'calls = ["r"]\n': "routes[0].calls",
-            whole + b'[[faults]]\nkind = "storm"\nat = 1.0\n': "faults[0].kind",
-            whole + b'[[faults]]\nkind = "slow"\nat = 1.0\nservice = "b"\n': "faults[0].service",
-            whole + b'[[faults]]\nkind = "hot-customer"\nat = 1.0\ncustomer = "c-1"\n': "customer",
-            whole + b'[[customers]]\nname = "c"\nroutes = ["s"]\n': "customers[0].routes",
-            whole + b'[callers]\nwaves = [{ data_centre = "x" }]\n': "waves[0].data_centre",
-            whole + b'[callers]\nwaves = [{ data_centre = "north", swing = 2.0 }]\n': "swing",
-            whole.replace(b"slots", b'data_centres = ["x"]\nslots'): "services[0].data_centres",
+            complete.replace(b"slots", b"slosts"): "services[0]",
+            complete.replace(b"upstreams = 2", b"upstreams = 0"): "services[0].upstreams",
+            complete.replace(b'service = "a"', b'service = "b"'): "routes[0].service",
+            complete + b'calls = ["nowhere"]\n': "routes[0].calls",
+            complete + b'calls = ["r"]\n': "routes[0].calls",
+            complete + b'[[faults]]\nkind = "storm"\nat = 1.0\n': "faults[0].kind",
+            complete + b'[[faults]]\nkind = "slow"\nat = 1.0\nservice = "b"\n': "faults[0].service",
+            complete
+            + b'[[faults]]\nkind = "hot-customer"\nat = 1.0\ncustomer = "c-1"\n': "customer",
+            complete + b'[[customers]]\nname = "c"\nroutes = ["s"]\n': "customers[0].routes",
+            complete + b'[callers]\nwaves = [{ data_centre = "x" }]\n': "waves[0].data_centre",
+            complete + b'[callers]\nwaves = [{ data_centre = "north", swing = 2.0 }]\n': "swing",
+            complete.replace(b"slots", b'data_centres = ["x"]\nslots'): "services[0].data_centres",
             HEAD + SERVICE: "routes",
             HEAD + b'base = "nowhere"\n': "base",
         }
@@ -48,7 +49,7 @@
             self.assertEqual(error.file, "x.toml")
             self.assertIn(key, f"{error.key} {error}", data)
 
-    def test_scenario_takes_from_its_base_what_it_leaves_out(self):
+    def test_omitted_tables_are_taken_from_the_base(self):
         calm, burst = load_scenario("calm").ok, load_scenario("burst").ok
         self.assertEqual(burst.services, calm.services)
         self.assertNotEqual(burst.faults, calm.faults)
@@ -63,7 +64,7 @@
         for change in ("policy.nothing=1", "services.b.slots=8", "policy.slot_share=2"):
             self.assertTrue(change_scenario(calm, (change,)).is_error(), change)
 
-    def test_file_that_is_not_there_names_the_shipped_ones(self):
+    def test_error_for_a_missing_file_lists_the_shipped_scenarios(self):
         self.assertIn("power-loss", str(load_scenario("no-such").error))
 
 
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_world.py
@@ -25,7 +25,7 @@
 
 
 class WorldTest(unittest.TestCase):
-    def test_same_seed_gives_the_same_bytes_and_another_one_others(self):
+    def test_same_seed_gives_equal_figures_and_another_seed_differs(self):
         scenario = shorten("one-slow", 2.0)
         first, again, other = (run_scenario(scenario, seed) for seed in (7, 7, 8))
         self.assertEqual(msgspec.json.encode(first), msgspec.json.encode(again))
@@ -36,28 +36,28 @@
         self.assertGreater(figures.in_time, 0.97)
         self.assertEqual(figures.fell_over, 0)
 
-    def test_service_that_lost_power_comes_back_and_nothing_falls_over(self):
+    def test_service_recovers_from_power_loss_without_overload_crashes(self):
         """Compare the restart after a power loss with and without the bound on cold upstreams."""
         faults = tuple(
             msgspec.structs.replace(fault, at=1.0) if fault.kind is FaultKind.POWER_LOSS else fault
             for fault in load_scenario("power-loss").ok.faults
         )
         scenario = shorten("power-loss", 8.0, faults=faults)
-        without = change_scenario(scenario, ("policy.spares_cold=false",)).ok
-        spared, pressed = run_scenario(scenario, 1), run_scenario(without, 1)
-        self.assertEqual(spared.fell_over, 0)
-        self.assertGreater(pressed.fell_over, 5)
-        self.assertGreater(spared.windows["6"]["in-time"], 0.95)
-        self.assertLess(pressed.windows["6"]["in-time"], 0.9)
-
-    def test_evacuated_data_centre_gets_nothing_and_is_spared_when_it_is_taken_back(self):
+        unbounded_scenario = change_scenario(scenario, ("policy.spares_cold=false",)).ok
+        with_bound, without_bound = run_scenario(scenario, 1), run_scenario(unbounded_scenario, 1)
+        self.assertEqual(with_bound.fell_over, 0)
+        self.assertGreater(without_bound.fell_over, 5)
+        self.assertGreater(with_bound.windows["6"]["in-time"], 0.95)
+        self.assertLess(without_bound.windows["6"]["in-time"], 0.9)
+
+    def test_evacuation_and_its_end_cause_no_overload_crashes(self):
         scenario = shorten("evacuation", 7.0)
         world = World(scenario, 1)
         figures = world.run()
         self.assertEqual(figures.fell_over, 0)
         self.assertGreater(figures.in_time, 0.95)
 
-    def test_nodes_that_stood_still_serve_as_before_once_they_go_on(self):
+    def test_suspended_nodes_serve_normally_after_they_resume(self):
         faults = (Fault(kind=FaultKind.SUSPEND, at=1.0, for_s=4.0, share=0.2),)
         figures = run_scenario(shorten("calm", 9.0, faults=faults), 1)
         self.assertLess(figures.windows["4"]["in-time"], 0.9)
@@ -95,7 +95,9 @@
 
     @settings(max_examples=20)
     @given(faults, st.integers(1, 6), st.sampled_from([20.0, 120.0]), st.integers(0, 1000))
-    def test_slots_cold_bound_and_single_runs_hold(self, some, slots, rate, seed):
+    def test_slot_limit_cold_bound_and_single_execution_hold(
+        self, chosen_faults, slots, rate, seed
+    ):
         data = (HEAD + SERVICE + WARM_UP + ROUTE).replace(b"seconds = 2.0\n", b"seconds = 1.5\n", 1)
         scenario = parse_scenario(data, "x").ok
         changes = (f"services.a.slots={slots}", f"routes.r.per_second={rate}")
@@ -103,16 +105,18 @@
         routes = tuple(
             msgspec.structs.replace(route, repeat=Repeat.NEVER) for route in scenario.routes
         )
-        world = World(msgspec.structs.replace(scenario, faults=tuple(some), routes=routes), seed)
-        with Watch() as watch:
+        world = World(
+            msgspec.structs.replace(scenario, faults=tuple(chosen_faults), routes=routes), seed
+        )
+        with RunRecorder() as recorder:
             world.run()
         for node in world.nodes.values():
-            self.assertLessEqual(node.upstream.most_running, slots)
+            self.assertLessEqual(node.upstream.max_running, slots)
             self.assertEqual(node.upstream.fell_over, 0)
-        watch.check(self)
+        recorder.check(self)
 
 
-class Watch:
+class RunRecorder:
     """Record which attempts ran and the outcome that each call reported, over a whole run."""
 
     def __init__(self):
@@ -120,27 +124,31 @@
         self.ended = []
 
     def __enter__(self):
-        connect, hear, finish = OwnerSide._connect, OwnerSide._hear, EntrySide._finish
+        connect, handle_reply, finish = (
+            OwnerSide._connect,
+            OwnerSide._handle_reply,
+            EntrySide._finish_call,
+        )
 
-        def note_connect(owner, hand_over, expires_at):
+        def record_connect(owner, hand_over, expires_at):
             was_sent = hand_over.attempt in owner.owner_state.running and not owner.upstream.is_down
             if was_sent:
                 self.ran.add(hand_over.attempt)
             connect(owner, hand_over, expires_at)
 
-        def note_answer(owner, attempt, status, sent_at):
+        def record_reply(owner, attempt, status, sent_at):
             if status == SHED:
                 self.ran.discard(attempt)
-            hear(owner, attempt, status, sent_at)
+            handle_reply(owner, attempt, status, sent_at)
 
-        def note_end(entry, run, outcome):
+        def record_end(entry, run, outcome):
             self.ended.append((run.call, outcome))
             finish(entry, run, outcome)
 
         self.patches = [
-            mock.patch.object(OwnerSide, "_connect", note_connect),
-            mock.patch.object(OwnerSide, "_hear", note_answer),
-            mock.patch.object(EntrySide, "_finish", note_end),
+            mock.patch.object(OwnerSide, "_connect", record_connect),
+            mock.patch.object(OwnerSide, "_handle_reply", record_reply),
+            mock.patch.object(EntrySide, "_finish_call", record_end),
         ]
         for patch in self.patches:
             patch.start()
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/names.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/undefined_names.py
@@ -5,14 +5,14 @@
 from bendwind_bench.emulator.tables import FaultKind, Scenario
 
 
-def list_wrong_names(scenario: Scenario) -> Iterator[tuple[str, set[str]]]:
+def list_undefined_names(scenario: Scenario) -> Iterator[tuple[str, set[str]]]:
     """List the keys with an undefined name, each with the names that are defined."""
     services = {service.name for service in scenario.services}
     routes = {route.name for route in scenario.routes}
-    places = set(scenario.places.data_centres)
+    data_centres = set(scenario.places.data_centres)
     for i, service in enumerate(scenario.services):
-        if not set(service.data_centres) <= places:
-            yield f"services[{i}].data_centres", places
+        if not set(service.data_centres) <= data_centres:
+            yield f"services[{i}].data_centres", data_centres
     for i, route in enumerate(scenario.routes):
         if route.service not in services:
             yield f"routes[{i}].service", services
@@ -22,13 +22,13 @@
         if not set(group.routes) <= routes:
             yield f"customers[{i}].routes", routes
     for i, wave in enumerate(scenario.callers.waves):
-        if wave.data_centre not in places:
-            yield f"callers.waves[{i}].data_centre", places
-    yield from _list_in_faults(scenario, services, places)
+        if wave.data_centre not in data_centres:
+            yield f"callers.waves[{i}].data_centre", data_centres
+    yield from _list_undefined_in_faults(scenario, services, data_centres)
 
 
-def _list_in_faults(
-    scenario: Scenario, services: set[str], places: set[str]
+def _list_undefined_in_faults(
+    scenario: Scenario, services: set[str], data_centres: set[str]
 ) -> Iterator[tuple[str, set[str]]]:
     customers = {
         group.find_name(number) for group in scenario.customers for number in range(group.count)
@@ -36,10 +36,10 @@
     for i, fault in enumerate(scenario.faults):
         if fault.service and fault.service not in services:
             yield f"faults[{i}].service", services
-        if fault.data_centre and fault.data_centre not in places:
-            yield f"faults[{i}].data_centre", places
+        if fault.data_centre and fault.data_centre not in data_centres:
+            yield f"faults[{i}].data_centre", data_centres
         if fault.kind is FaultKind.HOT_CUSTOMER and fault.customer not in customers:
             yield f"faults[{i}].customer", customers
 
 
-__all__ = ["list_wrong_names"]
+__all__ = ["list_undefined_names"]
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
@@ -7,26 +7,26 @@
 
 import msgspec
 
-from bendwind_bench.emulator.agenda import Agenda
 from bendwind_bench.emulator.scenario import RouteTable, ServiceTable
+from bendwind_bench.emulator.scheduler import Scheduler
 from bendwind_bench.limit_count import LimitCount
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds, Seconds
 
 # Time after which a supervisor restarts an upstream that fell over from overload.
-RESTART: Seconds = 1.0
+RESTART_DELAY: Seconds = 1.0
 # A crashing request ends its upstream early in its run, and a supervisor restarts the upstream
 # after some seconds: logs of an incident show 30 to 90 ms and 1.3 to 4.9 s.
-CRASH_AFTER: Seconds = 0.05
-CRASH_RESTART: Seconds = 1.5
+CRASH_DELAY: Seconds = 0.05
+CRASH_RESTART_DELAY: Seconds = 1.5
 # Requests that arrive later than this after an upstream first stated its leaving are too late.
-DRAIN: Seconds = 2.0
+LEAVING_GRACE: Seconds = 2.0
 OK = 200
 SHED = 503
 FAILED = 500
-_WINDOW: Seconds = 1.0
+_ARRIVAL_WINDOW: Seconds = 1.0
 
 Reply = Callable[[int | None], None]
-Call = Callable[["UpstreamModel", str, Seconds, Callable[[bool], None]], None]
+CallFunction = Callable[["UpstreamModel", str, Seconds, Callable[[bool], None]], None]
 
 
 class Run(msgspec.Struct, eq=False):
@@ -40,7 +40,7 @@
     is_cancelled: bool = False
 
 
-class CrashCount(msgspec.Struct):
+class CrashHistory(msgspec.Struct):
     """Hold the times at which a crashing request reached upstreams and at which it ended them."""
 
     arrived: list[Seconds] = msgspec.field(default_factory=list)
@@ -51,8 +51,8 @@
     """Answer requests as the scenario defines."""
 
     __slots__ = (
-        "after_leaving",
-        "agenda",
+        "arrivals_after_leaving",
+        "scheduler",
         "arrivals",
         "call",
         "cold_until",
@@ -63,7 +63,7 @@
         "is_down",
         "leaves_at",
         "limit",
-        "most_running",
+        "max_running",
         "name",
         "on_restart",
         "queue",
@@ -77,16 +77,21 @@
     )
 
     def __init__(
-        self, name: str, table: ServiceTable, data_centre: str, agenda: Agenda, rng: random.Random
+        self,
+        name: str,
+        table: ServiceTable,
+        data_centre: str,
+        scheduler: Scheduler,
+        rng: random.Random,
     ):
         self.name = name
         self.table = table
         self.data_centre = data_centre
-        self.agenda = agenda
+        self.scheduler = scheduler
         self.rng = rng
-        self.call: Call = lambda upstream, route, deadline_at, done: done(True)
+        self.call: CallFunction = lambda upstream, route, deadline_at, on_done: on_done(True)
         self.on_restart: Callable[[], None] = lambda: None
-        self.crashes: dict[bytes, CrashCount] = {}
+        self.crashes: dict[bytes, CrashHistory] = {}
         self.running: list[Run] = []
         self.queue: collections.deque[Run] = collections.deque()
         self.arrivals: collections.deque[Seconds] = collections.deque()
@@ -96,60 +101,60 @@
         self.shed_share = 0.0
         self.is_down = False
         self.leaves_at: Seconds = math.inf
-        self.after_leaving = 0
+        self.arrivals_after_leaving = 0
         self.limit = LimitCount()
         self.generation = 0
         self.fell_over = 0
-        self.most_running = 0
+        self.max_running = 0
         self.served = 0
         if table.phases is not None:
-            self._plan_phase()
+            self._schedule_slow_phase()
 
     @property
     def is_leaving(self) -> bool:
         """Return whether the upstream states in its answers that it leaves."""
-        return self.agenda.now >= self.leaves_at
+        return self.scheduler.now >= self.leaves_at
 
     @property
     def is_cold(self) -> bool:
         """Return whether the upstream is still warming up."""
-        return self.agenda.now < self.cold_until
+        return self.scheduler.now < self.cold_until
 
     @property
     def warm_up_left_ms(self) -> Milliseconds:
         """Return the remaining warm-up time."""
-        return max(0.0, self.cold_until - self.agenda.now) * MILLISECONDS_PER_SECOND
+        return max(0.0, self.cold_until - self.scheduler.now) * MILLISECONDS_PER_SECOND
 
     def find_factor(self) -> float:
         """Return the factor by which work that begins now takes longer than usual."""
-        factor = self.slow_factor if self.agenda.now < self.slow_until else 1.0
+        factor = self.slow_factor if self.scheduler.now < self.slow_until else 1.0
         if self.is_cold and self.table.warm_up is not None:
             factor *= self.table.warm_up.factor
         return factor
 
-    def _plan_phase(self) -> None:
+    def _schedule_slow_phase(self) -> None:
         phases = self.table.phases
-        self.agenda.after(self.rng.expovariate(1 / phases.every_s), self._begin_phase)
+        self.scheduler.call_later(self.rng.expovariate(1 / phases.every_s), self._start_slow_phase)
 
-    def _begin_phase(self) -> None:
+    def _start_slow_phase(self) -> None:
         phases = self.table.phases
-        self.slow(phases.factor, phases.length_s)
-        self.agenda.after(phases.length_s, self._plan_phase)
+        self.slow_down(phases.factor, phases.length_s)
+        self.scheduler.call_later(phases.length_s, self._schedule_slow_phase)
 
-    def slow(self, factor: float, length: Seconds) -> None:
+    def slow_down(self, factor: float, length: Seconds) -> None:
         """Slow down work that begins within a time from now."""
         self.slow_factor = factor
-        self.slow_until = max(self.slow_until, self.agenda.now + length)
+        self.slow_until = max(self.slow_until, self.scheduler.now + length)
 
     def receive(
         self, route: RouteTable, deadline_at: Seconds, reply: Reply, target: bytes = b""
     ) -> Run | None:
         """Accept a request; if it is not accepted, reply to it and return None."""
-        self._note_arrival()
-        self.limit.note_arrival(self.agenda.now)
-        self.after_leaving += self.agenda.now > self.leaves_at + DRAIN
+        self._record_arrival()
+        self.limit.note_arrival(self.scheduler.now)
+        self.arrivals_after_leaving += self.scheduler.now > self.leaves_at + LEAVING_GRACE
         if target in self.crashes:
-            self.crashes[target].arrived.append(self.agenda.now)
+            self.crashes[target].arrived.append(self.scheduler.now)
         if self.is_down:
             reply(None)
             return None
@@ -159,7 +164,7 @@
             reply(SHED)
             return None
         if len(self.running) < self.table.slots:
-            self._start(run)
+            self._start_run(run)
         else:
             self.queue.append(run)
         return run
@@ -169,22 +174,22 @@
             return []
         return list(route.calls)
 
-    def _note_arrival(self) -> None:
+    def _record_arrival(self) -> None:
         warm_up = self.table.warm_up
         if warm_up is None or not self.is_cold:
             return
-        now = self.agenda.now
+        now = self.scheduler.now
         self.arrivals.append(now)
-        while self.arrivals[0] < now - _WINDOW:
+        while self.arrivals[0] < now - _ARRIVAL_WINDOW:
             self.arrivals.popleft()
-        borne = warm_up.per_second * warm_up.overage + warm_up.slack
-        if warm_up.falls_over and len(self.arrivals) > borne:
+        max_arrivals = warm_up.per_second * warm_up.overage + warm_up.slack
+        if warm_up.falls_over and len(self.arrivals) > max_arrivals:
             self.fell_over += 1
-            self.crash(RESTART)
+            self.crash(RESTART_DELAY)
 
-    def _start(self, run: Run) -> None:
+    def _start_run(self, run: Run) -> None:
         self.running.append(run)
-        self.most_running = max(self.most_running, len(self.running))
+        self.max_running = max(self.max_running, len(self.running))
         work_s = run.route.work_ms / MILLISECONDS_PER_SECOND
         scatter = self.table.scatter
         work_s *= self.rng.lognormvariate(-scatter * scatter / 2, scatter) * self.find_factor()
@@ -192,39 +197,42 @@
             work_s *= self.table.knee_factor
         generation = self.generation
         if run.target in self.crashes:
-            self.agenda.after(CRASH_AFTER, lambda: self._end_under(run, generation))
+            self.scheduler.call_later(CRASH_DELAY, lambda: self._crash_under(run, generation))
             return
-        self.agenda.after(work_s, lambda: self._go_on(run, generation))
+        self.scheduler.call_later(work_s, lambda: self._continue_run(run, generation))
 
-    def _end_under(self, run: Run, generation: int) -> None:
+    def _crash_under(self, run: Run, generation: int) -> None:
         if generation == self.generation and run in self.running:
-            self.crashes[run.target].ended.append(self.agenda.now)
-            self.crash(CRASH_RESTART)
+            self.crashes[run.target].ended.append(self.scheduler.now)
+            self.crash(CRASH_RESTART_DELAY)
 
-    def _go_on(self, run: Run, generation: int) -> None:
+    def _continue_run(self, run: Run, generation: int) -> None:
         if generation != self.generation or run not in self.running:
             return
         if run.is_cancelled or not run.calls_left:
-            self._end(run, OK)
+            self._finish_run(run, OK)
             return
         route = run.calls_left.pop(0)
         self.call(
-            self, route, run.deadline_at, lambda is_well: self._hear(run, generation, is_well)
+            self,
+            route,
+            run.deadline_at,
+            lambda is_successful: self._handle_call_result(run, generation, is_successful),
         )
 
-    def _hear(self, run: Run, generation: int, is_well: bool) -> None:
-        if is_well:
-            self._go_on(run, generation)
+    def _handle_call_result(self, run: Run, generation: int, is_successful: bool) -> None:
+        if is_successful:
+            self._continue_run(run, generation)
         elif generation == self.generation and run in self.running:
-            self._end(run, FAILED)
+            self._finish_run(run, FAILED)
 
-    def _end(self, run: Run, status: int) -> None:
+    def _finish_run(self, run: Run, status: int) -> None:
         self.running.remove(run)
         if not run.is_cancelled:
             self.served += 1
             run.reply(status)
         while self.queue and len(self.running) < self.table.slots:
-            self._start(self.queue.popleft())
+            self._start_run(self.queue.popleft())
 
     def cancel(self, run: Run) -> None:
         """Cancel a request whose connection was closed."""
@@ -232,7 +240,7 @@
         if run in self.queue:
             self.queue.remove(run)
         elif run in self.running:
-            self._end(run, FAILED)
+            self._finish_run(run, FAILED)
 
     def crash(self, down_s: Seconds) -> None:
         """End the process: all connections are lost, and a cold start follows after `down_s`."""
@@ -246,16 +254,16 @@
             if not run.is_cancelled:
                 run.reply(None)
         generation = self.generation
-        self.agenda.after(down_s, lambda: self._restart(generation))
+        self.scheduler.call_later(down_s, lambda: self._restart(generation))
 
     def _restart(self, generation: int) -> None:
         if generation != self.generation:
             return
         self.is_down = False
-        self.turn_cold()
+        self.start_warm_up()
         self.on_restart()
 
-    def turn_cold(self) -> None:
+    def start_warm_up(self) -> None:
         """Start the warm-up."""
         if self.table.warm_up is not None:
-            self.cold_until = self.agenda.now + self.table.warm_up.seconds
+            self.cold_until = self.scheduler.now + self.table.warm_up.seconds
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
@@ -2,15 +2,15 @@
 
 import random
 
-from bendwind_bench.emulator.agenda import Agenda
 from bendwind_bench.emulator.callers import Callers
 from bendwind_bench.emulator.demand import Demand
-from bendwind_bench.emulator.faults import plan_faults
+from bendwind_bench.emulator.faults import schedule_faults
 from bendwind_bench.emulator.node import Node
+from bendwind_bench.emulator.scheduler import Scheduler
 from bendwind_bench.emulator.tables import Scenario
 from bendwind_bench.emulator.tally import Figures, Tally
-from bendwind_bench.emulator.upstream import CrashCount, UpstreamModel
-from bendwind_bench.emulator.waiting import WaitWatch
+from bendwind_bench.emulator.upstream import CrashHistory, UpstreamModel
+from bendwind_bench.emulator.wait_sampler import WaitSampler
 from bendwind_core.attempts import Cancel, Fence, HandOver, NotRunReason
 from bendwind_core.attempts import owner_events as ov
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Record, Seconds
@@ -25,47 +25,47 @@
 
 # Time for the callers' last requests to end within their timeouts; no new requests begin after the
 # scenario's time.
-AFTERMATH: Seconds = 10.0
+SETTLING_TIME: Seconds = 10.0
 # A connection reset reveals a broken link after this time.
-LINK_LOSS: Seconds = 0.02
+LINK_LOSS_DELAY: Seconds = 0.02
 # Time until a killed process is up again; loading Python and its libraries takes half of it.
-NODE_RESTART: Seconds = 1.0
+NODE_RESTART_DELAY: Seconds = 1.0
 
 
 class World:
     """Hold the state of one run of a scenario."""
 
     __slots__ = (
-        "agenda",
+        "scheduler",
         "callers",
         "crashes",
         "evacuated",
-        "has_push",
+        "is_push_scheduled",
         "nodes",
         "rng",
         "scenario",
         "seed",
         "tally",
         "voters",
-        "watch",
+        "wait_sampler",
     )
 
     def __init__(self, scenario: Scenario, seed: int):
         self.scenario = scenario
         self.seed = seed
-        self.agenda = Agenda()
+        self.scheduler = Scheduler()
         self.rng = random.Random(f"{seed} world")
         self.tally = Tally()
         self.evacuated: set[str] = set()
-        self.crashes: dict[bytes, CrashCount] = {}
+        self.crashes: dict[bytes, CrashHistory] = {}
         self.voters = SuspectTable("voters")
-        self.has_push = False
+        self.is_push_scheduled = False
         self.nodes: dict[str, Node] = {}
         self._create_nodes()
         rng = random.Random(f"{seed} callers")
         places = {node.name: node.upstream.data_centre for node in self.nodes.values()}
         self.callers = Callers(self, Demand(scenario, places, rng), rng)
-        self.watch = WaitWatch(self)
+        self.wait_sampler = WaitSampler(self)
 
     def _create_nodes(self) -> None:
         position = 0
@@ -75,11 +75,11 @@
                 name = f"{table.name}-{number}"
                 rng = random.Random(f"{self.seed} upstream {name}")
                 place = places[position % len(places)]
-                upstream = UpstreamModel(name, table, place, self.agenda, rng)
+                upstream = UpstreamModel(name, table, place, self.scheduler, rng)
                 node = Node(f"node-{name}", upstream, self)
                 upstream.call = self.call
                 upstream.crashes = self.crashes
-                upstream.on_restart = node.owner.take_back
+                upstream.on_restart = node.owner.readmit_upstream
                 self.nodes[node.name] = node
                 position += 1
 
@@ -87,27 +87,27 @@
         """Run the scenario and return its figures."""
         for node in self.nodes.values():
             node.owner.announce()
-        self._push_now()
-        self.agenda.run(1.0)
+        self._push_upstreams()
+        self.scheduler.run(1.0)
         self.callers.start()
-        self.watch.start()
-        plan_faults(self)
-        self.agenda.run(self.agenda.now + self.scenario.seconds + AFTERMATH)
+        self.wait_sampler.start()
+        schedule_faults(self)
+        self.scheduler.run(self.scheduler.now + self.scenario.seconds + SETTLING_TIME)
         services: dict[str, list[str]] = {}
         for node in self.nodes.values():
             services.setdefault(node.upstream.table.name, []).append(node.upstream.name)
         fell_over = sum(node.upstream.fell_over for node in self.nodes.values())
-        self.tally.waited_long = self.watch.count_long()
-        self.tally.waited_s = self.watch.sum_up()
+        self.tally.long_waits = self.wait_sampler.count_long_waits()
+        self.tally.waited_s = self.wait_sampler.sum_waits()
         for node in self.nodes.values():
-            node.upstream.limit.name(None, self.agenda.now)
+            node.upstream.limit.name(None, self.scheduler.now)
             self.tally.limits.append(node.upstream.limit)
         return self.tally.summarize(services, fell_over, self.crashes.values())
 
-    def call(self, upstream: UpstreamModel, route: str, deadline_at: Seconds, done) -> None:
+    def call(self, upstream: UpstreamModel, route: str, deadline_at: Seconds, on_done) -> None:
         """Start a call that an upstream makes while it runs a request."""
-        self.callers.call_from_upstream(
-            self.nodes[f"node-{upstream.name}"], route, deadline_at, done
+        self.callers.start_inner_call(
+            self.nodes[f"node-{upstream.name}"], route, deadline_at, on_done
         )
 
     def _find_delay(self, one: str, other: str) -> Seconds:
@@ -119,38 +119,42 @@
         delay_ms = places.within_ms if is_near else places.between_ms
         return delay_ms / MILLISECONDS_PER_SECOND
 
-    def send(self, sender: str, to: str, message: Record) -> None:
+    def send_to_owner(self, sender: str, to: str, message: Record) -> None:
         """Send a message of an entry node to an owner node; it is lost if that node is down."""
         delay = self._find_delay(sender, to)
-        self.nodes[to].agenda.after(delay, lambda: self._arrive(sender, to, message))
+        self.nodes[to].scheduler.call_later(
+            delay, lambda: self._deliver_to_owner(sender, to, message)
+        )
 
-    def _arrive(self, sender: str, to: str, message: Record) -> None:
+    def _deliver_to_owner(self, sender: str, to: str, message: Record) -> None:
         node = self.nodes[to]
         if not node.is_up:
-            self.agenda.after(LINK_LOSS, lambda: self.nodes[sender].entry.lose(to))
+            self.scheduler.call_later(
+                LINK_LOSS_DELAY, lambda: self.nodes[sender].entry.handle_link_lost(to)
+            )
             return
         match message:
             case HandOver():
-                node.owner.feed(ov.HandOverArrived(message, self.nodes[sender].incarnation))
+                node.owner.apply_event(ov.HandOverArrived(message, self.nodes[sender].incarnation))
             case Cancel(attempt=attempt):
-                node.owner.feed(ov.CancelArrived(attempt, self.nodes[sender].incarnation))
+                node.owner.apply_event(ov.CancelArrived(attempt, self.nodes[sender].incarnation))
             case Fence():
-                node.owner.feed(ov.FenceArrived(message, self.nodes[sender].incarnation))
+                node.owner.apply_event(ov.FenceArrived(message, self.nodes[sender].incarnation))
 
-    def carry_back(self, sender: str, to: str, message: Record) -> None:
+    def send_to_entry(self, sender: str, to: str, message: Record) -> None:
         """Send a message of an owner node to an entry node."""
         delay = self._find_delay(sender, to)
-        self.nodes[to].agenda.after(delay, lambda: self._arrive_back(to, message))
+        self.nodes[to].scheduler.call_later(delay, lambda: self._deliver_to_entry(to, message))
 
-    def _arrive_back(self, to: str, message: Record) -> None:
+    def _deliver_to_entry(self, to: str, message: Record) -> None:
         if self.nodes[to].is_up:
-            self.nodes[to].entry.hear(message)
+            self.nodes[to].entry.handle_message(message)
 
-    def note_attempt(self, upstream: str) -> None:
+    def record_attempt(self, upstream: str) -> None:
         """Count an attempt that was sent."""
         self.tally.attempts[upstream] += 1
 
-    def note_sent_back(self, target: bytes, reason: NotRunReason) -> None:
+    def record_refused_attempt(self, target: bytes, reason: NotRunReason) -> None:
         """Count an attempt that an owner refused without running it."""
         self.tally.sent_back += 1
         if reason is NotRunReason.QUARANTINED and target not in self.crashes:
@@ -160,19 +164,19 @@
         """Return the most urgent rank among the requests that run at a node's upstream."""
         return self.nodes[name].owner.find_run_rank()
 
-    def note_retry(self) -> None:
+    def record_retry(self) -> None:
         """Count an attempt that was charged to the retry budget."""
         self.tally.retries += 1
 
-    def push(self) -> None:
+    def schedule_push(self) -> None:
         """Schedule a push of the serving upstreams to all nodes."""
-        if not self.has_push:
-            self.has_push = True
+        if not self.is_push_scheduled:
+            self.is_push_scheduled = True
             delay = self.scenario.places.push_ms / MILLISECONDS_PER_SECOND
-            self.agenda.after(delay, self._push_now)
+            self.scheduler.call_later(delay, self._push_upstreams)
 
-    def _push_now(self) -> None:
-        self.has_push = False
+    def _push_upstreams(self) -> None:
+        self.is_push_scheduled = False
         serving: dict[str, list[Upstream]] = {table.name: [] for table in self.scenario.services}
         for node in self.nodes.values():
             if node.is_serving:
@@ -180,22 +184,22 @@
         for node in self.nodes.values():
             if node.is_up:
                 for service, upstreams in serving.items():
-                    node.entry.hear_upstreams(service, tuple(upstreams))
+                    node.entry.update_upstreams(service, tuple(upstreams))
 
-    def tell_voters(self, told: tuple[SuspectReport, ...]) -> None:
+    def report_to_voters(self, reports: tuple[SuspectReport, ...]) -> None:
         """Send a node's suspect reports to the voters, which forward them to all nodes."""
         delay = self.scenario.places.push_ms / MILLISECONDS_PER_SECOND
-        self.agenda.after(delay, lambda: self._pass_on(told))
+        self.scheduler.call_later(delay, lambda: self._merge_reports(reports))
 
-    def _pass_on(self, told: tuple[SuspectReport, ...]) -> None:
-        for one in told:
-            merge_and_queue_report(self.voters, one, self.agenda.now)
-        news = pop_unreported(self.voters, self.agenda.now)
+    def _merge_reports(self, reports: tuple[SuspectReport, ...]) -> None:
+        for one in reports:
+            merge_and_queue_report(self.voters, one, self.scheduler.now)
+        unreported = pop_unreported(self.voters, self.scheduler.now)
         for node in self.nodes.values():
             if node.is_up:
-                node.hear_suspects(news)
+                node.merge_suspect_reports(unreported)
 
-    def kill(self, node: Node, restart: Seconds = NODE_RESTART) -> None:
+    def kill(self, node: Node, restart: Seconds = NODE_RESTART_DELAY) -> None:
         """Kill the process of a node and restart it after a delay."""
         if not node.is_up:
             return
@@ -204,31 +208,35 @@
         node.entry.stop()
         for other in self.nodes.values():
             if other.is_up:
-                self.agenda.after(LINK_LOSS, lambda entry=other.entry: entry.lose(node.name))
-        self.push()
-        self.agenda.after(restart, lambda: self._start(node))
+                self.scheduler.call_later(
+                    LINK_LOSS_DELAY, lambda entry=other.entry: entry.handle_link_lost(node.name)
+                )
+        self.schedule_push()
+        self.scheduler.call_later(restart, lambda: self._restart_node(node))
 
-    def _start(self, node: Node) -> None:
+    def _restart_node(self, node: Node) -> None:
         node.start()
-        node.upstream.on_restart = node.owner.take_back
+        node.upstream.on_restart = node.owner.readmit_upstream
         node.owner.announce()
-        self._push_now()
+        self._push_upstreams()
         known = self.voters.suspects.values()
-        node.hear_suspects(tuple(create_report(suspect, self.agenda.now) for suspect in known))
+        node.merge_suspect_reports(
+            tuple(create_report(suspect, self.scheduler.now) for suspect in known)
+        )
 
     def set_evacuated(self, data_centre: str, *, evacuated: bool) -> None:
         """Evacuate a data centre or end its evacuation."""
         (self.evacuated.add if evacuated else self.evacuated.discard)(data_centre)
-        self._push_now()
+        self._push_upstreams()
         for node in self.nodes.values():
             if node.upstream.data_centre != data_centre or not node.is_up:
                 continue
             if evacuated:
                 node.owner.announce(UpstreamState.DRAINING)
-                node.owner.feed(ov.QueueWithdrawn())
+                node.owner.apply_event(ov.QueueWithdrawn())
             else:
-                node.upstream.turn_cold()
-                node.owner.take_back()
+                node.upstream.start_warm_up()
+                node.owner.readmit_upstream()
 
 
 def run_scenario(scenario: Scenario, seed: int) -> Figures:
