--- a/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/node.py
@@ -1,11 +1,11 @@
-"""Hold one emulated instance: its owner side, its entry side and the upstream beside them."""
+"""Emulate one instance: its owner side, its entry side and its upstream."""
 
 import random
 
-from bendwind_bench.emulator.agenda import PausableAgenda
 from bendwind_bench.emulator.entry_side import EntrySide
-from bendwind_bench.emulator.interfaces import Surroundings
+from bendwind_bench.emulator.interfaces import NodeEnvironment
 from bendwind_bench.emulator.owner_side import OwnerSide
+from bendwind_bench.emulator.scheduler import PausableScheduler
 from bendwind_bench.emulator.upstream import UpstreamModel
 from bendwind_core.core import Record
 from bendwind_core.suspicion import (
@@ -19,10 +19,10 @@
 
 
 class Node:
-    """Hold one instance: its owner side, its entry side and the upstream beside them."""
+    """Hold one instance: its owner side, its entry side and its upstream."""
 
     __slots__ = (
-        "agenda",
+        "scheduler",
         "entry",
         "incarnation",
         "is_up",
@@ -33,17 +33,17 @@
         "world",
     )
 
-    def __init__(self, name: str, upstream: UpstreamModel, world: Surroundings):
+    def __init__(self, name: str, upstream: UpstreamModel, world: NodeEnvironment):
         self.name = name
         self.upstream = upstream
         self.world = world
         self.incarnation = 0
         self.is_up = False
-        self.agenda = PausableAgenda(world.agenda)
+        self.scheduler = PausableScheduler(world.scheduler)
         self.start()
 
     def start(self) -> None:
-        """Start a new run of the process."""
+        """Start the process as a new incarnation."""
         world, upstream = self.world, self.upstream
         self.incarnation += 1
         self.is_up = True
@@ -51,14 +51,14 @@
         limits = SuspicionLimits(policy.apart_from, policy.quarantine_from, policy.quarantine_s)
         self.suspects = SuspectTable(self.name, limits)
         self.owner = OwnerSide(
-            world.scenario, upstream, self.agenda, self, self.incarnation, self.suspects
+            world.scenario, upstream, self.scheduler, self, self.incarnation, self.suspects
         )
         self.entry = EntrySide(
             self.name,
             upstream.data_centre,
             upstream.table.name,
             world.scenario,
-            self.agenda,
+            self.scheduler,
             world,
             random.Random(f"{world.seed} {self.name} {self.incarnation}"),
             self.incarnation,
@@ -67,32 +67,33 @@
 
     def reply(self, entry: str, message: Record) -> None:
         """Send a message of the owner side to an entry node."""
-        self.world.carry_back(self.name, entry, message)
+        self.world.send_to_entry(self.name, entry, message)
 
-    def tell_all(self) -> None:
-        """Have all nodes hear of this node's upstream."""
-        self.world.push()
+    def request_push(self) -> None:
+        """Schedule a push of the serving upstreams to all nodes."""
+        self.world.schedule_push()
 
-    def tell_suspects(self) -> None:
-        """Tell the voters what is new against requests."""
-        self.world.tell_voters(pop_unreported(self.suspects, self.world.agenda.now))
+    def send_suspects(self) -> None:
+        """Send new suspect reports to the voters."""
+        self.world.report_to_voters(pop_unreported(self.suspects, self.world.scheduler.now))
 
-    def hear_suspects(self, told: tuple[SuspectReport, ...]) -> None:
-        """Hear from the voters what is known against requests."""
-        for one in told:
-            merge_report(self.suspects, one, self.world.agenda.now)
+    def merge_suspect_reports(self, reports: tuple[SuspectReport, ...]) -> None:
+        """Merge suspect reports that the voters sent."""
+        for report in reports:
+            merge_report(self.suspects, report, self.world.scheduler.now)
 
     def describe(self) -> Upstream:
-        """Return the upstream as it is announced."""
+        """Return the description with which the upstream is announced."""
         place = Instance(self.name, self.upstream.data_centre, "", 0, self.incarnation)
         slots = self.upstream.table.slots
         return Upstream(self.upstream.name, self.upstream.table.name, place, slots, 10 * slots)
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether other nodes are told to use the upstream."""
+        """Return whether the upstream is pushed to other nodes as usable."""
         is_open = self.upstream.data_centre not in self.world.evacuated
-        # A core that is compared against may not know that upstreams leave by their answers.
+        # An older core that is compared may not support upstreams that announce their leaving in
+        # answers.
         is_leaving = getattr(self.owner.owner_state, "is_leaving", False)
         return self.is_up and is_open and not self.owner.is_unreachable and not is_leaving
 
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
@@ -1,4 +1,4 @@
-"""Count what became of callers' requests, by route and by window, and what it cost."""
+"""Count the outcomes of callers' requests, by route and by time window, and their cost."""
 
 import collections
 import enum
@@ -8,22 +8,22 @@
 import msgspec
 
 from bendwind_bench.emulator.tables import RouteTable
-from bendwind_bench.emulator.upstream import CrashCount
+from bendwind_bench.emulator.upstream import CrashHistory
 from bendwind_bench.limit_count import LimitCount
 from bendwind_core.core import Seconds
 
 WINDOW: Seconds = 2.0
-# So many upstreams end under a request before it can be told from others, and so long it may take
-# until all nodes that reach their voters know of it.
-TELLING_ENDS = 3
-TELLING: Seconds = 3.0
-# Of customers with fewer requests, one answer more or less decides the share.
-FEWEST_REQUESTS = 10
+# Number of upstream ends under a request before it can be distinguished from other requests, and
+# the maximum time until all nodes that can reach their voters know of it.
+SUSPICION_ENDS = 3
+SUSPICION_DELAY: Seconds = 3.0
+# For customers with fewer requests, a single answer changes the share too much.
+MIN_CUSTOMER_REQUESTS = 10
 WORST_SHARE = 0.1
 
 
 class Fate(enum.StrEnum):
-    """Say what a caller got in the end."""
+    """Enumerate the final outcomes of a caller's request."""
 
     IN_TIME = "in-time"
     LATE = "late"
@@ -35,23 +35,24 @@
 
 
 class Figures(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the figures of one run; shares are of the requests that callers made.
-
-    `sent_back` is attempts returned unrun for each request, `busiest` the most attempts of an
-    upstream against the mean of its service, `retries` the share of attempts that the retry budget
-    paid for, and `worst` the mean share in time of the two worst windows. `crashed` counts the
-    upstreams that ended under requests which end them, `crash_repeats` how often the worst of these
-    reached upstreams later than `TELLING` after the third end under it, and `wronged` the attempts
-    for each request that were quarantined though the request ends nothing.
-
-    A call is one try of a caller, or one call that an upstream makes. `sent_back_a_call` is
-    `sent_back` for each of these, `waited_free` the share of them that waited over 20 ms at an
-    owner while another upstream of the service was free, and `waited_free_s` how long all waited
-    so. `for_nothing` is the share of upstreams' own calls that were refused, each of which ended a
-    run with an error. `worst_in_time` and `worst_served` are the shares of the tenth of the
-    customers that fared worst by that, 1 where the scenario has none.
-    `routes`, `ranks` and `customers` hold for each the number of requests, the share served at all
-    and the shares by what became of them, `routes` also the rank of each.
+    """Hold the figures of one run; shares are relative to the requests that callers made.
+
+    `sent_back` is the number of attempts refused without running, per request. `busiest` is the
+    highest number of attempts at an upstream relative to the mean of its service. `retries` is the
+    share of attempts that were charged to the retry budget, and `worst` the mean share in time of
+    the two worst windows. `crashed` counts the upstreams that ended under crashing requests.
+    `crash_repeats` is how often the worst crashing request reached upstreams later than
+    `SUSPICION_DELAY` after the third end under it. `wronged` is the number of quarantined attempts
+    per request whose request crashes no upstream.
+
+    A call is one send of a caller, retries included, or one call that an upstream makes.
+    `sent_back_a_call` is `sent_back` per call. `waited_free` is the share of calls that waited over
+    20 ms at an owner while another upstream of the service was free, and `waited_free_s` the total
+    time of such waits. `for_nothing` is the share of upstreams' own calls that were refused, each
+    of which ended a run with an error. `worst_in_time` and `worst_served` are the mean shares of
+    the tenth of the customers with the lowest such shares, 1 if the scenario has no customers.
+    `routes`, `ranks` and `customers` hold for each item the number of requests, the share served at
+    all and the share of each outcome; `routes` also holds the rank of each route.
     """
 
     requests: int
@@ -83,9 +84,10 @@
 
 
 class Tally:
-    """Collect the fates of one run, and what it cost.
+    """Collect the request outcomes of one run and their cost.
 
-    `waited_long` counts the calls that waited while another upstream was free, `waited_s` how long.
+    `long_waits` counts the calls that waited over 20 ms while another upstream was free, `waited_s`
+    is the total time of all such waits, shorter ones included.
     """
 
     __slots__ = (
@@ -96,12 +98,12 @@
         "by_window",
         "calls",
         "inner_calls",
-        "inner_refused",
+        "inner_calls_refused",
         "limits",
         "priorities",
         "retries",
         "sent_back",
-        "waited_long",
+        "long_waits",
         "waited_s",
         "wronged",
     )
@@ -118,15 +120,15 @@
         self.retries = 0
         self.calls = 0
         self.inner_calls = 0
-        self.inner_refused = 0
+        self.inner_calls_refused = 0
         self.limits: list[LimitCount] = []
-        self.waited_long = 0
+        self.long_waits = 0
         self.waited_s: Seconds = 0.0
 
-    def note(
+    def record_outcome(
         self, route: RouteTable, began_at: Seconds, fate: Fate, rank: int, customer: str
     ) -> None:
-        """Count what became of one request of a caller."""
+        """Count the outcome of one request of a caller."""
         self.by_rank.setdefault(rank, collections.Counter())[fate] += 1
         if customer:
             self.by_customer.setdefault(customer, collections.Counter())[fate] += 1
@@ -136,9 +138,9 @@
         self.by_window.setdefault(window, collections.Counter())[fate] += 1
 
     def summarize(
-        self, services: dict[str, list[str]], fell_over: int, crashes: Iterable[CrashCount] = ()
+        self, services: dict[str, list[str]], fell_over: int, crashes: Iterable[CrashHistory] = ()
     ) -> Figures:
-        """Return the figures; `services` lists the upstreams of each."""
+        """Return the figures; `services` lists the upstreams of each service."""
         total = sum(self.by_route.values(), collections.Counter())
         requests = sum(total.values())
         shares = _find_shares(total)
@@ -164,11 +166,11 @@
             crash_repeats=max((_count_repeats(crash) for crash in crashes), default=0),
             calls=self.calls,
             sent_back_a_call=_round(self.sent_back / max(1, self.calls)),
-            waited_free=_round(self.waited_long / max(1, self.calls)),
+            waited_free=_round(self.long_waits / max(1, self.calls)),
             waited_free_s=_round(self.waited_s),
-            for_nothing=_round(self.inner_refused / max(1, self.inner_calls)),
-            worst_in_time=_find_worst(self.by_customer.values(), (Fate.IN_TIME,)),
-            worst_served=_find_worst(self.by_customer.values(), _SERVED),
+            for_nothing=_round(self.inner_calls_refused / max(1, self.inner_calls)),
+            worst_in_time=_find_worst_share(self.by_customer.values(), (Fate.IN_TIME,)),
+            worst_served=_find_worst_share(self.by_customer.values(), _SERVED),
             limit_worst=_round(max((limit.worst for limit in self.limits), default=0.0)),
             limit_used=self._find_limit_used(),
             routes={
@@ -193,16 +195,16 @@
         return _round(max(ratios, default=1.0))
 
 
-def _count_repeats(crash: CrashCount) -> int:
-    if len(crash.ended) < TELLING_ENDS:
+def _count_repeats(crash: CrashHistory) -> int:
+    if len(crash.ended) < SUSPICION_ENDS:
         return 0
-    told_at = crash.ended[TELLING_ENDS - 1] + TELLING
-    return sum(at > told_at for at in crash.arrived)
+    known_at = crash.ended[SUSPICION_ENDS - 1] + SUSPICION_DELAY
+    return sum(at > known_at for at in crash.arrived)
 
 
-def _find_worst(groups: Iterable[collections.Counter], fates: tuple[Fate, ...]) -> float:
-    """Return the mean share of some fates among the tenth of the groups where it is lowest."""
-    counted = [counts for counts in groups if counts.total() >= FEWEST_REQUESTS]
+def _find_worst_share(groups: Iterable[collections.Counter], fates: tuple[Fate, ...]) -> float:
+    """Return the mean share of `fates` in the tenth of the groups where that share is lowest."""
+    counted = [counts for counts in groups if counts.total() >= MIN_CUSTOMER_REQUESTS]
     shares = sorted(sum(counts[fate] for fate in fates) / counts.total() for counts in counted)
     worst = shares[: math.ceil(WORST_SHARE * len(shares))]
     return _round(sum(worst) / len(worst)) if worst else 1.0
@@ -220,8 +222,8 @@
 
 
 def _find_shares(counts: collections.Counter) -> dict[str, float]:
-    whole = max(1, sum(counts.values()))
-    return {str(fate): _round(counts[fate] / whole) for fate in Fate}
+    total = max(1, sum(counts.values()))
+    return {str(fate): _round(counts[fate] / total) for fate in Fate}
 
 
 def _round(value: float) -> float:
