--- a/packages/bendwind-cli/src/bendwind_cli/client.py
+++ b/packages/bendwind-cli/src/bendwind_cli/client.py
@@ -1,4 +1,4 @@
-"""Ask servers over HTTP, going on to the next one where that is safe."""
+"""Send requests to servers over HTTP, and try the next server when that is safe."""
 
 import ssl
 import time
@@ -14,14 +14,15 @@
 from bendwind_cli.replies import ErrorReply
 
 _Reply = TypeVar("_Reply")
-_PAUSE_S = 0.2
+_RETRY_INTERVAL_S = 0.2
 _CONNECT_TIMEOUT_S = 2.0
-# A voter answers within milliseconds, a plan of a large intent takes it some hundred. One that is
-# silent for this long is left for the next; each round after the first is twice as patient.
-_PATIENCE_S = 1.0
-# Every request is safe to resend (docs/OPERATORS_API.md), so these lead on to another server.
-_TRY_ANOTHER = frozenset({"not-leader", "not-a-voter", "no-quorum", "outcome-unknown"})
-_CODES = {
+# A voter answers within milliseconds, and within some hundred milliseconds for the plan of a large
+# intent. After this timeout the next server is tried; the timeout doubles with each further round.
+_ATTEMPT_TIMEOUT_S = 1.0
+# After these errors another server is tried, since every request is safe to resend
+# (docs/OPERATORS_API.md).
+_NEXT_SERVER_ERRORS = frozenset({"not-leader", "not-a-voter", "no-quorum", "outcome-unknown"})
+_EXIT_CODES = {
     "bad-intent": ExitCode.BAD_TOML,
     "bad-request": ExitCode.USAGE,
     "refused": ExitCode.NO_CREDENTIALS,
@@ -35,26 +36,26 @@
 }
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """Hold one HTTP answer."""
+class HttpAnswer(msgspec.Struct, frozen=True):
+    """Hold the status and body of one HTTP response."""
 
     status: int
     body: bytes
 
 
-class Round(msgspec.Struct, frozen=True):
-    """Hold what asking every server once came to.
+class RoundResult(msgspec.Struct, frozen=True):
+    """Hold the result of trying every server once.
 
-    `is_worth_another` says that one answered without deciding, or was only slow.
+    `should_retry` is true if a server answered without a decision or was only slow.
     """
 
-    answer: Answer | None
+    answer: HttpAnswer | None
     failure: Failure
-    is_worth_another: bool
+    should_retry: bool
 
 
 class Client(msgspec.Struct):
-    """Hold the connections and the addresses to ask, the likeliest first."""
+    """Hold the connections and the server addresses, most promising first."""
 
     settings: ClientSettings
     pool: httpcore.ConnectionPool
@@ -62,88 +63,96 @@
     token: str
     addresses: list[str] = msgspec.field(default_factory=list)
 
-    def ask(
+    def request_control(
         self, method: str, path: str, kind: type[_Reply], body: bytes = b"", key: str = ""
     ) -> Result[_Reply, Failure]:
-        """Ask control until a voter decides, for as long as the settings allow.
+        """Send a request to control until a voter decides, within the timeout of the settings.
 
         Errors: no server answered, or a server refused the request.
         """
-        return self._ask_until(method, path, body, key).bind(lambda got: _decode(got, kind))
+        return self._request_until_decided(method, path, body, key).bind(
+            lambda answer: _decode(answer, kind)
+        )
 
-    def ask_text(self, method: str, path: str) -> Result[str, Failure]:
-        """Ask as `ask` does for an answer that is plain text.
+    def request_text(self, method: str, path: str) -> Result[str, Failure]:
+        """Send a request as `request_control` does, and return the plain text of the response.
 
         Errors: no server answered, or a server refused the request.
         """
-        return self._ask_until(method, path, b"", "").bind(_read_text)
+        return self._request_until_decided(method, path, b"", "").bind(_read_text)
 
-    def _ask_until(self, method: str, path: str, body: bytes, key: str) -> Result[Answer, Failure]:
+    def _request_until_decided(
+        self, method: str, path: str, body: bytes, key: str
+    ) -> Result[HttpAnswer, Failure]:
         deadline = time.monotonic() + self.settings.timeout_s
-        patience = _PATIENCE_S
+        attempt_timeout = _ATTEMPT_TIMEOUT_S
         while True:
-            asked = self._ask_round(method, path, body, key, patience)
-            if asked.answer is not None:
-                return Ok(asked.answer)
-            if not asked.is_worth_another or time.monotonic() > deadline:
-                return Error(asked.failure)
-            patience *= 2
-            time.sleep(_PAUSE_S)
-
-    def ask_one(
+            round_result = self._try_servers(method, path, body, key, attempt_timeout)
+            if round_result.answer is not None:
+                return Ok(round_result.answer)
+            if not round_result.should_retry or time.monotonic() > deadline:
+                return Error(round_result.failure)
+            attempt_timeout *= 2
+            time.sleep(_RETRY_INTERVAL_S)
+
+    def request_from(
         self, address: str, method: str, path: str, kind: type[_Reply]
     ) -> Result[_Reply, Failure]:
-        """Ask one process and no other.
+        """Send a request to one process only.
 
         Errors: it did not answer, or it refused the request.
         """
         sent = self._send(address, method, path, b"", "", self.settings.timeout_s)
-        return sent.bind(lambda got: _decode(got, kind))
+        return sent.bind(lambda answer: _decode(answer, kind))
 
     def close(self) -> None:
         """Close the connections."""
         self.pool.close()
 
-    def _ask_round(self, method: str, path: str, body: bytes, key: str, patience: float) -> Round:
+    def _try_servers(
+        self, method: str, path: str, body: bytes, key: str, attempt_timeout: float
+    ) -> RoundResult:
         failures: list[Failure] = []
-        is_worth_another = False
+        should_retry = False
         queue = list(self.addresses)
-        tried: set[str] = set()
+        tried_addresses: set[str] = set()
         while queue:
             address = queue.pop(0)
-            if address in tried:
+            if address in tried_addresses:
                 continue
-            tried.add(address)
-            # The last one left is given all the time there is.
-            timeout = min(patience, self.settings.timeout_s) if queue else self.settings.timeout_s
+            tried_addresses.add(address)
+            # The last remaining server gets the whole timeout of the settings.
+            timeout = (
+                min(attempt_timeout, self.settings.timeout_s) if queue else self.settings.timeout_s
+            )
             match self._send(address, method, path, body, key, timeout):
                 case Result(tag="error", error=failure):
                     failures.append(failure)
                     if failure.is_slow:
-                        is_worth_another = True
-                        self._put_last(address)
+                        should_retry = True
+                        self._move_last(address)
                 case Result(ok=answer):
-                    is_worth_another = True
+                    should_retry = True
                     error = _read_error(answer)
-                    if error is None or error.error not in _TRY_ANOTHER:
-                        self._prefer(address)
-                        return Round(answer, Failure(ExitCode.DONE, ""), True)
-                    failures.append(_explain(error))
+                    if error is None or error.error not in _NEXT_SERVER_ERRORS:
+                        self._move_first(address)
+                        return RoundResult(answer, Failure(ExitCode.DONE, ""), True)
+                    failures.append(_describe_error(error))
                     if error.leader_url:
                         queue.insert(0, error.leader_url.partition("//")[2])
-        return Round(None, _worst(failures), is_worth_another)
+        return RoundResult(None, _choose_failure(failures), should_retry)
 
-    def _prefer(self, address: str) -> None:
+    def _move_first(self, address: str) -> None:
         rest = [other for other in self.addresses if other != address]
         self.addresses = [address, *rest]
 
-    def _put_last(self, address: str) -> None:
+    def _move_last(self, address: str) -> None:
         if address in self.addresses:
             self.addresses = [other for other in self.addresses if other != address] + [address]
 
     def _send(
         self, address: str, method: str, path: str, body: bytes, key: str, timeout: float
-    ) -> Result[Answer, Failure]:
+    ) -> Result[HttpAnswer, Failure]:
         headers = [("Host", address), ("Content-Length", str(len(body)))]
         if self.token:
             headers.append(("Authorization", f"Bearer {self.token}"))
@@ -161,12 +170,14 @@
                 method, url, headers=headers, content=body, extensions={"timeout": timeouts}
             )
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
-            return Error(_explain_fault(address, error, is_secure=self.scheme == "https"))
-        return Ok(Answer(response.status, response.content))
+            return Error(
+                _describe_transport_error(address, error, is_secure=self.scheme == "https")
+            )
+        return Ok(HttpAnswer(response.status, response.content))
 
 
 def open_client(settings: ClientSettings) -> Result[Client, Failure]:
-    """Open a client with the settings' credentials.
+    """Create a client with the credentials of the settings.
 
     Errors: a token or key file that cannot be used.
     """
@@ -181,24 +192,24 @@
     return Ok(Client(settings, pool, scheme, token[0] if token else "", list(settings.control)))
 
 
-def _explain_fault(address: str, error: Exception, *, is_secure: bool) -> Failure:
-    # httpcore raises its own exceptions from those of the ssl module.
+def _describe_transport_error(address: str, error: Exception, *, is_secure: bool) -> Failure:
+    # httpcore wraps exceptions of the ssl module in its own.
     cause: BaseException | None = error
     while cause is not None:
         if isinstance(cause, ssl.SSLError):
             line = f"{address} and this client refused each other's keys: {cause.reason or cause}"
             return Failure(ExitCode.NO_CREDENTIALS, line)
         cause = cause.__cause__ or cause.__context__
-    # In TLS 1.3 a server judges the client's key after the client's end of the handshake is done.
+    # In TLS 1.3 a server verifies the client's key after the client has completed the handshake.
     if is_secure and isinstance(error, httpcore.RemoteProtocolError | httpcore.ReadError):
-        line = f"{address} closed the connection, as it does on keys that it refuses"
-        return Failure(ExitCode.NO_CREDENTIALS, f"{line}; its log says why")
+        line = f"{address} closed the connection, as it does when it refuses the client's keys"
+        return Failure(ExitCode.NO_CREDENTIALS, f"{line}; its log gives the reason")
     reason = str(error) or type(error).__name__
     is_slow = isinstance(error, httpcore.ReadTimeout)
     return Failure(ExitCode.NO_ANSWER, f"{address} did not answer: {reason}", is_slow)
 
 
-def _read_error(answer: Answer) -> ErrorReply | None:
+def _read_error(answer: HttpAnswer) -> ErrorReply | None:
     if answer.status < 400:
         return None
     try:
@@ -207,26 +218,26 @@
         return ErrorReply(f"status {answer.status}")
 
 
-def _read_text(answer: Answer) -> Result[str, Failure]:
+def _read_text(answer: HttpAnswer) -> Result[str, Failure]:
     error = _read_error(answer)
     if error is not None:
-        return Error(_explain(error))
+        return Error(_describe_error(error))
     return Ok(answer.body.decode(errors="replace"))
 
 
-def _decode(answer: Answer, kind: type[_Reply]) -> Result[_Reply, Failure]:
-    # A lost race and an expired plan come as errors in HTTP and as outcomes in the body.
+def _decode(answer: HttpAnswer, kind: type[_Reply]) -> Result[_Reply, Failure]:
+    # A lost race and an expired plan have an HTTP error status but an outcome as their body.
     try:
         return Ok(msgspec.json.decode(answer.body, type=kind))
     except msgspec.DecodeError as fault:
         error = _read_error(answer)
         if error is None:
-            return Error(Failure(ExitCode.REFUSED, f"answer not understood: {fault}"))
-        return Error(_explain(error))
+            return Error(Failure(ExitCode.REFUSED, f"cannot decode the response: {fault}"))
+        return Error(_describe_error(error))
 
 
-def _explain(error: ErrorReply) -> Failure:
-    code = _CODES.get(error.error, ExitCode.REFUSED)
+def _describe_error(error: ErrorReply) -> Failure:
+    code = _EXIT_CODES.get(error.error, ExitCode.REFUSED)
     match error.error:
         case "bad-intent":
             place = f"{error.file}: {error.key}" if error.key else error.file
@@ -246,9 +257,9 @@
     return Failure(code, line)
 
 
-def _worst(failures: list[Failure]) -> Failure:
+def _choose_failure(failures: list[Failure]) -> Failure:
     for code in (ExitCode.OUTCOME_UNKNOWN, ExitCode.NO_CREDENTIALS):
-        telling = [found for found in failures if found.code is code]
-        if telling:
-            return telling[0]
+        matching = [found for found in failures if found.code is code]
+        if matching:
+            return matching[0]
     return Failure(ExitCode.NO_ANSWER, "; ".join(dict.fromkeys(found.line for found in failures)))
--- a/packages/bendwind-cli/src/bendwind_cli/client_settings.py
+++ b/packages/bendwind-cli/src/bendwind_cli/client_settings.py
@@ -1,4 +1,4 @@
-"""Find out which servers to ask and with which credentials."""
+"""Determine which servers to contact and with which credentials."""
 
 import os
 import re
@@ -20,7 +20,7 @@
 
 
 class ClientTls(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Name the authority of the servers and, if any, the operator's own certificate."""
+    """Hold the files of the servers' authority and, optionally, of the operator's certificate."""
 
     authority: str
     certificate: str | None = None
@@ -28,7 +28,7 @@
 
 
 class ClientSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Hold the client's settings; `instances` maps names to operators' addresses."""
+    """Hold the client's settings; `instances` maps instance names to operators' addresses."""
 
     control: tuple[_Address, ...] = ()
     instances: dict[str, _Address] = {}
@@ -38,9 +38,12 @@
 
 
 def find_settings(target: Target) -> Result[ClientSettings, Failure]:
-    """Combine the settings file, the command line and the environment, in rising rank.
+    """Combine the settings file, the environment and the command line.
 
-    Errors: a bad file, a bad address, or no server named at all.
+    The addresses of the command line override those of the settings file; those of the environment
+    are used only if neither names any.
+
+    Errors: an invalid file, an invalid address, or no server address at all.
     """
     file = target.settings or os.environ.get(SETTINGS_VARIABLE, "")
     base = _read_file(file) if file else Ok(ClientSettings())
@@ -48,9 +51,9 @@
 
 
 def make_ssl_context(settings: ClientSettings) -> ssl.SSLContext | None:
-    """Make the TLS context of the settings, or None for plain HTTP.
+    """Create the TLS context of the settings, or return None for plain HTTP.
 
-    Errors: OSError for a file that cannot be read, ssl.SSLError for one that is no key.
+    Errors: OSError for an unreadable file, ssl.SSLError for one that holds no key.
     """
     if settings.tls is None:
         return None
--- a/packages/bendwind-cli/src/bendwind_cli/commands.py
+++ b/packages/bendwind-cli/src/bendwind_cli/commands.py
@@ -1,17 +1,17 @@
-"""Define what an operator can ask for, one data class a command."""
+"""Define the operators' commands, one data class for each."""
 
 import msgspec
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Say which servers to ask: a list of addresses, a client settings file, or neither."""
+    """Hold the servers to contact: a list of addresses, a client settings file, or neither."""
 
     control: str = ""
     settings: str = ""
 
 
 class MakePlan(msgspec.Struct, frozen=True):
-    """Have an intent turned into a plan."""
+    """Create a plan from an intent."""
 
     target: Target
     file: str
@@ -34,7 +34,7 @@
 
 
 class PutRevision(msgspec.Struct, frozen=True):
-    """Put a whole configuration in force under its own number."""
+    """Put a whole configuration into force under its own revision number."""
 
     target: Target
     file: str
@@ -47,14 +47,14 @@
 
 
 class ShowStatus(msgspec.Struct, frozen=True):
-    """Show the processes and which of them lack the newest configuration."""
+    """Show the processes and which of them do not have the newest configuration yet."""
 
     target: Target
     json: bool
 
 
 class Drain(msgspec.Struct, frozen=True):
-    """Mark an instance or upstream as leaving, or take the mark away."""
+    """Mark an instance or upstream as draining, or remove the mark."""
 
     target: Target
     name: str
@@ -63,7 +63,7 @@
 
 
 class Evacuate(msgspec.Struct, frozen=True):
-    """Have a data centre's upstreams get nothing new, or take it back."""
+    """Stop sending new requests to a data centre's upstreams, or readmit the data centre."""
 
     target: Target
     data_centre: str
@@ -71,19 +71,19 @@
 
 
 class ShowCustomers(msgspec.Struct, frozen=True):
-    """Show the customers and what they are due."""
+    """Show the customers with their keys, ranks and rate limits."""
 
     target: Target
 
 
 class ShowSuspects(msgspec.Struct, frozen=True):
-    """Show the requests that upstreams ended under."""
+    """Show the requests during which upstreams ended."""
 
     target: Target
 
 
 class ShowQuotas(msgspec.Struct, frozen=True):
-    """Show what a voter holds of customers' quotas."""
+    """Show the state of customers' quotas at a voter."""
 
     target: Target
 
@@ -96,14 +96,14 @@
 
 
 class Stop(msgspec.Struct, frozen=True):
-    """Stop one process once its calls are answered."""
+    """Stop one process after its calls are answered."""
 
     target: Target
     name: str
 
 
 class AcceptClaimLoss(msgspec.Struct, frozen=True):
-    """Let a service whose claims are lost take requests with keys again."""
+    """Let a service whose claims are lost accept requests with keys again."""
 
     target: Target
     service: str
@@ -122,7 +122,7 @@
 
 
 class ExplainRequest(msgspec.Struct, frozen=True):
-    """Explain one request from logs; without names of files from standard input."""
+    """Explain one request from log files, or from standard input if no file is named."""
 
     request: str
     logs: tuple[str, ...]
@@ -133,14 +133,14 @@
 
 
 class MakeAuthority(msgspec.Struct, frozen=True):
-    """Make the key and certificate that sign all others of a deployment."""
+    """Create the key and certificate that sign all others of a deployment."""
 
     folder: str
     days: str
 
 
 class MakeInstanceKey(msgspec.Struct, frozen=True):
-    """Make an instance's key and certificate."""
+    """Create an instance's key and certificate."""
 
     name: str
     hosts: str
@@ -149,7 +149,7 @@
 
 
 class MakeOperatorKey(msgspec.Struct, frozen=True):
-    """Make an operator's key and client certificate."""
+    """Create an operator's key and client certificate."""
 
     name: str
     folder: str
--- a/packages/bendwind-cli/src/bendwind_cli/customers.py
+++ b/packages/bendwind-cli/src/bendwind_cli/customers.py
@@ -1,4 +1,4 @@
-"""Show the customers and what they are due."""
+"""Show the customers with their keys, ranks and rate limits."""
 
 from expression import Result
 
@@ -12,7 +12,7 @@
 
     Errors: no answer.
     """
-    return client.ask("GET", "/v1/customers", CustomersReply).map(_render)
+    return client.request_control("GET", "/v1/customers", CustomersReply).map(_render)
 
 
 def _render(reply: CustomersReply) -> str:
--- a/packages/bendwind-cli/src/bendwind_cli/evacuation.py
+++ b/packages/bendwind-cli/src/bendwind_cli/evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuate data centres and take them back."""
+"""Evacuate and readmit data centres."""
 
 from collections.abc import Iterator
 from urllib.parse import quote
@@ -12,13 +12,13 @@
 
 
 def mark(client: Client, command: Evacuate) -> Result[str, Failure]:
-    """Have a data centre's upstreams get nothing new, or take it back.
+    """Stop sending new requests to a data centre's upstreams, or readmit the data centre.
 
     Errors: an unknown data centre, or no answer.
     """
     method = "POST" if command.evacuated else "DELETE"
     path = f"/v1/data-centres/{quote(command.data_centre, safe='')}/evacuation"
-    return client.ask(method, path, EvacuationReply).map(_render)
+    return client.request_control(method, path, EvacuationReply).map(_render)
 
 
 def _render(reply: EvacuationReply) -> str:
--- a/packages/bendwind-cli/src/bendwind_cli/explain.py
+++ b/packages/bendwind-cli/src/bendwind_cli/explain.py
@@ -21,9 +21,9 @@
 
 
 def explain(command: ExplainRequest) -> Result[str, Failure]:
-    """Return what became of a request and why.
+    """Return the outcome of a request and its cause.
 
-    Errors: which log cannot be read, or that no line tells of the request.
+    Errors: a log that cannot be read, or no log line about the request.
     """
     missing = [name for name in command.logs if not _is_readable(name)]
     if missing:
--- a/packages/bendwind-cli/src/bendwind_cli/instances.py
+++ b/packages/bendwind-cli/src/bendwind_cli/instances.py
@@ -15,20 +15,20 @@
 
 
 def status(client: Client, command: ShowStatus) -> Result[str, Failure]:
-    """Show what control knows of every process.
+    """Show the state of every process that control knows.
 
     Errors: no answer.
     """
-    found = ask_status(client)
+    found = fetch_status(client)
     if command.json:
         return found.map(lambda reply: msgspec.json.encode(reply).decode())
     return found.map(_render_status)
 
 
 def drain(client: Client, command: Drain) -> Result[str, Failure]:
-    """Set or take away the drain mark of an instance or upstream.
+    """Set or remove the drain mark of an instance or upstream.
 
-    Errors: a name that is neither or both, or no answer.
+    Errors: a name that belongs to neither or to both, or no answer.
     """
     if command.kind and command.kind not in _KINDS:
         line = f"kind: expected instance or upstream, got {command.kind!r}"
@@ -36,31 +36,33 @@
     kind = Ok(command.kind) if command.kind else _find_kind(client, command.name)
     method = "POST" if command.draining else "DELETE"
     name = quote(command.name, safe="")
-    marked = kind.bind(lambda found: client.ask(method, f"/v1/{found}s/{name}/drain", DrainReply))
+    marked = kind.bind(
+        lambda found: client.request_control(method, f"/v1/{found}s/{name}/drain", DrainReply)
+    )
     return marked.map(_render_drain)
 
 
 def stop(client: Client, name: str) -> Result[str, Failure]:
-    """Tell one process to answer what it holds and stop.
+    """Order one process to stop after its pending requests are answered.
 
-    Errors: an address that is not known, or no answer.
+    Errors: an unknown address, or no answer.
     """
     address = _find_address(client, name)
     if address is None:
         line = f"{name}: address not known; add it to [instances] of the client settings"
         return Error(Failure(ExitCode.USAGE, line))
-    reply = client.ask_one(address, "POST", "/v1/stop", StopReply)
+    reply = client.request_from(address, "POST", "/v1/stop", StopReply)
     return reply.bind(lambda found: _check_stopped(found, name))
 
 
-def ask_status(client: Client) -> Result[StatusReply, Failure]:
-    """Ask the leader for the status, or a voter that answers where there is no leader.
+def fetch_status(client: Client) -> Result[StatusReply, Failure]:
+    """Fetch the status from the leader, or from any voter that answers if there is no leader.
 
     Errors: no answer.
     """
     last: Result[StatusReply, Failure] | None = None
     for address in client.addresses:
-        reply = client.ask_one(address, "GET", "/v1/status", StatusReply)
+        reply = client.request_from(address, "GET", "/v1/status", StatusReply)
         if reply.is_ok() and reply.ok.leader == reply.ok.instance:
             return reply
         if last is None or last.is_error():
@@ -70,10 +72,10 @@
 
 
 def find_addresses(client: Client) -> dict[str, str]:
-    """Map the name of each process to its operators' address, as far as they are known."""
+    """Return a map from the name of each process to its operators' address, where known."""
     found: dict[str, str] = {}
     for address in client.addresses:
-        reply = client.ask_one(address, "GET", "/v1/status", StatusReply)
+        reply = client.request_from(address, "GET", "/v1/status", StatusReply)
         if reply.is_error():
             continue
         found[reply.ok.instance] = address
@@ -93,10 +95,10 @@
 
 
 def _find_kind(client: Client, name: str) -> Result[str, Failure]:
-    return ask_status(client).bind(lambda reply: _judge_kind(reply, name))
+    return fetch_status(client).bind(lambda reply: _resolve_kind(reply, name))
 
 
-def _judge_kind(reply: StatusReply, name: str) -> Result[str, Failure]:
+def _resolve_kind(reply: StatusReply, name: str) -> Result[str, Failure]:
     upstreams = {found.name for found in reply.upstreams} | set(reply.draining.upstreams)
     instances = {found.name for found in reply.nodes} | set(reply.draining.instances)
     instances |= {found.name for found in reply.voters}
--- a/packages/bendwind-cli/src/bendwind_cli/keys/__init__.py
+++ b/packages/bendwind-cli/src/bendwind_cli/keys/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the making of a deployment's keys and certificates."""
+"""Provide the creation of a deployment's keys and certificates."""
 
 from bendwind_cli.keys.make import make_keys
 
--- a/packages/bendwind-cli/src/bendwind_cli/keys/certificate.py
+++ b/packages/bendwind-cli/src/bendwind_cli/keys/certificate.py
@@ -1,4 +1,4 @@
-"""Build certificates: an authority, instances that it signs, operators that it signs."""
+"""Create certificates: an authority, and the instances and operators that it signs."""
 
 import datetime
 import ipaddress
@@ -9,7 +9,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-# Tolerates instances whose clocks are behind that of the machine which makes the keys.
+# Tolerates instances whose clocks are behind that of the machine that creates the keys.
 _CLOCK_SKEW = datetime.timedelta(minutes=5)
 
 
@@ -20,11 +20,11 @@
     certificate: x509.Certificate
 
     def certificate_pem(self) -> bytes:
-        """Write the certificate as PEM."""
+        """Return the certificate as PEM."""
         return self.certificate.public_bytes(serialization.Encoding.PEM)
 
     def key_pem(self) -> bytes:
-        """Write the private key as PEM, not encrypted."""
+        """Return the private key as unencrypted PEM."""
         return self.key.private_bytes(
             serialization.Encoding.PEM,
             serialization.PrivateFormat.PKCS8,
@@ -33,38 +33,38 @@
 
 
 def make_authority(days: int) -> KeyPair:
-    """Make a self-signed authority."""
+    """Create a self-signed authority."""
     key = ec.generate_private_key(ec.SECP256R1())
-    # A serial number in the name tells two authorities apart in a chain.
+    # The serial number in the name distinguishes two authorities in a chain.
     serial = x509.random_serial_number()
     name = _make_name(f"bendwind authority {serial:x}"[:40])
-    builder = _start(name, name, key, days)
+    builder = _create_builder(name, name, key, days)
     builder = builder.add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
     builder = builder.add_extension(_make_usage(is_authority=True), critical=True)
     return KeyPair(key, builder.sign(key, hashes.SHA256()))
 
 
 def make_instance(authority: KeyPair, name: str, hosts: tuple[str, ...], days: int) -> KeyPair:
-    """Make an instance's key; the certificate names the instance and its addresses."""
+    """Create an instance's key; the certificate names the instance and its addresses."""
     alternatives = [
         x509.UniformResourceIdentifier(f"bendwind://instance/{name}"),
         x509.DNSName(name),
         *(_make_host(host) for host in hosts),
     ]
     usages = [ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH]
-    return _make_leaf(authority, name, alternatives, usages, days)
+    return _make_signed_pair(authority, name, alternatives, usages, days)
 
 
 def make_operator(authority: KeyPair, name: str, days: int) -> KeyPair:
-    """Make an operator's key; the certificate is good for a client only."""
+    """Create an operator's key; the certificate is valid for a client only."""
     alternatives = [x509.UniformResourceIdentifier(f"bendwind://operator/{name}")]
-    return _make_leaf(authority, name, alternatives, [ExtendedKeyUsageOID.CLIENT_AUTH], days)
+    return _make_signed_pair(authority, name, alternatives, [ExtendedKeyUsageOID.CLIENT_AUTH], days)
 
 
 def read_pair(certificate: bytes, key: bytes) -> KeyPair:
     """Read a key and its certificate from PEM.
 
-    Errors: ValueError or TypeError for data that is neither.
+    Errors: ValueError or TypeError for data that is not a key and a certificate.
     """
     private = serialization.load_pem_private_key(key, password=None)
     if not isinstance(private, ec.EllipticCurvePrivateKey):
@@ -72,7 +72,7 @@
     return KeyPair(private, x509.load_pem_x509_certificate(certificate))
 
 
-def _make_leaf(
+def _make_signed_pair(
     authority: KeyPair,
     name: str,
     alternatives: list[x509.GeneralName],
@@ -80,7 +80,7 @@
     days: int,
 ) -> KeyPair:
     key = ec.generate_private_key(ec.SECP256R1())
-    builder = _start(_make_name(name), authority.certificate.subject, key, days)
+    builder = _create_builder(_make_name(name), authority.certificate.subject, key, days)
     extensions = [
         (x509.BasicConstraints(ca=False, path_length=None), True),
         (_make_usage(is_authority=False), True),
@@ -96,7 +96,7 @@
     return KeyPair(key, builder.sign(authority.key, hashes.SHA256()))
 
 
-def _start(
+def _create_builder(
     subject: x509.Name, issuer: x509.Name, key: ec.EllipticCurvePrivateKey, days: int
 ) -> x509.CertificateBuilder:
     now = datetime.datetime.now(datetime.UTC)
--- a/packages/bendwind-cli/src/bendwind_cli/keys/make.py
+++ b/packages/bendwind-cli/src/bendwind_cli/keys/make.py
@@ -25,9 +25,9 @@
 
 
 def make_keys(command: KeyCommand) -> Result[str, Failure]:
-    """Make the keys that a command asks for.
+    """Create the keys that a command requests.
 
-    Errors: a bad name or number, no authority, or a folder that cannot be written.
+    Errors: an invalid name or number, no authority, or a folder that cannot be written.
     """
     fault = _find_fault(command)
     if fault is not None:
@@ -65,7 +65,7 @@
 
 def _write_authority(folder: Path, days: int) -> Result[str, Failure]:
     if (folder / f"{AUTHORITY}.key").exists():
-        # A new authority makes every key of the deployment worthless.
+        # A new authority would invalidate every key of the deployment.
         line = f"{folder / AUTHORITY}.key: exists; move it away first to start anew"
         return Error(Failure(ExitCode.REFUSED, line))
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -84,7 +84,8 @@
 
 
 def _write(folder: Path, name: str, pair: KeyPair) -> str:
-    # A process that reloads between the two files finds that they do not match and keeps its own.
+    # A process that reloads between the two writes detects that the files do not match and keeps
+    # its current keys.
     _replace(folder / f"{name}.key", pair.key_pem(), _PRIVATE_MODE)
     _replace(folder / f"{name}.pem", pair.certificate_pem(), _PUBLIC_MODE)
     expiry = pair.certificate.not_valid_after_utc
--- a/packages/bendwind-cli/src/bendwind_cli/main.py
+++ b/packages/bendwind-cli/src/bendwind_cli/main.py
@@ -11,18 +11,19 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name and exit with its code."""
+    """Run the command given by the arguments and exit with its exit code."""
     sys.exit(run_arguments(sys.argv[1:]))
 
 
 def run_arguments(arguments: list[str]) -> int:
-    """Parse and run a command, print its text or one line of error, and return the exit code."""
+    """Parse and run a command, print its text or a one-line error, and return the exit code."""
     try:
         return _run(arguments)
     except KeyboardInterrupt:
         return _fail(Failure(ExitCode.REFUSED, "interrupted"))
     except BrokenPipeError:
-        # The reader of our output, such as `head`, has gone; keep the exit from flushing to it.
+        # The reader of the output, such as `head`, has closed the pipe; this prevents the exit from
+        # flushing to it.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return ExitCode.DONE
 
--- a/packages/bendwind-cli/src/bendwind_cli/outcome.py
+++ b/packages/bendwind-cli/src/bendwind_cli/outcome.py
@@ -1,4 +1,4 @@
-"""Define how a command can fail and the exit code of each failure."""
+"""Define the failures of commands and the exit code of each failure."""
 
 import enum
 
@@ -20,7 +20,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Say in one line why a command failed; `is_slow` if a server took too long to answer."""
+    """Hold the cause of a failure in one line; `is_slow` if a server took too long to answer."""
 
     code: ExitCode
     line: str
--- a/packages/bendwind-cli/src/bendwind_cli/parsing.py
+++ b/packages/bendwind-cli/src/bendwind_cli/parsing.py
@@ -1,4 +1,4 @@
-"""Parse the command line with fire, without running anything."""
+"""Parse the command line with fire, without running a command."""
 
 import contextlib
 import io
@@ -32,23 +32,23 @@
     Target,
 )
 
-# fire keeps parse functions in an attribute of this name; the underscore keeps it out of help.
+# fire stores parse functions in an attribute of this name; the underscore hides it from the help.
 fire.decorators.FIRE_METADATA = "_fire_metadata"
-# fire would read `007` as 7 and `a,b` as a tuple; every argument here is text.
+# Without this, fire would parse `007` as 7 and `a,b` as a tuple; every argument here is text.
 _as_text = fire.decorators.SetParseFn(str)
-_YES = frozenset({"True", "true", "yes", "1"})
+_TRUE_VALUES = frozenset({"True", "true", "yes", "1"})
 
 
 class Help(str):
-    """Hold help text that was asked for."""
+    """Hold a requested help text."""
 
     __slots__ = ()
 
 
 def parse_arguments(arguments: list[str]) -> Result[Command | Help, str]:
-    """Turn command-line arguments into a command or the help asked for.
+    """Convert command-line arguments into a command or the requested help.
 
-    Errors: one line that says what is wrong with the arguments.
+    Errors: one line that describes the fault in the arguments.
     """
     captured = io.StringIO()
     try:
@@ -73,11 +73,11 @@
 
 
 class _Keys:
-    """Make the keys of a deployment."""
+    """Create the keys of a deployment."""
 
     @_as_text
     def authority(self, *, folder: str = "keys", days: str = "3650") -> MakeAuthority:
-        """Make the authority that signs every key of the deployment.
+        """Create the authority that signs every key of the deployment.
 
         Args:
             folder: Where to write authority.pem and authority.key.
@@ -89,11 +89,11 @@
     def instance(
         self, name: str, *, hosts: str = "127.0.0.1", folder: str = "keys", days: str = "365"
     ) -> MakeInstanceKey:
-        """Make an instance's key; write it again to renew it.
+        """Create an instance's key; run this again to renew it.
 
         Args:
             name: The instance's name, as in its settings.
-            hosts: IP numbers or host names it is reached at, separated by commas.
+            hosts: IP addresses or host names of the instance, separated by commas.
             folder: Holds the authority; NAME.pem and NAME.key are written there.
             days: How long the certificate is valid.
         """
@@ -101,7 +101,7 @@
 
     @_as_text
     def operator(self, name: str, *, folder: str = "keys", days: str = "90") -> MakeOperatorKey:
-        """Make an operator's client certificate.
+        """Create an operator's client certificate.
 
         Args:
             name: The operator's name, as it appears in logged events.
@@ -112,7 +112,7 @@
 
 
 class _Bendwind:
-    """Operate Bendwind: state an intent, read the plan, confirm it, watch what happens.
+    """Operate Bendwind: state an intent, read the plan, confirm it, observe the result.
 
     Servers are named by --control=HOST:PORT[,HOST:PORT], by a client settings file
     (--settings=FILE or BENDWIND_SETTINGS), or by BENDWIND_CONTROL.
@@ -144,7 +144,7 @@
 
     @_as_text
     def confirm(self, plan: str, *, control: str = "", settings: str = "") -> ConfirmPlan:
-        """Put a plan into force; asking again gives the same outcome.
+        """Put a plan into force; repeating the command gives the same outcome.
 
         Args:
             plan: The plan's id, as `plan` printed it.
@@ -155,7 +155,7 @@
 
     @_as_text
     def show(self, plan: str, *, control: str = "", settings: str = "") -> ShowPlan:
-        """Show a plan and what became of it.
+        """Show a plan and its outcome.
 
         Args:
             plan: The plan's id.
@@ -166,7 +166,7 @@
 
     @_as_text
     def put(self, file: str, *, control: str = "", settings: str = "") -> PutRevision:
-        """Put a whole configuration in force; one not above the number held changes nothing.
+        """Put a whole configuration into force, if its revision is above the one in force.
 
         Args:
             file: The configuration with its revision, a TOML file (docs/REVISIONS.md).
@@ -177,7 +177,7 @@
 
     @_as_text
     def revision(self, *, control: str = "", settings: str = "") -> ShowRevision:
-        """Show the newest whole configuration as it was put.
+        """Show the newest whole configuration in its original form.
 
         Args:
             control: Addresses of control voters, HOST:PORT, separated by commas.
@@ -187,22 +187,22 @@
 
     @_as_text
     def status(self, *, json: str = "", control: str = "", settings: str = "") -> ShowStatus:
-        """Show the processes, the version in force and who does not have it yet.
+        """Show the processes, the version in force and which processes do not have it yet.
 
         Args:
             json: Print the server's JSON.
             control: Addresses of control voters, HOST:PORT, separated by commas.
             settings: Client settings file.
         """
-        return ShowStatus(Target(control, settings), json in _YES)
+        return ShowStatus(Target(control, settings), json in _TRUE_VALUES)
 
     @_as_text
     def drain(self, name: str, *, kind: str = "", control: str = "", settings: str = "") -> Drain:
-        """Send nothing new to an upstream, or to all upstreams of an instance.
+        """Send no new requests to an upstream, or to all upstreams of an instance.
 
         Args:
             name: The upstream or instance.
-            kind: Either upstream or instance, where the name alone does not tell.
+            kind: Either upstream or instance, if the name is ambiguous or unknown.
             control: Addresses of control voters, HOST:PORT, separated by commas.
             settings: Client settings file.
         """
@@ -210,11 +210,11 @@
 
     @_as_text
     def undrain(self, name: str, *, kind: str = "", control: str = "", settings: str = "") -> Drain:
-        """Take the mark of `drain` away.
+        """Remove the mark that `drain` sets.
 
         Args:
             name: The upstream or instance.
-            kind: Either upstream or instance, where the name alone does not tell.
+            kind: Either upstream or instance, if the name is ambiguous or unknown.
             control: Addresses of control voters, HOST:PORT, separated by commas.
             settings: Client settings file.
         """
@@ -222,7 +222,7 @@
 
     @_as_text
     def evacuate(self, data_centre: str, *, control: str = "", settings: str = "") -> Evacuate:
-        """Send nothing new to the upstreams of a data centre; what runs there is answered.
+        """Send no new requests to the upstreams of a data centre; running ones are answered.
 
         Args:
             data_centre: The data centre.
@@ -233,7 +233,7 @@
 
     @_as_text
     def readmit(self, data_centre: str, *, control: str = "", settings: str = "") -> Evacuate:
-        """Take an evacuated data centre back; its upstreams count as cold until they tell.
+        """Readmit an evacuated data centre; its upstreams count as cold until they report.
 
         Args:
             data_centre: The data centre.
@@ -244,7 +244,7 @@
 
     @_as_text
     def customers(self, *, control: str = "", settings: str = "") -> ShowCustomers:
-        """Show the customers with how many keys each has, its rank, rate and burst.
+        """Show each customer with its number of keys, rank, rate and burst.
 
         Args:
             control: Addresses of control voters, HOST:PORT, separated by commas.
@@ -254,7 +254,7 @@
 
     @_as_text
     def suspects(self, *, control: str = "", settings: str = "") -> ShowSuspects:
-        """Show the requests that upstreams ended under, by signature; the worst come first.
+        """Show the requests during which upstreams ended, by signature; the worst come first.
 
         Args:
             control: Addresses of control voters, HOST:PORT, separated by commas.
@@ -264,7 +264,7 @@
 
     @_as_text
     def quotas(self, *, control: str = "", settings: str = "") -> ShowQuotas:
-        """Show what a voter holds of customers' quotas; those most refused come first.
+        """Show the state of customers' quotas at a voter; those most refused come first.
 
         Args:
             control: Addresses of control voters, HOST:PORT, separated by commas.
@@ -277,7 +277,7 @@
         """Clear a request of suspicion, so that it runs again at once.
 
         Args:
-            signature: As `suspects` shows it.
+            signature: The signature, as `suspects` shows it.
             control: Addresses of control voters, HOST:PORT, separated by commas.
             settings: Client settings file.
         """
@@ -285,7 +285,7 @@
 
     @_as_text
     def stop(self, name: str, *, control: str = "", settings: str = "") -> Stop:
-        """Stop a process once the calls it holds are answered.
+        """Stop a process after its pending calls are answered.
 
         Args:
             name: The instance.
@@ -298,9 +298,9 @@
     def accept_claim_loss(
         self, service: str, *, control: str = "", settings: str = ""
     ) -> AcceptClaimLoss:
-        """Let a service whose claims are all lost take requests with keys again.
+        """Let a service whose claims are all lost accept requests with keys again.
 
-        What ran before is then no longer known: a resent request may run a second time.
+        Earlier runs are then no longer known: a resent request may run a second time.
 
         Args:
             service: The service.
@@ -322,28 +322,28 @@
         control: str = "",
         settings: str = "",
     ) -> ShowTimeline:
-        """Show the events of all processes in causal order; with --call, where its time went.
+        """Show the events of all processes in causal order; with --call, how its time was spent.
 
         Args:
             call: Only events of this call, as its Bendwind-Call header names it.
             plan: Only events of this plan.
             upstream: Only events of this upstream.
             event: Only events of this number or name.
-            limit: The newest events of each process.
+            limit: The number of newest events from each process.
             json: Print one JSON object a line.
             control: Addresses of processes, HOST:PORT, separated by commas.
             settings: Client settings file.
         """
         target = Target(control, settings)
-        return ShowTimeline(target, call, plan, upstream, event, limit, json in _YES)
+        return ShowTimeline(target, call, plan, upstream, event, limit, json in _TRUE_VALUES)
 
     @_as_text
     def explain(self, request: str, *logs: str) -> ExplainRequest:
-        """Explain a request from the logs of processes: what was decided, by what, and the cause.
+        """Explain a request from the logs of processes: the decisions, their basis and the cause.
 
         Args:
             request: The caller's id of its request.
-            logs: Files of log lines, of any processes in any order; without any, standard input.
+            logs: Log files, of any processes in any order; standard input if no file is named.
         """
         return ExplainRequest(request, logs)
 
--- a/packages/bendwind-cli/src/bendwind_cli/plans.py
+++ b/packages/bendwind-cli/src/bendwind_cli/plans.py
@@ -1,4 +1,4 @@
-"""Make, show and confirm plans, and accept lost claims."""
+"""Create, show and confirm plans, and accept the loss of claims."""
 
 import uuid
 from pathlib import Path
@@ -12,14 +12,14 @@
 from bendwind_cli.replies import ClaimGroupReply, OutcomeReply, PlanReply
 
 _MILLISECONDS_PER_SECOND = 1000
-# There may be thousands of customers, and the lines above name each that changes.
-_NAMES_SHOWN = 20
+# There may be thousands of customers, and the preceding lines already name each one that changes.
+_MAX_NAMES_SHOWN = 20
 
 
 def make_plan(client: Client, command: MakePlan) -> Result[str, Failure]:
-    """Have the intent in a file turned into a plan and show it.
+    """Create a plan from the intent in a file and show it.
 
-    Errors: a bad file or intent, or no answer.
+    Errors: an invalid file or intent, or no answer.
     """
     for name, value in (("base_version", command.base_version), ("expires_s", command.expires_s)):
         if value and not value.isdigit():
@@ -35,8 +35,10 @@
     if command.expires_s:
         query["expires_s"] = command.expires_s
     path = f"/v1/plans?{urlencode(query)}"
-    # The key makes a resend of this request find the plan it already made.
-    return client.ask("POST", path, PlanReply, intent, key=uuid.uuid4().hex).map(_render_plan)
+    # Because of this key, a resent request returns the plan that the first one created.
+    return client.request_control("POST", path, PlanReply, intent, key=uuid.uuid4().hex).map(
+        _render_plan
+    )
 
 
 def show(client: Client, plan: str) -> Result[str, Failure]:
@@ -44,16 +46,20 @@
 
     Errors: an unknown plan, or no answer.
     """
-    return client.ask("GET", f"/v1/plans/{quote(plan, safe='')}", PlanReply).map(_render_plan)
+    return client.request_control("GET", f"/v1/plans/{quote(plan, safe='')}", PlanReply).map(
+        _render_plan
+    )
 
 
 def confirm(client: Client, plan: str) -> Result[str, Failure]:
     """Put a plan into force.
 
-    Errors: an unknown, expired or overtaken plan, or no answer.
+    Errors: an unknown, expired or superseded plan, or no answer.
     """
     path = f"/v1/plans/{quote(plan, safe='')}/confirm"
-    return client.ask("POST", path, OutcomeReply).bind(lambda outcome: _judge(outcome, plan))
+    return client.request_control("POST", path, OutcomeReply).bind(
+        lambda outcome: _check_outcome(outcome, plan)
+    )
 
 
 def accept_loss(client: Client, command: AcceptClaimLoss) -> Result[str, Failure]:
@@ -62,17 +68,17 @@
     Errors: claims that are not lost, or no answer.
     """
     path = f"/v1/services/{quote(command.service, safe='')}/accept-claim-loss"
-    reply = client.ask("POST", path, ClaimGroupReply)
+    reply = client.request_control("POST", path, ClaimGroupReply)
     return reply.map(_render_group)
 
 
 def _render_group(group: ClaimGroupReply) -> str:
-    # A member is written NAME#INCARNATION.
+    # A member has the form NAME#INCARNATION.
     names = ", ".join(member.partition("#")[0] for member in group.members)
     return f"{group.service}: claims start anew on {names}"
 
 
-def _judge(outcome: OutcomeReply, plan: str) -> Result[str, Failure]:
+def _check_outcome(outcome: OutcomeReply, plan: str) -> Result[str, Failure]:
     match outcome.kind:
         case "confirmed":
             return Ok(f"{plan}: confirmed as version {outcome.version}")
@@ -113,6 +119,6 @@
         ("services", plan.affected.services),
         ("upstreams", plan.affected.upstreams),
         ("instances", plan.affected.instances),
-        ("customers", plan.affected.customers[:_NAMES_SHOWN]),
+        ("customers", plan.affected.customers[:_MAX_NAMES_SHOWN]),
     )
     return [f"affects {title}: {', '.join(names)}" for title, names in named if names]
--- a/packages/bendwind-cli/src/bendwind_cli/quotas.py
+++ b/packages/bendwind-cli/src/bendwind_cli/quotas.py
@@ -1,4 +1,4 @@
-"""Show what a control voter holds of customers' quotas."""
+"""Show the state of customers' quotas at a control voter."""
 
 from collections.abc import Iterator
 
@@ -10,11 +10,13 @@
 
 
 def show(client: Client) -> Result[str, Failure]:
-    """List the customers that the voter was asked for lately.
+    """List the customers whose quotas were requested from the voter recently.
 
     Errors: no answer.
     """
-    return client.ask("GET", "/v1/quotas", QuotasReply).map(lambda reply: "\n".join(_list(reply)))
+    return client.request_control("GET", "/v1/quotas", QuotasReply).map(
+        lambda reply: "\n".join(_list(reply))
+    )
 
 
 def _list(reply: QuotasReply) -> Iterator[str]:
--- a/packages/bendwind-cli/src/bendwind_cli/replies.py
+++ b/packages/bendwind-cli/src/bendwind_cli/replies.py
@@ -1,10 +1,10 @@
-"""Define the answers of the operators' HTTP API that the client reads."""
+"""Define the responses of the operators' HTTP API that the client decodes."""
 
 import msgspec
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """Hold an error as docs/OPERATORS_API.md lists them."""
+    """Hold an error; docs/OPERATORS_API.md lists the kinds."""
 
     error: str
     detail: str = ""
@@ -18,7 +18,7 @@
 
 
 class RevisionReply(msgspec.Struct, frozen=True):
-    """Say which revision holds, and whether the request put it there."""
+    """Hold the revision in force, and whether this request put it into force."""
 
     revision: int
     version: int
@@ -26,7 +26,7 @@
 
 
 class OutcomeReply(msgspec.Struct, frozen=True):
-    """Say what became of a plan."""
+    """Hold the outcome of a plan."""
 
     kind: str
     plan: str
@@ -34,7 +34,7 @@
 
 
 class Affected(msgspec.Struct, frozen=True):
-    """Name what a plan touches."""
+    """Hold the names of everything that a plan affects."""
 
     services: tuple[str, ...] = ()
     upstreams: tuple[str, ...] = ()
@@ -64,7 +64,7 @@
 
 
 class WarningReply(msgspec.Struct, frozen=True):
-    """Warn of what a change may break."""
+    """Hold a warning about what a change may break."""
 
     kind: str
     service: str
@@ -72,7 +72,7 @@
 
 
 class EvacuationReply(msgspec.Struct, frozen=True):
-    """Hold whether a data centre is evacuated, and what that leaves too little room for."""
+    """Hold whether a data centre is evacuated, and warnings of capacity that is then too low."""
 
     data_centre: str
     evacuated: bool
@@ -84,7 +84,7 @@
 class CustomerReply(msgspec.Struct, frozen=True):
     """Hold a customer; `keys` counts its keys.
 
-    Units: `rate_per_s` in requests a second, 0 without a limit; `burst` in requests.
+    Units: `rate_per_s` in requests per second, 0 without a limit; `burst` in requests.
     """
 
     name: str
@@ -95,7 +95,7 @@
 
 
 class CustomersReply(msgspec.Struct, frozen=True):
-    """Hold all customers; `are_keys_needed` is false where requests need no key."""
+    """Hold all customers; `are_keys_needed` is false if requests need no key."""
 
     version: int
     are_keys_needed: bool
@@ -103,9 +103,9 @@
 
 
 class SuspectReply(msgspec.Struct, frozen=True):
-    """Hold what is known against one request.
+    """Hold the recorded upstream ends of one suspected request.
 
-    Units: `last_ms` in milliseconds.
+    Units: `last_ms` is the age of the last end in milliseconds.
     """
 
     signature: str
@@ -117,15 +117,15 @@
 
 
 class SuspectsReply(msgspec.Struct, frozen=True):
-    """Hold all requests that something is known against."""
+    """Hold all suspected requests."""
 
     suspects: tuple[SuspectReply, ...]
 
 
 class QuotaReply(msgspec.Struct, frozen=True):
-    """Hold what a voter holds of one customer's quota.
+    """Hold the state of one customer's quota at a voter.
 
-    Units: tokens, one for each request; `rate_per_s` in tokens a second.
+    Units: tokens, one for each request; `rate_per_s` in tokens per second.
     """
 
     customer: str
@@ -138,7 +138,7 @@
 
 
 class QuotasReply(msgspec.Struct, frozen=True):
-    """Hold the quotas of a voter, those of whom most was refused first."""
+    """Hold the quotas of a voter; the customers with the most refusals come first."""
 
     voter: str
     granting: bool
@@ -152,7 +152,7 @@
 
 
 class ReleaseReply(msgspec.Struct, frozen=True):
-    """Name the request that is no longer suspected."""
+    """Hold the signature of the request that is no longer suspected."""
 
     released: str
 
@@ -167,7 +167,7 @@
 
 
 class NodeReply(msgspec.Struct, frozen=True):
-    """Describe a node; `operators` is its operators' address where the server knows it."""
+    """Describe a node; `operators` is its operators' address if the server knows it."""
 
     name: str
     data_centre: str = ""
@@ -188,14 +188,14 @@
 
 
 class DrainingReply(msgspec.Struct, frozen=True):
-    """Name what is marked as leaving."""
+    """Hold the names of instances and upstreams that are marked as draining."""
 
     instances: tuple[str, ...] = ()
     upstreams: tuple[str, ...] = ()
 
 
 class ReplacementReply(msgspec.Struct, frozen=True):
-    """Hold which voter is being replaced by which learner, and whom that waits for."""
+    """Hold the voter being replaced, the learner that joins, and the members being awaited."""
 
     leaving: tuple[str, ...] = ()
     joining: tuple[str, ...] = ()
@@ -204,7 +204,7 @@
 
 
 class NoticeReply(msgspec.Struct, frozen=True):
-    """Hold what an upstream has said of itself in its answers."""
+    """Hold what an upstream has reported about itself in its answers."""
 
     upstream: str
     limit_per_s: float | None = None
@@ -248,7 +248,7 @@
 
 
 class TimelineReply(msgspec.Struct, frozen=True):
-    """Hold one process's events; `dropped` counts those it no longer holds."""
+    """Hold one process's events; `dropped` counts those that it no longer stores."""
 
     instance: str
     events: tuple[EventReply, ...]
@@ -256,7 +256,7 @@
 
 
 class ClaimGroupReply(msgspec.Struct, frozen=True):
-    """Name the new holders of a service's claims."""
+    """Hold the new holders of a service's claims."""
 
     service: str
     epoch: int
@@ -264,7 +264,7 @@
 
 
 class StopReply(msgspec.Struct, frozen=True):
-    """Confirm that a process stops."""
+    """Hold the confirmation that a process stops."""
 
     instance: str
     stopping: bool
--- a/packages/bendwind-cli/src/bendwind_cli/revisions.py
+++ b/packages/bendwind-cli/src/bendwind_cli/revisions.py
@@ -1,4 +1,4 @@
-"""Put whole configurations in force and show the newest."""
+"""Put whole configurations into force and show the newest one."""
 
 from pathlib import Path
 from urllib.parse import urlencode
@@ -11,9 +11,9 @@
 
 
 def put(client: Client, file: str) -> Result[str, Failure]:
-    """Put the configuration in a file in force, unless one of its number or a higher one is.
+    """Put the configuration in a file into force, unless its revision or a higher one is in force.
 
-    Errors: a bad file, or no answer.
+    Errors: an invalid file, or no answer.
     """
     try:
         body = Path(file).read_bytes()
@@ -21,7 +21,7 @@
         reason = f"{file}: expected a readable file: {error.strerror or error}"
         return Error(Failure(ExitCode.BAD_TOML, reason))
     path = f"/v1/revision?{urlencode({'file': file})}"
-    return client.ask("PUT", path, RevisionReply, body).map(_render)
+    return client.request_control("PUT", path, RevisionReply, body).map(_render)
 
 
 def _render(reply: RevisionReply) -> str:
@@ -35,4 +35,4 @@
 
     Errors: no answer.
     """
-    return client.ask_text("GET", "/v1/revision")
+    return client.request_text("GET", "/v1/revision")
--- a/packages/bendwind-cli/src/bendwind_cli/run.py
+++ b/packages/bendwind-cli/src/bendwind_cli/run.py
@@ -1,4 +1,4 @@
-"""Carry out commands."""
+"""Execute commands."""
 
 from collections.abc import Callable
 
@@ -45,9 +45,9 @@
 
 
 def run_command(command: Command) -> Result[str, Failure]:
-    """Carry out a command and return the text to print.
+    """Execute a command and return the text to print.
 
-    Errors: why the command failed, with its exit code.
+    Errors: the cause of the failure, with its exit code.
     """
     match command:
         case MakePlan():
@@ -85,20 +85,20 @@
         case ListEvents():
             return timeline.list_events()
         case MakeAuthority() | MakeInstanceKey() | MakeOperatorKey():
-            # cryptography is large and only these commands need it.
+            # The cryptography package is large and only these commands need it.
             from bendwind_cli.keys import make_keys
 
             return make_keys(command)
 
 
 def _with_client(
-    target: Target, use: Callable[[Client], Result[str, Failure]]
+    target: Target, action: Callable[[Client], Result[str, Failure]]
 ) -> Result[str, Failure]:
     opened = find_settings(target).bind(open_client)
     if opened.is_error():
         return opened
     client = opened.ok
     try:
-        return use(client)
+        return action(client)
     finally:
         client.close()
--- a/packages/bendwind-cli/src/bendwind_cli/suspects.py
+++ b/packages/bendwind-cli/src/bendwind_cli/suspects.py
@@ -1,4 +1,4 @@
-"""Show the requests that upstreams end under, and clear them of suspicion."""
+"""Show the requests during which upstreams end, and clear them of suspicion."""
 
 from collections.abc import Iterator
 from urllib.parse import quote
@@ -12,11 +12,11 @@
 
 
 def show(client: Client) -> Result[str, Failure]:
-    """List what control knows against requests.
+    """List the suspected requests that control knows.
 
     Errors: no answer.
     """
-    return client.ask("GET", "/v1/suspects", SuspectsReply).map(_render)
+    return client.request_control("GET", "/v1/suspects", SuspectsReply).map(_render)
 
 
 def _render(reply: SuspectsReply) -> str:
@@ -34,8 +34,8 @@
 def release(client: Client, command: Release) -> Result[str, Failure]:
     """Clear one request of suspicion.
 
-    Errors: a request that nothing is known against, or no answer.
+    Errors: a request that is not suspected, or no answer.
     """
     path = f"/v1/suspects/{quote(command.signature, safe='')}/release"
-    released = client.ask("POST", path, ReleaseReply)
+    released = client.request_control("POST", path, ReleaseReply)
     return released.map(lambda reply: f"{reply.released}: released")
--- a/packages/bendwind-cli/src/bendwind_cli/tests/test_explain.py
+++ b/packages/bendwind-cli/src/bendwind_cli/tests/test_explain.py
@@ -50,14 +50,14 @@
             code = run_arguments(["explain", *arguments])
         return code, out.getvalue(), err.getvalue()
 
-    def test_refusal_from_the_queue_is_told_with_its_wait_and_the_slots_in_use(self):
+    def test_refusal_from_the_queue_shows_its_wait_and_the_slots_in_use(self):
         refusal = msgspec.structs.replace(REFUSAL, waited_ms=33.0, limit=2, running=2)
         line = msgspec.structs.replace(REFUSED, facts=refusal)
         (self.folder / "owner").write_bytes(msgspec.json.encode(line) + b"\n")
         out = self.run_command("007", *(str(self.folder / name) for name in ("owner", "entry")))[1]
         self.assertIn("refused it (stalled) after 33.0 ms in its queue: 2 of 2 slots taken", out)
 
-    def test_story_is_told_from_files_with_its_cause_at_the_end(self):
+    def test_request_is_explained_from_files_with_its_cause_at_the_end(self):
         files = [str(self.folder / name) for name in ("owner", "entry")]
         code, out, _ = self.run_command("007", *files)
         self.assertEqual(code, ExitCode.DONE)
@@ -65,7 +65,7 @@
         self.assertIn("owner refused it (stalled): 4 of 4 slots taken, 3 waiting", out)
         self.assertIn("cause: no upstream ran it: of 1 attempts", out.splitlines()[-1])
 
-    def test_upstreams_that_ended_under_the_request_however_often_it_came_are_listed(self):
+    def test_upstreams_that_ended_during_the_request_or_its_resends_are_listed(self):
         refusal = msgspec.structs.replace(REFUSAL, signature="5f0c")
         refused = msgspec.structs.replace(REFUSED, detail="quarantined", facts=refusal)
         lines = [END, refused]
@@ -82,17 +82,18 @@
         listed = [line.split(" ")[0] for line in out.split("ran there:\n     ")[1].split("     ")]
         self.assertEqual(listed[:3], ["u1", "u2", "u1"])
         self.assertIn("1 refused (quarantined) since upstreams had ended under it", out)
-        # An earlier try, whose end at its entry node is in no log at hand, tells as much.
+        # The same holds for an earlier send of the request, although no log contains its end at the
+        # entry node.
         self.assertIn("u2 beside owner at 800 ms", self.run_command("001", str(file))[1])
 
-    def test_standard_input_is_read_where_no_file_is_named(self):
+    def test_standard_input_is_read_if_no_file_is_named(self):
         text = "".join((self.folder / name).read_text() for name in ("entry", "owner"))
         with mock.patch("sys.stdin", io.StringIO("half a li\n" + text)):
             code, out, _ = self.run_command("007")
         self.assertEqual(code, ExitCode.DONE)
         self.assertIn("1 lines could not be read", out)
 
-    def test_file_that_is_not_there_is_said_so(self):
+    def test_missing_file_is_reported(self):
         code, out, err = self.run_command("007", "/no/such/file")
         self.assertEqual((code, out), (ExitCode.USAGE, ""))
         self.assertIn("/no/such/file: expected a readable file", err)
--- a/packages/bendwind-cli/src/bendwind_cli/tests/test_main.py
+++ b/packages/bendwind-cli/src/bendwind_cli/tests/test_main.py
@@ -71,7 +71,7 @@
 
         self.http = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self.address = f"127.0.0.1:{self.http.server_address[1]}"
-        # A refused handshake would print a traceback.
+        # Without this, a refused handshake would print a traceback.
         self.http.handle_error = lambda *_: None
         if tls is not None:
             self.http.socket = tls.wrap_socket(
@@ -99,20 +99,20 @@
         self.addCleanup(server.close)
         return server
 
-    def run_line(self, *arguments) -> tuple[int, str, str]:
+    def run_captured(self, *arguments) -> tuple[int, str, str]:
         out, err = io.StringIO(), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             code = run_arguments(list(arguments))
         return code, out.getvalue(), err.getvalue()
 
     def assert_fails(self, arguments, code: ExitCode, pattern: str):
-        found, out, err = self.run_line(*arguments)
+        found, out, err = self.run_captured(*arguments)
         self.assertEqual((found, out), (code, ""), err)
         self.assertRegex(err, f"^bendwind: .*{pattern}.*\n$")
 
     def test_every_level_has_help(self):
         for arguments in ([], ["--help"], ["keys"], ["keys", "--help"]):
-            code, out, err = self.run_line(*arguments)
+            code, out, err = self.run_captured(*arguments)
             self.assertEqual((code, err), (0, ""), arguments)
             self.assertIn("COMMAND", out)
             self.assertNotIn("FIRE_METADATA", out)
@@ -132,10 +132,10 @@
             "stop",
             "timeline",
         ):
-            code, out, _ = self.run_line(name, "--help")
+            code, out, _ = self.run_captured(name, "--help")
             self.assertEqual((code, "--control" in out), (0, True), name)
 
-    def test_wrong_usage_is_one_line(self):
+    def test_wrong_usage_is_reported_in_one_line(self):
         cases = [
             (["no-such"], "consume arg: no-such"),
             (["confirm"], "required argument: plan"),
@@ -157,7 +157,7 @@
         server = self.serve(("POST /v1/plans?file=", 201, PLAN))
         intent = self.folder / "007"
         intent.write_text("services = []")
-        code, out, err = self.run_line("plan", str(intent), f"--control={server.address}")
+        code, out, err = self.run_captured("plan", str(intent), f"--control={server.address}")
         self.assertEqual((code, err), (0, ""))
         self.assertIn("    longest_wait_ms: 2000 -> 1500", out)
         self.assertIn("affects services: emisor", out)
@@ -166,39 +166,39 @@
         self.assertEqual(server.seen[0][3], b"services = []")
         self.assertIn("Idempotency-Key", server.seen[0][2])
 
-    def test_follows_the_leader_and_passes_dead_servers(self):
+    def test_follows_the_leader_and_skips_unreachable_servers(self):
         done = {"kind": "confirmed", "plan": "007", "version": 18}
         leader = self.serve(("POST /v1/plans/007/confirm", 200, done))
         hint = {"error": "not-leader", "leader_url": f"http://{leader.address}"}
         other = self.serve(("POST", 421, hint))
         line = f"--control=127.0.0.1:1,{other.address}"
         self.assertEqual(
-            self.run_line("confirm", "007", line), (0, "007: confirmed as version 18\n", "")
+            self.run_captured("confirm", "007", line), (0, "007: confirmed as version 18\n", "")
         )
 
-    def listen_in_silence(self) -> str:
-        """Return the address of a server that takes connections and never answers."""
+    def listen_without_answering(self) -> str:
+        """Return the address of a server that accepts connections and never answers."""
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
-    def test_silent_server_is_left_for_the_next_and_asked_last_from_then_on(self):
-        # A frozen voter cost each command the whole of its time, ten seconds.
-        silent = self.listen_in_silence()
+    def test_server_that_does_not_answer_is_skipped_and_tried_last_afterwards(self):
+        # Guards against a frozen voter that delays each command by the whole timeout, ten seconds.
+        silent = self.listen_without_answering()
         server = self.serve(("GET /v1/status", 200, STATUS))
         settings = ClientSettings(control=(silent, server.address), timeout_s=600.0)
         client = open_client(settings).ok
         self.addCleanup(client.close)
-        with mock.patch("bendwind_cli.client._PATIENCE_S", 0.05):
-            self.assertTrue(client.ask_text("GET", "/v1/status").is_ok())
+        with mock.patch("bendwind_cli.client._ATTEMPT_TIMEOUT_S", 0.05):
+            self.assertTrue(client.request_text("GET", "/v1/status").is_ok())
         self.assertEqual(client.addresses, [server.address, silent])
 
-    def test_only_server_left_is_given_all_the_time(self):
-        silent = self.listen_in_silence()
+    def test_last_remaining_server_gets_the_whole_timeout(self):
+        silent = self.listen_without_answering()
         client = open_client(ClientSettings(control=(silent,), timeout_s=0.2)).ok
         self.addCleanup(client.close)
-        with mock.patch("bendwind_cli.client._PATIENCE_S", 0.001):
-            failure = client.ask_text("GET", "/v1/status").error
+        with mock.patch("bendwind_cli.client._ATTEMPT_TIMEOUT_S", 0.001):
+            failure = client.request_text("GET", "/v1/status").error
         self.assertEqual(failure.code, ExitCode.NO_ANSWER)
         self.assertTrue(failure.is_slow or "did not answer" in failure.line)
 
@@ -220,7 +220,7 @@
                 settings.write_text(f'control = ["{server.address}"]\ntimeout_s = 2\n')
                 self.assert_fails(["confirm", "p1", f"--settings={settings}"], code, pattern)
 
-    def test_bad_intent_names_file_key_and_expectation(self):
+    def test_invalid_intent_error_names_file_key_and_expectation(self):
         reply = {"error": "bad-intent", "file": "f", "key": "services[0]", "expected": "expected x"}
         server = self.serve(("POST", 400, reply))
         (self.folder / "f").write_text("")
@@ -228,17 +228,17 @@
         self.assert_fails(line, ExitCode.BAD_TOML, re.escape("f: services[0]: expected x"))
         self.assert_fails(["plan", "none", "--control=h:1"], ExitCode.BAD_TOML, "readable file")
 
-    def test_no_server_is_one_line(self):
+    def test_unreachable_servers_are_reported_in_one_line(self):
         os.environ["BENDWIND_CONTROL"] = "127.0.0.1:1,127.0.0.1:2"
         self.assert_fails(["status"], ExitCode.NO_ANSWER, "127.0.0.1:. did not answer")
         self.assert_fails(["confirm", "p"], ExitCode.NO_ANSWER, "did not answer.*did not answer")
 
-    def test_keys_that_do_not_fit_are_one_line(self):
+    def test_keys_that_do_not_match_are_reported_in_one_line(self):
         keys, other = self.folder / "keys", self.folder / "other"
         for folder in (keys, other):
-            self.run_line("keys", "authority", f"--folder={folder}")
-            self.run_line("keys", "operator", "oncall", f"--folder={folder}")
-        self.run_line("keys", "instance", "a", f"--folder={keys}")
+            self.run_captured("keys", "authority", f"--folder={folder}")
+            self.run_captured("keys", "operator", "oncall", f"--folder={folder}")
+        self.run_captured("keys", "instance", "a", f"--folder={keys}")
         tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cafile=keys / "authority.pem")
         tls.verify_mode = ssl.CERT_REQUIRED
         tls.load_cert_chain(keys / "a.pem", keys / "a.key")
@@ -248,7 +248,7 @@
         own = 'certificate = "{0}/operator-oncall.pem"\nkey = "{0}/operator-oncall.key"\n'
         line = ["status", f"--settings={settings}"]
         settings.write_text(text.format(server.address, "keys") + own.format("keys"))
-        self.assertEqual(self.run_line(*line)[0], 0)
+        self.assertEqual(self.run_captured(*line)[0], 0)
         for authority, certificate in (("other", "keys"), ("keys", "other")):
             settings.write_text(text.format(server.address, authority) + own.format(certificate))
             self.assert_fails(line, ExitCode.NO_CREDENTIALS, "refused each other's keys")
@@ -257,31 +257,31 @@
         settings.write_text(text.format(server.address, "none"))
         self.assert_fails(line, ExitCode.NO_CREDENTIALS, "No such file")
 
-    def test_status_names_who_lacks_the_version(self):
+    def test_status_names_processes_without_the_version(self):
         server = self.serve(("GET /v1/status", 200, STATUS))
-        code, out, _ = self.run_line("status", f"--control={server.address}")
+        code, out, _ = self.run_captured("status", f"--control={server.address}")
         self.assertEqual(code, 0)
         self.assertIn("version 18, confirmed by a quorum", out)
         self.assertIn("node b in x: version 17  (not there yet)", out)
 
-    def test_status_names_a_replacement_under_way_and_whom_it_waits_for(self):
+    def test_status_names_a_replacement_and_the_members_it_awaits(self):
         replacement = {"leaving": ["c"], "joining": ["d"], "awaited": ["d"], "for_ms": 40.2}
         server = self.serve(("GET /v1/status", 200, STATUS | {"replacement": replacement}))
-        code, out, _ = self.run_line("status", f"--control={server.address}")
+        code, out, _ = self.run_captured("status", f"--control={server.address}")
         self.assertEqual(code, 0)
         self.assertIn("replacing voter c by d for 40 ms, waiting for d\n", out)
 
-    def test_drain_finds_out_what_a_name_is(self):
+    def test_drain_determines_whether_a_name_is_an_upstream(self):
         reply = {"name": "emisor-1", "draining": True, "version": 19}
         server = self.serve(
             ("GET /v1/status", 200, STATUS), ("POST /v1/upstreams/emisor-1/drain", 200, reply)
         )
         line = f"--control={server.address}"
-        code, out, _ = self.run_line("drain", "emisor-1", line)
+        code, out, _ = self.run_captured("drain", "emisor-1", line)
         self.assertEqual((code, out), (0, "emisor-1: draining\n"))
         self.assert_fails(["drain", "nobody", line], ExitCode.REFUSED, "no such instance")
 
-    def test_evacuates_a_data_centre_and_takes_it_back(self):
+    def test_evacuates_and_readmits_a_data_centre(self):
         reply = {"data_centre": "sala-norte", "evacuated": True, "version": 19, "is_new": True}
         short = {"kind": "no-upstreams", "service": "emisor", "detail": "none of 2 is left"}
         path = "/v1/data-centres/sala-norte/evacuation"
@@ -291,7 +291,7 @@
             ("GET /v1/status", 200, STATUS | {"evacuated": ["sala-norte"]}),
         )
         line = f"--control={server.address}"
-        code, out, _ = self.run_line("evacuate", "sala-norte", line)
+        code, out, _ = self.run_captured("evacuate", "sala-norte", line)
         self.assertEqual(code, 0)
         self.assertEqual(
             out.splitlines(),
@@ -300,12 +300,12 @@
                 "warning: emisor: no-upstreams: none of 2 is left",
             ],
         )
-        code, out, _ = self.run_line("readmit", "sala-norte", line)
+        code, out, _ = self.run_captured("readmit", "sala-norte", line)
         self.assertEqual((code, out), (0, "sala-norte: readmitted, nothing changed\n"))
-        self.assertIn("evacuated data centre sala-norte", self.run_line("status", line)[1])
+        self.assertIn("evacuated data centre sala-norte", self.run_captured("status", line)[1])
         self.assert_fails(["evacuate", "nowhere", line], ExitCode.REFUSED, "not-found")
 
-    def test_shows_the_requests_that_upstreams_ended_under_and_releases_one(self):
+    def test_shows_suspected_requests_and_releases_one(self):
         suspect = {
             "signature": "0012",
             "service": "emisor",
@@ -319,22 +319,22 @@
             ("POST /v1/suspects/0012/release", 200, {"released": "0012"}),
         )
         line = f"--control={server.address}"
-        code, out, _ = self.run_line("suspects", line)
+        code, out, _ = self.run_captured("suspects", line)
         self.assertEqual(code, 0)
         self.assertEqual(
             out,
             "0012 quarantined emisor 3 ended under it, the last one 4.2 s ago: "
             "emisor-1 emisor-2 emisor-1\n",
         )
-        self.assertEqual(self.run_line("release", "0012", line)[:2], (0, "0012: released\n"))
+        self.assertEqual(self.run_captured("release", "0012", line)[:2], (0, "0012: released\n"))
         self.assert_fails(["release", "ff", line], ExitCode.REFUSED, "not-found")
 
-    def test_shows_the_customers_and_what_they_are_due(self):
+    def test_shows_the_customers_with_their_limits(self):
         limited = {"name": "norte", "keys": 2, "rank": 1, "rate_per_s": 5.0, "burst": 2.0}
         plain = {"name": "sul", "keys": 1, "rank": None, "rate_per_s": 0.0, "burst": 0.0}
         held = {"version": 7, "are_keys_needed": True, "customers": [limited, plain]}
         server = self.serve(("GET /v1/customers", 200, held))
-        code, out, _ = self.run_line("customers", f"--control={server.address}")
+        code, out, _ = self.run_captured("customers", f"--control={server.address}")
         self.assertEqual(code, 0)
         self.assertEqual(
             out,
@@ -343,13 +343,13 @@
             "sul: 1 key, rank of the route, no limit\n",
         )
 
-    def test_shows_what_a_voter_holds_of_quotas(self):
+    def test_shows_the_quotas_of_a_voter(self):
         quota = {"customer": "maria", "rate_per_s": 10.0, "burst": 20.0, "level": 1.5, "cap": 6.0}
         held = {"voter": "v1", "granting": True, "limited": 71, "active": 1, "granted": 12}
         held |= {"refused": 3, "lent": 2.5, "borrowed": 0.0}
         held["quotas"] = [quota | {"granted": 12, "refused": 3}]
         server = self.serve(("GET /v1/quotas", 200, held))
-        code, out, _ = self.run_line("quotas", f"--control={server.address}")
+        code, out, _ = self.run_captured("quotas", f"--control={server.address}")
         self.assertEqual(code, 0)
         self.assertEqual(
             out,
@@ -367,10 +367,10 @@
         file = self.folder / "whole.toml"
         file.write_text("revision = 7\n")
         line = f"--control={server.address}"
-        code, out, _ = self.run_line("put", str(file), line)
+        code, out, _ = self.run_captured("put", str(file), line)
         self.assertEqual((code, out), (0, "revision 7 is in force as version 12\n"))
         self.assertEqual(server.seen[-1][3], b"revision = 7\n")
-        code, out, _ = self.run_line("revision", line)
+        code, out, _ = self.run_captured("revision", line)
         self.assertEqual(code, 0)
         self.assertIn("revision = 7", out)
         missing = ["put", str(self.folder / "none.toml"), line]
@@ -380,7 +380,7 @@
         reply = {"service": "emisor", "epoch": 3, "members": ["a#17", "b#18"]}
         server = self.serve(("POST /v1/services/emisor/accept-claim-loss", 200, reply))
         line = f"--control={server.address}"
-        code, out, _ = self.run_line("accept-claim-loss", "emisor", line)
+        code, out, _ = self.run_captured("accept-claim-loss", "emisor", line)
         self.assertEqual((code, out), (0, "emisor: claims start anew on a, b\n"))
         self.assert_fails(["accept-claim-loss", "none", line], ExitCode.REFUSED, "not-found")
 
@@ -390,16 +390,16 @@
             ("POST /v1/stop", 202, {"instance": "a", "stopping": True}),
         )
         line = f"--control={server.address}"
-        self.assertEqual(self.run_line("stop", "a", line)[0], 0)
+        self.assertEqual(self.run_captured("stop", "a", line)[0], 0)
         self.assert_fails(["stop", "b", line], ExitCode.USAGE, "address not known")
 
-    def test_timeline_merges_and_names_who_did_not_answer(self):
+    def test_timeline_merges_events_and_names_processes_that_did_not_answer(self):
         server = self.serve(
             ("GET /v1/status", 200, STATUS),
             ("GET /v1/timeline", 200, {"instance": "a", "events": [EVENT | {"number": 801}]}),
         )
         line = f"--control={server.address},127.0.0.1:1"
-        code, out, err = self.run_line("timeline", line)
+        code, out, err = self.run_captured("timeline", line)
         self.assertEqual(code, 0)
         self.assertEqual(out, "1970-01-01T00:00:00.009Z+0 a 801 PROCESS_STARTED plan=p1\n")
         self.assertRegex(err, "^bendwind: left out: 127.0.0.1:1 did not answer.*\n$")
@@ -410,7 +410,7 @@
         self.assertEqual([int(code) for code in codes], sorted(ExitCode))
 
     def test_events_lists_number_level_and_name(self):
-        self.assertIn("801  INFO    PROCESS_STARTED", self.run_line("events")[1])
+        self.assertIn("801  INFO    PROCESS_STARTED", self.run_captured("events")[1])
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-cli/src/bendwind_cli/timeline.py
+++ b/packages/bendwind-cli/src/bendwind_cli/timeline.py
@@ -26,9 +26,9 @@
 
 
 def show(client: Client, command: ShowTimeline) -> Result[str, Failure]:
-    """Merge the time lines of every process that is known and answers.
+    """Merge the timelines of all known processes that answer.
 
-    Errors: an event that does not exist, or no answer from any process.
+    Errors: an unknown event, or no answer from any process.
     """
     kind = find_kind(command.event) if command.event else None
     if command.event and kind is None:
@@ -38,14 +38,15 @@
         line = f"limit: expected a whole number, got {command.limit!r}"
         return Error(Failure(ExitCode.USAGE, line))
     addresses = sorted(set(client.addresses) | set(find_addresses(client).values()))
-    replies = _ask_all(client, addresses, _make_path(command, kind, command.call))
+    replies = _fetch_all(client, addresses, _make_path(command, kind, command.call))
     if not replies:
         return Error(Failure(ExitCode.NO_ANSWER, "no process answered"))
-    _note_dropped(replies)
-    # An owner node knows a call's attempts only, so a call is followed through their names.
+    _report_dropped(replies)
+    # An owner node records the attempts of a call but not the call, so the events of the call are
+    # fetched by the names of its attempts.
     attempts = find_attempts(_merge(replies), command.call) if command.call else ()
     for attempt in attempts:
-        replies += _ask_all(client, addresses, _make_path(command, kind, attempt))
+        replies += _fetch_all(client, addresses, _make_path(command, kind, attempt))
     return Ok(_render(_merge(replies), command))
 
 
@@ -69,10 +70,10 @@
     return f"/v1/timeline?{urlencode(given)}"
 
 
-def _ask_all(client: Client, addresses: list[str], path: str) -> list[TimelineReply]:
+def _fetch_all(client: Client, addresses: list[str], path: str) -> list[TimelineReply]:
     replies = []
     for address in addresses:
-        reply = client.ask_one(address, "GET", path, TimelineReply)
+        reply = client.request_from(address, "GET", path, TimelineReply)
         if reply.is_error():
             print(f"bendwind: left out: {reply.error.line}", file=sys.stderr)
         else:
@@ -80,7 +81,7 @@
     return replies
 
 
-def _note_dropped(replies: list[TimelineReply]) -> None:
+def _report_dropped(replies: list[TimelineReply]) -> None:
     for reply in replies:
         if reply.dropped:
             line = f"{reply.instance} no longer holds its {reply.dropped} oldest events"
@@ -92,7 +93,7 @@
 
 
 def _read_events(reply: TimelineReply) -> list[Event]:
-    # A newer process may record events that this client does not know yet.
+    # A process of a newer version may record events that this client does not know yet.
     return [_read_event(found) for found in reply.events if find_kind(str(found.number))]
 
 
