--- a/packages/bendwind-cli/src/bendwind_cli/keys/make.py
+++ b/packages/bendwind-cli/src/bendwind_cli/keys/make.py
@@ -46,10 +46,14 @@
             return _write_authority(folder, days)
         case MakeInstanceKey(name=name, hosts=hosts):
             listed = tuple(host.strip() for host in hosts.split(",") if host.strip())
-            pair = _read_authority(folder).map(lambda own: make_instance(own, name, listed, days))
+            pair = _read_authority(folder).map(
+                lambda authority: make_instance(authority, name, listed, days)
+            )
             return pair.map(lambda made: _write(folder, name, made))
         case MakeOperatorKey(name=name):
-            pair = _read_authority(folder).map(lambda own: make_operator(own, name, days))
+            pair = _read_authority(folder).map(
+                lambda authority: make_operator(authority, name, days)
+            )
             return pair.map(lambda made: _write(folder, f"operator-{name}", made))
 
 
--- a/packages/bendwind-cli/src/bendwind_cli/main.py
+++ b/packages/bendwind-cli/src/bendwind_cli/main.py
@@ -20,7 +20,7 @@
     try:
         return _run(arguments)
     except KeyboardInterrupt:
-        return _fail(Failure(ExitCode.REFUSED, "interrupted"))
+        return _print_failure(Failure(ExitCode.REFUSED, "interrupted"))
     except BrokenPipeError:
         # The reader of the output, such as `head`, has closed the pipe; this prevents the exit from
         # flushing to it.
@@ -31,24 +31,24 @@
 def _run(arguments: list[str]) -> int:
     match parse_arguments(arguments):
         case Result(tag="error", error=line):
-            return _fail(Failure(ExitCode.USAGE, f"{line} (see bendwind --help)"))
+            return _print_failure(Failure(ExitCode.USAGE, f"{line} (see bendwind --help)"))
         case Result(ok=Help() as text):
             print(text, flush=True)
             return ExitCode.DONE
         case Result(ok=command):
-            return _finish(run_command(command))
+            return _print_result(run_command(command))
 
 
-def _finish(result: Result[str, Failure]) -> int:
+def _print_result(result: Result[str, Failure]) -> int:
     match result:
         case Result(tag="error", error=failure):
-            return _fail(failure)
+            return _print_failure(failure)
         case Result(ok=text):
             print(text, flush=True)
             return ExitCode.DONE
 
 
-def _fail(failure: Failure) -> int:
+def _print_failure(failure: Failure) -> int:
     line = " ".join(failure.line.split())
     print(f"bendwind: {line}", file=sys.stderr, flush=True)
     return failure.code
--- a/packages/bendwind-cli/src/bendwind_cli/outcome.py
+++ b/packages/bendwind-cli/src/bendwind_cli/outcome.py
@@ -20,7 +20,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Hold the cause of a failure in one line; `is_slow` if a server took too long to answer."""
+    """Hold the reason for a failure in one line; `is_slow` if a server took too long to answer."""
 
     code: ExitCode
     line: str
--- a/packages/bendwind-cli/src/bendwind_cli/parsing.py
+++ b/packages/bendwind-cli/src/bendwind_cli/parsing.py
@@ -166,7 +166,7 @@
 
     @_as_text
     def put(self, file: str, *, control: str = "", settings: str = "") -> PutRevision:
-        """Put a whole configuration into force, if its revision is above the one in force.
+        """Put a whole configuration into force; a revision not above the one in force is ignored.
 
         Args:
             file: The configuration with its revision, a TOML file (docs/REVISIONS.md).
--- a/packages/bendwind-cli/src/bendwind_cli/quotas.py
+++ b/packages/bendwind-cli/src/bendwind_cli/quotas.py
@@ -15,11 +15,11 @@
     Errors: no answer.
     """
     return client.request_control("GET", "/v1/quotas", QuotasReply).map(
-        lambda reply: "\n".join(_list(reply))
+        lambda reply: "\n".join(_list_lines(reply))
     )
 
 
-def _list(reply: QuotasReply) -> Iterator[str]:
+def _list_lines(reply: QuotasReply) -> Iterator[str]:
     state = "grants" if reply.granting else "grants nothing now"
     yield (
         f"{reply.voter} {state}: {reply.granted} granted, {reply.refused} refused, "
--- a/packages/bendwind-cli/src/bendwind_cli/tests/test_main.py
+++ b/packages/bendwind-cli/src/bendwind_cli/tests/test_main.py
@@ -43,13 +43,13 @@
     """Answer each request by the first script entry whose method and path match."""
 
     def __init__(self, *script, tls=None):
-        self.seen = []
+        self.requests = []
         server = self
 
         class Handler(BaseHTTPRequestHandler):
             def handle_any(self):
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-                server.seen.append((self.command, self.path, dict(self.headers), body))
+                server.requests.append((self.command, self.path, dict(self.headers), body))
                 status, reply = next(
                     (
                         entry[1:]
@@ -89,8 +89,8 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        clean = {name: text for name, text in os.environ.items() if "BENDWIND" not in name}
-        patched = mock.patch.dict(os.environ, clean, clear=True)
+        environment = {name: text for name, text in os.environ.items() if "BENDWIND" not in name}
+        patched = mock.patch.dict(os.environ, environment, clear=True)
         patched.start()
         self.addCleanup(patched.stop)
 
@@ -163,8 +163,8 @@
         self.assertIn("affects services: emisor", out)
         self.assertEqual(out.count("warning: emisor: loosened"), 1)
         self.assertTrue(out.endswith("nothing takes effect before: bendwind confirm p17\n"))
-        self.assertEqual(server.seen[0][3], b"services = []")
-        self.assertIn("Idempotency-Key", server.seen[0][2])
+        self.assertEqual(server.requests[0][3], b"services = []")
+        self.assertIn("Idempotency-Key", server.requests[0][2])
 
     def test_follows_the_leader_and_skips_unreachable_servers(self):
         done = {"kind": "confirmed", "plan": "007", "version": 18}
@@ -369,7 +369,7 @@
         line = f"--control={server.address}"
         code, out, _ = self.run_captured("put", str(file), line)
         self.assertEqual((code, out), (0, "revision 7 is in force as version 12\n"))
-        self.assertEqual(server.seen[-1][3], b"revision = 7\n")
+        self.assertEqual(server.requests[-1][3], b"revision = 7\n")
         code, out, _ = self.run_captured("revision", line)
         self.assertEqual(code, 0)
         self.assertIn("revision = 7", out)
