--- a/packages/bendwind-cli/src/bendwind_cli/quotas.py
+++ b/packages/bendwind-cli/src/bendwind_cli/quotas.py
@@ -1,4 +1,4 @@
-"""Show what a control voter holds of customers' quotas."""
+"""Show the state of customers' quotas at a control voter."""
 
 from collections.abc import Iterator
 
@@ -10,14 +10,16 @@
 
 
 def show(client: Client) -> Result[str, Failure]:
-    """List the customers that the voter was asked for lately.
+    """List the customers whose quotas were requested from the voter recently.
 
     Errors: no answer.
     """
-    return client.ask("GET", "/v1/quotas", QuotasReply).map(lambda reply: "\n".join(_list(reply)))
+    return client.request_control("GET", "/v1/quotas", QuotasReply).map(
+        lambda reply: "\n".join(_list_lines(reply))
+    )
 
 
-def _list(reply: QuotasReply) -> Iterator[str]:
+def _list_lines(reply: QuotasReply) -> Iterator[str]:
     state = "grants" if reply.granting else "grants nothing now"
     yield (
         f"{reply.voter} {state}: {reply.granted} granted, {reply.refused} refused, "
