--- a/packages/bendwind-node/src/bendwind_node/daemon/serve.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/serve.py
@@ -1,4 +1,4 @@
-"""Serve HTTP for callers, for the upstream beside the process and for operators."""
+"""Serve HTTP for callers, for the upstream on this instance and for operators."""
 
 import os
 from collections.abc import Awaitable, Callable
@@ -158,7 +158,7 @@
 
 
 def serve_upstreams(daemon: Daemon, nursery: trio.Nursery) -> None:
-    """Start to receive the announcements of the upstream beside this process."""
+    """Start to receive the announcements of the upstream on this instance."""
     app = AnnounceApp(daemon.dispatcher.owner.register, daemon.settings.lease.lease_ms)
     asgi_server = AsgiServer(
         _duplicate_socket(daemon.listeners.upstreams),
--- a/packages/bendwind-node/src/bendwind_node/daemon/status.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/status.py
@@ -45,14 +45,14 @@
     def upstreams(self) -> tuple[Upstream, ...]:
         """Return every upstream that the voter knows.
 
-        Without a voter, return the upstreams beside this process.
+        Without a voter, return the upstreams on this instance.
         """
         if self.control is not None:
             return self.control.upstreams()
         return tuple(owned.upstream for owned in self.owner.register.owned.values())
 
     def notices(self) -> tuple[NoticeStatus, ...]:
-        """Return the notices of the upstreams beside this process that have sent any."""
+        """Return the rate limits and departures announced by the upstreams on this instance."""
         states = [(name, owned.owner_state) for name, owned in self.owner.register.owned.items()]
         notices = (
             NoticeStatus(name, state.rate_limit.per_second, state.is_leaving)
--- a/packages/bendwind-node/src/bendwind_node/settings/tables.py
+++ b/packages/bendwind-node/src/bendwind_node/settings/tables.py
@@ -39,7 +39,7 @@
 
 
 class InstanceTable(Table, frozen=True, kw_only=True):
-    """Say which instance the process runs on."""
+    """Define the instance that the process runs on."""
 
     name: Annotated[Name, _doc("Unique name of the instance; its certificate carries it too.")]
     data_centre: Annotated[Name, _doc("Data centre that holds the instance.")]
@@ -47,74 +47,72 @@
 
 
 class PeersTable(Table, frozen=True, kw_only=True):
-    """Say where other bendwindd processes reach this one."""
+    """Define the address at which other bendwindd processes reach this one."""
 
     host: Annotated[Host, _doc("Address to listen on and to announce to peers.")]
     port: Annotated[Port, _doc("Port of the websocket links between processes.")]
     insecure: Annotated[
         bool,
-        _doc("Link without TLS; on loopback or a trusted network only, excludes `[tls]`."),
+        _doc("Use links without TLS; only on loopback or a trusted network, and not with `[tls]`."),
     ] = False
     is_network_trusted: Annotated[
         bool,
-        _doc(
-            "Nobody else reaches the network between instances, so that links may do without TLS."
-        ),
+        _doc("The network between instances is reachable by nobody else, so links need no TLS."),
     ] = False
     silence_ms: Annotated[
         int,
         Meta(ge=100, le=600_000),
-        _doc("Time after which a connection whose peer acknowledges nothing is broken off.", "ms"),
+        _doc("Time after which a connection whose peer acknowledges nothing is aborted.", "ms"),
     ] = 4000
     compresses_far: Annotated[
         bool,
         _doc(
-            "Compress links to other data centres. Their lengths then tell something of what "
-            "passes, also under TLS."
+            "Compress links to other data centres. The lengths of messages then reveal some of "
+            "their content, even with TLS."
         ),
     ] = False
     link_mbps: Annotated[
         float,
         Meta(ge=0.1, le=1_000_000),
         _doc(
-            "Rate of the instance's own link. On a slow one a peer is given longer to show a sign "
-            "of life, which may wait behind a large body.",
+            "Rate of the instance's own network link. If it is low, peers get more time to answer "
+            "a ping, since the answer may wait behind a large body.",
             "Mbit/s",
         ),
     ] = 1000.0
 
 
 class CallersTable(Table, frozen=True, kw_only=True):
-    """Say where callers reach the process."""
+    """Define the address at which callers reach the process."""
 
     host: Annotated[Host, _doc("Address to listen on for callers.")]
-    port: Annotated[Port, _doc("Port of the callers' HTTP.")]
+    port: Annotated[Port, _doc("Port of the HTTP server for callers.")]
     server: Annotated[
         Literal["h11", "hypercorn"],
-        _doc("HTTP server: `h11` is fastest, `hypercorn` also speaks HTTP/2."),
+        _doc("HTTP server: `h11` is fastest, `hypercorn` also supports HTTP/2."),
     ] = "h11"
 
 
 class UpstreamsTable(Table, frozen=True, kw_only=True):
-    """Say where the upstream beside the process announces itself."""
+    """Define the address at which the upstream on this instance announces itself."""
 
-    host: Annotated[Host, _doc("Address to listen on for the upstream beside the process.")]
-    port: Annotated[Port, _doc("Port of the upstream's HTTP.")]
+    host: Annotated[Host, _doc("Address to listen on for the upstream on this instance.")]
+    port: Annotated[Port, _doc("Port of the HTTP server for the upstream.")]
 
 
 class BesideTable(Table, frozen=True, kw_only=True):
-    """Say where the upstream beside the process is, so that it need not be waited for."""
+    """Define the upstream on this instance, so that it is used before it announces itself."""
 
-    service: Annotated[Name, _doc("Service of the upstream beside the process.")]
+    service: Annotated[Name, _doc("Service of the upstream on this instance.")]
     host: Annotated[Host, _doc("Address of that upstream.")]
     port: Annotated[FixedPort, _doc("Port of that upstream.")]
 
 
 class ReadinessTable(Table, frozen=True, kw_only=True):
-    """Say where the process tells whether callers should be sent to it."""
+    """Define the address of the readiness check: whether callers should use this process."""
 
-    host: Annotated[Host, _doc("Address to listen on for questions of readiness.")]
-    port: Annotated[Port, _doc("Port of that HTTP.")]
+    host: Annotated[Host, _doc("Address to listen on for readiness checks.")]
+    port: Annotated[Port, _doc("Port of that HTTP server.")]
     path: Annotated[
         str,
         Meta(pattern="^/", extra={"range": "begins with a slash"}),
@@ -123,10 +121,10 @@
 
 
 class MetricsTable(Table, frozen=True, kw_only=True):
-    """Say where the process serves its metrics, beside the operators' address."""
+    """Define an address for metrics, in addition to the operators' address."""
 
     host: Annotated[Host, _doc("Address to listen on for scrapes.")]
-    port: Annotated[Port, _doc("Port of that HTTP.")]
+    port: Annotated[Port, _doc("Port of that HTTP server.")]
     path: Annotated[
         str,
         Meta(pattern="^/", extra={"range": "begins with a slash"}),
@@ -135,15 +133,17 @@
 
 
 class StopTable(Table, frozen=True, kw_only=True):
-    """Bound how long a planned stop takes."""
+    """Limit the duration of a planned stop."""
 
     notice_ms: Annotated[
         float,
         Meta(ge=0, le=600_000),
-        _doc("Time for callers to be sent elsewhere before the process takes nothing more.", "ms"),
+        _doc(
+            "Time for callers to be sent to other processes before this one refuses requests.", "ms"
+        ),
     ] = 1000
     claims_ms: Annotated[
-        float, Meta(ge=0, le=600_000), _doc("Time for claims to be handed over.", "ms")
+        float, Meta(ge=0, le=600_000), _doc("Time for the hand-over of claims.", "ms")
     ] = 10_000
     drain_ms: Annotated[
         float, Meta(ge=0, le=3_600_000), _doc("Time for calls in flight to end.", "ms")
@@ -151,15 +151,15 @@
 
 
 class OperatorsTable(Table, frozen=True, kw_only=True):
-    """Say where operators reach the process and how they prove who they are."""
+    """Define the address for operators and how they authenticate."""
 
     host: Annotated[Host, _doc("Address to listen on for operators.")]
-    port: Annotated[Port, _doc("Port of the operators' HTTP.")]
+    port: Annotated[Port, _doc("Port of the HTTP server for operators.")]
     insecure: Annotated[
-        bool, _doc("Ask operators for no credentials; accepted on loopback only.")
+        bool, _doc("Require no credentials from operators; accepted on loopback only.")
     ] = False
     token_file: Annotated[
-        File | None, _doc("File whose lines are the tokens operators may present.")
+        File | None, _doc("File with the tokens that operators may use, one on each line.")
     ] = None
     client_authority: Annotated[
         File | None, _doc("PEM file of the authority that signs operators' client certificates.")
@@ -167,7 +167,7 @@
 
 
 class VoterTable(Table, frozen=True, kw_only=True):
-    """Name one control voter and where its peers reach it."""
+    """Define one control voter and the address at which its peers reach it."""
 
     name: Annotated[Name, _doc("Instance name of the voter.")]
     host: Annotated[Host, _doc("Address of the voter's `[peers]` table.")]
@@ -175,7 +175,7 @@
     data_centre: Annotated[
         str,
         Meta(max_length=63),
-        _doc("Its data centre; nodes there prefer it."),
+        _doc("Data centre of the voter; nodes there prefer it."),
     ] = ""
 
 
@@ -186,22 +186,25 @@
     open_to: Annotated[
         int,
         Meta(ge=0, le=9),
-        _doc("Voters to keep, whoever joins; 0 keeps those of `[[voters]]` for good.", "voters"),
+        _doc(
+            "Number of voters to maintain, whichever join; 0 always keeps those of `[[voters]]`.",
+            "voters",
+        ),
     ] = 0
     heartbeat_ms: Annotated[
-        float, Meta(ge=20, le=500), _doc("Time between two messages of the leader.", "ms")
+        float, Meta(ge=20, le=500), _doc("Time between two heartbeats of the leader.", "ms")
     ] = 100
     data_centres: Annotated[
         tuple[Name, ...],
-        _doc("Data centres that may be evacuated; none stands for those of processes seen alive."),
+        _doc("Data centres that may be evacuated; if empty, those of all live processes."),
     ] = ()
-    may_form: Annotated[bool, _doc("Form a cluster of empty voters; false once there was one.")] = (
-        True
-    )
+    may_form: Annotated[
+        bool, _doc("Form a cluster of empty voters; set it to false once a cluster exists.")
+    ] = True
 
 
 class LeaseTable(Table, frozen=True, kw_only=True):
-    """Set how often the node renews its lease and how long that lasts."""
+    """Set how often the node renews its lease and how long a lease lasts."""
 
     heartbeat_ms: Annotated[
         float, Meta(ge=50, le=60_000), _doc("Time between two renewals of the lease.", "ms")
@@ -214,55 +217,68 @@
     upstream_ms: Annotated[
         float,
         Meta(ge=0, le=600_000),
-        _doc("The same for an upstream beside the process; 0 stands for `lease_ms`.", "ms"),
+        _doc("The same for an upstream on this instance; 0 means `lease_ms`.", "ms"),
     ] = 0
 
 
 class WatchTable(Table, frozen=True, kw_only=True):
-    """Name services that the node watches from its start."""
+    """Define the services that the node watches from its start."""
 
     services: Annotated[
-        tuple[Name, ...], _doc("Services to watch at once; others are added by their first call.")
+        tuple[Name, ...],
+        _doc("Services to watch at the start; others are added by their first call."),
     ] = ()
 
 
 class MeasuringTable(Table, frozen=True, kw_only=True):
-    """Bound what the node spends on measuring the load of upstreams."""
+    """Limit the traffic that measures the load of upstreams."""
 
     messages_per_s: Annotated[
-        int, Meta(ge=0, le=10_000), _doc("Most load probes in any second.", "messages/s")
+        int,
+        Meta(ge=0, le=10_000),
+        _doc("Maximum number of load probes in any second.", "messages/s"),
     ] = 20
     bytes_per_s: Annotated[
-        int, Meta(ge=0, le=10_000_000), _doc("Most bytes of load probes in any second.", "B/s")
+        int,
+        Meta(ge=0, le=10_000_000),
+        _doc("Maximum number of bytes of load probes in any second.", "B/s"),
     ] = 4000
 
 
 class LimitsTable(Table, frozen=True, kw_only=True):
-    """Bound what callers may take of the process."""
+    """Limit the resources of the process that callers may use."""
 
     connections: Annotated[
-        int, Meta(ge=1, le=65_536), _doc("Open connections of callers.", "connections")
+        int,
+        Meta(ge=1, le=65_536),
+        _doc("Maximum number of open connections of callers.", "connections"),
     ] = 1024
-    in_flight: Annotated[int, Meta(ge=1, le=65_536), _doc("Calls at a time.", "calls")] = 512
+    in_flight: Annotated[
+        int, Meta(ge=1, le=65_536), _doc("Maximum number of calls at a time.", "calls")
+    ] = 512
     body_bytes: Annotated[
-        int, Meta(ge=0, le=1 << 30), _doc("Longest request body of a caller.", "B")
+        int, Meta(ge=0, le=1 << 30), _doc("Maximum size of a request body of a caller.", "B")
     ] = (8 << 20)
     buffered_bytes: Annotated[
         int,
         Meta(ge=1 << 20, le=1 << 36),
-        _doc("Bytes of request bodies held at a time; more is refused as not run.", "B"),
+        _doc("Maximum total size of request bodies in memory; more is refused as not run.", "B"),
     ] = (
         64 << 20
     )
     header_bytes: Annotated[
-        int, Meta(ge=1024, le=1 << 20), _doc("Longest request line and headers of a caller.", "B")
-    ] = (16 << 10)
+        int,
+        Meta(ge=1024, le=1 << 20),
+        _doc("Maximum size of the request line and headers of a caller.", "B"),
+    ] = (
+        16 << 10
+    )
     far_body_bytes: Annotated[
         int,
         Meta(ge=0, le=1 << 30),
         _doc(
-            "Longest request body that goes to another data centre while the own one serves; "
-            "for services whose near upstreams go first.",
+            "Maximum size of a request body that is sent to another data centre while the own data "
+            "centre serves; for services that prefer near upstreams.",
             "B",
         ),
     ] = (
@@ -271,17 +287,22 @@
     slot_share: Annotated[
         float,
         Meta(gt=0, le=1),
-        _doc("Part of an upstream's slots that is used; some slow down when nearly full."),
+        _doc(
+            "Share of an upstream's slots that is used; some upstreams slow down when nearly full."
+        ),
     ] = 1.0
     warm_up_overage: Annotated[
         float,
         Meta(gt=0, le=100),
-        _doc("Factor by which a cold upstream may be sent more than its service's warm-up rate."),
+        _doc("Factor by which requests to a cold upstream may exceed its service's warm-up rate."),
     ] = 1.0
     warm_up_slack: Annotated[
         float,
         Meta(ge=0, le=10_000),
-        _doc("Requests that a cold upstream may be sent beyond that in any second.", "requests"),
+        _doc(
+            "Number of requests to a cold upstream that may exceed that rate in any second.",
+            "requests",
+        ),
     ] = 1.0
     keep_alive_s: Annotated[
         float, Meta(gt=0, le=3600), _doc("Time an idle connection of a caller stays open.", "s")
@@ -289,58 +310,63 @@
 
 
 class SuspicionTable(Table, frozen=True, kw_only=True):
-    """Say what is done with requests that upstreams end under; all nodes should have the same."""
+    """Restrict requests that may crash upstreams; all nodes should have the same values."""
 
     apart_from: Annotated[
         int,
         Meta(ge=1, le=8),
-        _doc("Upstreams ended from which on a request runs beside no other such one.", "ends"),
+        _doc(
+            "Number of upstream ends from which a request runs beside few other suspects.", "ends"
+        ),
     ] = DEFAULT_APART_FROM
     quarantine_from: Annotated[
         int,
         Meta(ge=2, le=8),
-        _doc("Upstreams ended from which on a request is refused, but for trials.", "ends"),
+        _doc("Number of upstream ends from which a request is refused, except for trials.", "ends"),
     ] = DEFAULT_QUARANTINE_FROM
     quarantine_s: Annotated[
         float,
         Meta(ge=1, le=3600),
-        _doc("Time to the first trial; each end more makes it eight times as long.", "s"),
+        _doc("Time to the first trial; each further end makes it eight times as long.", "s"),
     ] = DEFAULT_QUARANTINE
     keep_s: Annotated[
         float,
         Meta(ge=10, le=86_400),
-        _doc("Time without a further end after which suspicion is over.", "s"),
+        _doc("Time without a further end after which the suspicion expires.", "s"),
     ] = DEFAULT_KEEP
 
 
 class QuotasTable(Table, frozen=True, kw_only=True):
-    """Bound how far customers may exceed their quotas; all processes need the same.
+    """Limit how far customers may exceed their quotas; all processes need the same values.
 
     In any window, the number of a customer's requests that run is at most
     (rate x window + burst) x (1 + overage) + slack.
     """
 
     window_s: Annotated[
-        float, Meta(ge=1, le=3600), _doc("Time over which a customer's requests are summed.", "s")
+        float, Meta(ge=1, le=3600), _doc("Time over which a customer's requests are counted.", "s")
     ] = DEFAULT_WINDOW
     overage: Annotated[
         float,
         Meta(ge=0, le=1),
-        _doc("Share that a customer may have more; with less, nodes ask for tokens more often."),
+        _doc(
+            "Share by which a customer may exceed its quota; if low, nodes request tokens more "
+            "often."
+        ),
     ] = DEFAULT_OVERAGE
     slack: Annotated[
         float,
         Meta(ge=0, le=10_000),
         _doc(
-            "Requests that it may have beyond that; two for each voter serve customers of less "
-            "than a request a second best.",
+            "Number of further requests that a customer may run; two for each voter are best for "
+            "customers with less than one request per second.",
             "requests",
         ),
     ] = DEFAULT_SLACK
 
 
 class ClaimsTable(Table, frozen=True, kw_only=True):
-    """Bound what the process keeps of the keys of each service whose claims it holds.
+    """Limit the keys and answers that the process keeps of each service whose claims it holds.
 
     The instances that may hold a service's claims should have the same bounds.
     """
@@ -348,36 +374,44 @@
     retention_s: Annotated[
         float,
         Meta(ge=60, le=2_592_000),
-        _doc("Time for which a key is kept; a resend after it may run again.", "s"),
+        _doc("Time for which a key is kept; a request that is resent later may run again.", "s"),
     ] = 86_400
     keys: Annotated[
         int,
         Meta(ge=100, le=100_000_000),
-        _doc("Keys of a service; further ones are refused as not run.", "keys"),
+        _doc("Maximum number of keys of a service; further ones are refused as not run.", "keys"),
     ] = 50_000
     key_bytes: Annotated[
         int,
         Meta(ge=1 << 16, le=1 << 40),
-        _doc("Memory of a service's keys and answers; further keys are refused as not run.", "B"),
+        _doc(
+            "Maximum memory for a service's keys and answers; further keys are refused as not run.",
+            "B",
+        ),
     ] = (
         16 << 20
     )
     answer_bytes: Annotated[
         int,
         Meta(ge=0, le=1 << 40),
-        _doc("Memory of a service's answers; the oldest are forgotten, not their keys.", "B"),
+        _doc(
+            "Maximum memory for a service's answers; the oldest are evicted, their keys are kept.",
+            "B",
+        ),
     ] = (
         4 << 20
     )
 
 
 class TimelineTable(Table, frozen=True, kw_only=True):
-    """Bound the buffer of recorded events."""
+    """Limit the buffer of recorded events."""
 
     capacity: Annotated[
         int,
         Meta(ge=100, le=1_000_000),
-        _doc("Events kept, half of them for single calls; the oldest go first.", "events"),
+        _doc(
+            "Number of events kept, half for single calls; the oldest are evicted first.", "events"
+        ),
     ] = 10_000
 
 
@@ -387,11 +421,11 @@
     level: Annotated[
         Literal["debug", "info", "warning", "error"], _doc("Least severe level to log.")
     ] = "info"
-    format: Annotated[Literal["json", "text"], _doc("Shape of a log line.")] = "json"
+    format: Annotated[Literal["json", "text"], _doc("Format of log lines.")] = "json"
 
 
 class TlsTable(Table, frozen=True, kw_only=True):
-    """Name the keys of the process's links."""
+    """Define the keys and certificates for the process's links."""
 
     authority: Annotated[File, _doc("PEM file of the authority that signs every instance's key.")]
     certificate: Annotated[File, _doc("PEM file of the instance's certificate.")]
