--- a/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/dispatch_results.py
@@ -17,7 +17,7 @@
 from bendwind_core.attempts.service_time import record_result, record_time
 from bendwind_core.attempts.slots import load_sample
 from bendwind_core.attempts.suspects import record_upstream_end
-from bendwind_core.attempts.upstream_end import record_reset, record_sign_of_life, record_unanswered
+from bendwind_core.attempts.upstream_end import record_liveness, record_reset, record_unanswered
 from bendwind_core.attempts.upstream_lifecycle import mark_unreachable
 from bendwind_core.attempts.usual_times import record_route_time
 from bendwind_core.core import Seconds
@@ -32,7 +32,7 @@
 
 def handle_answer_head(owner_state: OwnerState, event: DispatchHead, now: Seconds) -> None:
     """Handle the head of an answer."""
-    record_sign_of_life(owner_state.end_detector, now)
+    record_liveness(owner_state.end_detector, now)
     # Only an answer to a request ends a series of resets: health checks may succeed while the
     # upstream resets every request.
     owner_state.end_detector.consecutive_resets = 0
--- a/packages/bendwind-core/src/bendwind_core/attempts/owner.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/owner.py
@@ -93,7 +93,7 @@
 from bendwind_core.attempts.service_time import record_result
 from bendwind_core.attempts.slots import has_capacity, load_sample, next_permitted_send
 from bendwind_core.attempts.suspects import is_now_quarantined, record_success
-from bendwind_core.attempts.upstream_end import record_sign_of_life
+from bendwind_core.attempts.upstream_end import record_liveness
 from bendwind_core.attempts.upstream_lifecycle import (
     handle_announcement,
     handle_drain,
@@ -148,7 +148,7 @@
             record_refused_call(owner_state.dependency_overload, now)
         case LoadReported(slow_factor=slow_factor):
             record_report(owner_state.pace, slow_factor, now)
-            record_sign_of_life(owner_state.end_detector, now)
+            record_liveness(owner_state.end_detector, now)
         case LoadNotReported(has_load_endpoint=has_load_endpoint):
             owner_state.has_load_endpoint = has_load_endpoint
         case RateLimitReported(per_second=per_second, sent_at=sent_at):
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_end.py
@@ -51,7 +51,7 @@
         self.now = END_SETTLING_TIME / 2
         self.assertEqual(self.list_unanswered(self.reset(2)), [2])
 
-    def test_sign_of_life_excludes_attempts_that_failed_before_it(self):
+    def test_liveness_excludes_attempts_that_failed_before_it(self):
         self.run_attempts(1, 2, 3)
         self.reset(1)
         self.now = 2 * END_SETTLING_TIME
--- a/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/upstream_end.py
@@ -2,7 +2,7 @@
 
 When an upstream ends, its connections break one after the other. Only a refused connection, or
 another run in its place, shows that the upstream has ended. Until then an attempt without an answer
-is kept, as long as the upstream gives no sign of life.
+is kept, as long as nothing proves that the upstream is alive.
 """
 
 import math
@@ -43,7 +43,7 @@
 
 
 class EndDetector(msgspec.Struct):
-    """Hold the attempts that ended without an answer since the upstream's last sign of life.
+    """Hold the attempts that ended without an answer since the upstream last proved to be alive.
 
     Until `end_settles_at`, such attempts belong to the last end that was detected; `end_count`
     counts the ends. `is_check_pending` says that a check whether the upstream accepts connections
@@ -106,8 +106,8 @@
     return True
 
 
-def record_sign_of_life(detector: EndDetector, now: Seconds) -> None:
-    """Record a sign of life: attempts that ended well before it did not end the upstream."""
+def record_liveness(detector: EndDetector, now: Seconds) -> None:
+    """Record that the upstream is alive: attempts that ended well before did not end it."""
     if detector.unanswered:
         since = now - END_SETTLING_TIME
         detector.unanswered = [ended for ended in detector.unanswered if ended.ended_at >= since]
--- a/packages/bendwind-node/src/bendwind_node/calls/notice_log.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/notice_log.py
@@ -12,7 +12,7 @@
 
 class _Line(msgspec.Struct):
     written_at: Seconds
-    left_out: int = 0
+    dropped: int = 0
 
 
 class NoticeLog(msgspec.Struct, eq=False):
@@ -25,10 +25,10 @@
         """Record an event, or only count it if one of its kind was recorded within the interval."""
         line = self.lines.get((kind, upstream))
         if line is not None and now < line.written_at + MIN_LINE_INTERVAL:
-            line.left_out += 1
+            line.dropped += 1
             return
-        if line is not None and line.left_out:
-            detail = f"{detail} ({line.left_out} left out)"
+        if line is not None and line.dropped:
+            detail = f"{detail} ({line.dropped} left out)"
         self.lines.pop((kind, upstream), None)
         self.lines[kind, upstream] = _Line(now)
         if len(self.lines) > MAX_TRACKED_LINES:
--- a/packages/bendwind-node/src/bendwind_node/control/control_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/control_voter.py
@@ -124,7 +124,7 @@
         return waiter.result
 
     async def transfer_leadership(self) -> None:
-        """Transfer leadership before a planned stop; give up after an election timeout."""
+        """Transfer leadership before a planned stop; stop trying after an election timeout."""
         limit = self.replica.settings.election_s
         with trio.move_on_after(limit), contextlib.suppress(trio.BrokenResourceError):
             while self.is_leader and self.stopped is None:
--- a/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/tests/test_voter.py
@@ -110,9 +110,10 @@
 
 
 class VoterTest(unittest.TestCase):
-    def test_address_of_an_offering_voter_is_reported(self):
-        # A voter that was replaced during an outage sends its offer through another voter. A leader
-        # that did not know the address of the sender could not reply, and the voter never rejoined.
+    def test_address_of_a_joining_voter_is_reported(self):
+        # A voter that was replaced during an outage sends its join request through another voter. A
+        # leader that did not know the address of the sender could not reply, and the voter never
+        # rejoined.
         async def scenario(cluster):
             reported = []
             voter = cluster.start("a")
--- a/packages/bendwind-node/src/bendwind_node/control/voter.py
+++ b/packages/bendwind-node/src/bendwind_node/control/voter.py
@@ -6,8 +6,8 @@
   message if the voter's queue is full.
 - `await voter.propose(command)`: commit a command, which must not be empty. The result is
   Ok(Applied(index, value)), where value is what the state machine returned, or
-  Error(NotLeader | Refused | Lost | VoterStopped). After Lost the command may still be committed:
-  propose it again only if the state machine detects duplicates.
+  Error(NotLeader | Refused | LeadershipLost | VoterStopped). After LeadershipLost the command may
+  still be committed: propose it again only if the state machine detects duplicates.
 - `await voter.barrier()`: Ok(Confirmed(index, started_at)) once every entry committed on any voter
   before the call is applied here, or Error(Unconfirmed | VoterStopped). The age of the state is the
   time since `started_at`. Concurrent calls share one quorum round.
--- a/packages/bendwind-node/src/bendwind_node/daemon/run.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/run.py
@@ -77,8 +77,8 @@
     nursery.start_soon(dispatcher.probes.run)
     if daemon.settings.beside is not None:
         beside = daemon.settings.beside
-        place = UpstreamAddress(beside.service, beside.host, beside.port)
-        nursery.start_soon(dispatcher.owner.register.register_by_health_path, place)
+        address = UpstreamAddress(beside.service, beside.host, beside.port)
+        nursery.start_soon(dispatcher.owner.register.register_by_health_path, address)
     nursery.start_soon(_report_lease_proof, dispatcher)
     nursery.start_soon(_watch_signals, daemon)
     if daemon.keys is not None:
@@ -155,13 +155,13 @@
 
 
 async def _close_auxiliary_servers(daemon: Daemon) -> None:
-    """Let the auxiliary servers finish their requests, and cancel the rest after a timeout."""
+    """Wait until the auxiliary servers finish their requests; cancel the rest after a timeout."""
     daemon.auxiliary_drain.set()
     with trio.move_on_after(AUXILIARY_TIMEOUT):
         for closed in daemon.auxiliary_closed:
             await closed.wait()
-    # A request that began after this point could not finish; its caller is told that it has not
-    # run.
+    # A request that began after this point could not finish; its caller receives the answer that
+    # it has not run.
     for scope in daemon.auxiliary_scopes:
         scope.cancel()
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/tests/test_planned_stop.py
@@ -25,9 +25,9 @@
 
     def handle_departure(self, name):
         self.has_left = True
-        self.on_left()
+        self.on_departure()
 
-    def on_left(self):
+    def on_departure(self):
         pass
 
 
@@ -147,7 +147,7 @@
         daemon.auxiliary_closed.append(trio.Event())
         daemon.auxiliary_scopes.append(trio.CancelScope())
         ended = []
-        register.on_left = lambda: ended.append(daemon.auxiliary_scopes[0].cancel_called)
+        register.on_departure = lambda: ended.append(daemon.auxiliary_scopes[0].cancel_called)
         trio.run(_stop, daemon, clock=trio.testing.MockClock(autojump_threshold=0))
         self.assertEqual(ended, [True])
 
--- a/packages/bendwind-node/src/bendwind_node/metrics/gather.py
+++ b/packages/bendwind-node/src/bendwind_node/metrics/gather.py
@@ -84,9 +84,11 @@
 def gather_logs() -> Iterator[Sample]:
     """Yield the number of log lines dropped since the buffer was full."""
     handlers = logging.getLogger().handlers
-    aside_handlers = [handler for handler in handlers if isinstance(handler, BackgroundHandler)]
+    background_handlers = [
+        handler for handler in handlers if isinstance(handler, BackgroundHandler)
+    ]
     yield Sample(
-        Metric.LOG_LINES_LEFT_OUT, sum(handler.total_dropped for handler in aside_handlers)
+        Metric.LOG_LINES_LEFT_OUT, sum(handler.total_dropped for handler in background_handlers)
     )
 
 
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/loss_machine.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/loss_machine.py
@@ -103,8 +103,10 @@
             member for name, member in members.items() if name not in self.recovering
         ]
         present = {member.store.identity.voter_id for member in complete_members}
-        halves = self.cluster.oracle.voters[1].list_quorum_groups()
-        present_counts = [len({voter.voter_id for voter in half} & present) for half in halves]
+        quorum_groups = self.cluster.oracle.voters[1].list_quorum_groups()
+        present_counts = [
+            len({voter.voter_id for voter in group} & present) for group in quorum_groups
+        ]
         missing = self.size - min(present_counts)
         self.lost_disk_count = min(self.lost_disk_count, missing)
         return self.lost_disk_count
--- a/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement.py
+++ b/packages/bendwind-node/src/bendwind_node/storage/tests/test_replacement.py
@@ -160,7 +160,7 @@
             sizes = set()
             for _ in range(100):
                 cluster.run(1)
-                sizes |= {len(half) for half in cluster.oracle.voters[1].list_quorum_groups()}
+                sizes |= {len(group) for group in cluster.oracle.voters[1].list_quorum_groups()}
             self.assertEqual(sizes, {5})
             self.assertIsInstance(leader.removal_outcomes[request], Committed)
             self.assertEqual(cluster.voter_names(), set("abcdex") - {removed})
@@ -193,8 +193,8 @@
             self.assertEqual(cluster.voter_names(), set("abcde"))
 
     def test_voters_without_support_for_joint_sets_work_with_others(self):
-        # Such voters treat the staying voters as the whole set. Each majority of these is also a
-        # majority of both halves.
+        # Such voters treat the staying voters as the complete set. Each majority of these is also a
+        # majority of both quorum groups.
         for seed in range(12):
             cluster = form_cluster(seed)
             for name in cluster.rng.sample("abcdex", 3):
