--- a/packages/bendwind-core/src/bendwind_core/attempts/admission.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/admission.py
@@ -245,7 +245,7 @@
 
 
 def query_load_if_held(owner_state: OwnerState, now: Seconds, effects: list[OwnerEffect]) -> None:
-    """Query the upstream's load while an attempt waits for nothing else."""
+    """Query the upstream's load while an attempt waits only for the upstream's pace."""
     if not _may_query_load(owner_state) or not _list_held(owner_state, now):
         return
     if not paces.is_report_current(owner_state.pace, now):
--- a/packages/bendwind-core/src/bendwind_core/attempts/call.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/call.py
@@ -98,12 +98,12 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether the rule permits attempts without a proof that earlier ones did not run."""
+        """Return whether the rule permits attempts without proof that earlier ones did not run."""
         return self.rule.repeat is Repeat.IDEMPOTENT
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether the call has its final outcome."""
+        """Return whether the call has its final outcome."""
         return self.phase is CallPhase.FINISHED
 
 
@@ -151,12 +151,12 @@
 
 
 def has_pending(call: EntryCall) -> bool:
-    """Tell whether an attempt may still bring an answer or a proof that it did not run."""
+    """Return whether an attempt may still bring an answer or a proof that it did not run."""
     return any(attempt.state in _PENDING for attempt in call.attempts)
 
 
 def has_reached_attempt_limit(call: EntryCall) -> bool:
-    """Tell whether the call may have reached as many upstreams as its rule permits."""
+    """Return whether the call may have reached as many upstreams as its rule permits."""
     limit = call.rule.attempts
     if limit is None:
         return False
@@ -168,10 +168,10 @@
 
 
 def has_expired(call: EntryCall, now: Seconds) -> bool:
-    """Tell whether a call that may not be repeated has reached its expiry time."""
+    """Return whether a call that may not be repeated has reached its expiry time."""
     return call.expires_at is not None and now >= call.expires_at
 
 
 def may_have_run(call: EntryCall) -> bool:
-    """Tell whether any attempt lacks a proof that it did not run."""
+    """Return whether any attempt lacks a proof that it did not run."""
     return any(attempt.state in _MAY_HAVE_RUN for attempt in call.attempts)
--- a/packages/bendwind-core/src/bendwind_core/attempts/events.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/events.py
@@ -154,7 +154,7 @@
 
 
 class SendCancel(msgspec.Struct):
-    """Tell the owner that the attempt's answer is no longer needed."""
+    """Notify the owner that the attempt's answer is no longer needed."""
 
     attempt: AttemptId
     upstream: Upstream
--- a/packages/bendwind-core/src/bendwind_core/attempts/hand_overs.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/hand_overs.py
@@ -120,7 +120,7 @@
 ) -> Milliseconds | None:
     """Return the wait that is reported to the entry node of a refused attempt, or None.
 
-    The wait is how long the attempt would have waited, or when its caller should come back.
+    The wait is how long the attempt would have waited, or the time until its caller should retry.
     """
     if refusal is NotRunReason.LIMITED and queued.hand_over.may_wait:
         return assign_retry_wait_ms(owner_state, now)
--- a/packages/bendwind-core/src/bendwind_core/attempts/messages.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/messages.py
@@ -74,7 +74,7 @@
 
     `owner_incarnation` is the incarnation of the owner that the message is meant for; any other
     incarnation refuses it.
-    `accept_if_slow` tells the owner to accept the attempt even if the upstream has stalled, or
+    `accept_if_slow` requests the owner to accept the attempt even if the upstream has stalled, or
     could start it at once but would answer late.
     `body` is the first part of the request body; `more` says that BodyPart messages follow.
     `route` is the name of the route that the call matched, and `origin` the service whose upstream
--- a/packages/bendwind-core/src/bendwind_core/attempts/no_wait.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/no_wait.py
@@ -33,7 +33,7 @@
 
 
 def should_send_no_wait(call: EntryCall, upstream: Upstream, now: Seconds) -> bool:
-    """Tell whether the next attempt is a no-wait attempt, which only a free upstream accepts."""
+    """Return whether the next attempt is a no-wait attempt, which only a free upstream accepts."""
     # The other policies are plain baselines that this one is compared with.
     if call.service.policy is not Policy.SCORE or not may_send_no_wait(call.budget.no_wait):
         return False
@@ -64,11 +64,11 @@
     return first_free if _estimate_free_at(first_free) - now <= max_wait else None
 
 
-def may_ask_another_owner(call: EntryCall) -> bool:
-    """Tell whether another owner may be asked after one that has no capacity.
+def may_try_another_owner(call: EntryCall) -> bool:
+    """Return whether another owner may be tried after one that has no capacity.
 
-    If most owners have none, each further attempt is a wasted message, and the caller should rather
-    learn at once when to retry.
+    If most owners have none, each further attempt is a wasted message. It is then better to report
+    to the caller immediately when to retry.
     """
     refused = sum(one.may_wait and one.not_run in CAPACITY_REFUSALS for one in call.attempts)
     return refused < MIN_CAPACITY_REFUSALS or may_send_no_wait(call.budget.no_wait)
--- a/packages/bendwind-core/src/bendwind_core/attempts/sending.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/sending.py
@@ -23,7 +23,7 @@
 from bendwind_core.attempts.no_wait import (
     exclude_busy_refusals,
     find_upstream_with_shortest_wait,
-    may_ask_another_owner,
+    may_try_another_owner,
     should_send_no_wait,
 )
 from bendwind_core.attempts.retry_after import NoCapacity
@@ -97,7 +97,7 @@
 
 
 def _has_alternative(upstream: Upstream, choose: ChooseUpstream) -> bool:
-    """Tell whether there is another upstream; without one, a request has to wait anyway."""
+    """Return whether there is another upstream; without one, a request has to wait anyway."""
     return isinstance(choose(frozenset((upstream.name,))), Upstream)
 
 
@@ -202,13 +202,13 @@
         return False
     if has_reached_attempt_limit(call):
         return False
-    return (is_budget_exempt and may_ask_another_owner(call)) or (
+    return (is_budget_exempt and may_try_another_owner(call)) or (
         not is_budget_exempt and may_retry(call.budget)
     )
 
 
 def _would_refuse_again(attempt: Attempt) -> bool:
-    """Tell whether the upstream that refused this attempt would refuse the next one too."""
+    """Return whether the upstream that refused this attempt would refuse the next one too."""
     if attempt.not_run is NotRunReason.LIMITED:
         # The owner would have let it wait if the rate limit allowed it to start in time.
         return attempt.may_wait
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_fuzz_limit.py
@@ -107,7 +107,7 @@
         newest_first=st.booleans(),
     )
     def offer_load(self, steps, each, has_target, may_wait, newest_first):
-        """Have all nodes offer requests for a while; answers are read in the next step."""
+        """Send requests at all nodes for a while; answers are read in the next step."""
         for _ in range(steps):
             for node in NODES * each:
                 self.hand_over(node, has_target=has_target, may_wait=may_wait)
@@ -116,7 +116,7 @@
             self.advance()
 
     def answer_running(self):
-        """Have the upstream answer all requests that it runs."""
+        """Make the upstream answer all requests that it runs."""
         for process, attempt, sent_at in self.running:
             self.unread_answers.append(
                 (process, attempt, sent_at, self.oracle.per_second, self.now)
@@ -175,7 +175,7 @@
 
     @rule()
     def move_to_other_node(self):
-        """Have the upstream announce itself to another node; the former owner is not informed."""
+        """Announce the upstream to another node; the former owner is not informed."""
         if len(self.owners) > 1:
             return
         former = self.owners[0]
--- a/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_limit.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/tests/test_upstream_limit.py
@@ -38,7 +38,7 @@
         self.step(ov.RateLimitReported(per_second, self.now))
 
     def run_for(self, span_s, offered_per_s, **more):
-        """Offer requests evenly, answer those that run, and return the ones that were served."""
+        """Send requests evenly, answer those that run, and return the ones that were served."""
         served = []
         for number in range(round(span_s * 1000)):
             self.now += 0.001
--- a/packages/bendwind-core/src/bendwind_core/attempts/usual_times.py
+++ b/packages/bendwind-core/src/bendwind_core/attempts/usual_times.py
@@ -1,4 +1,4 @@
-"""Learn how long the requests of each route usually run at an upstream, and estimate by it."""
+"""Track how long requests of each route usually run at an upstream; estimate run times by it."""
 
 from bendwind_core.attempts.messages import HandOver
 from bendwind_core.attempts.owner_state import OwnerState, RunningAttempt
--- a/packages/bendwind-core/src/bendwind_core/membership/tests/test_slow_node.py
+++ b/packages/bendwind-core/src/bendwind_core/membership/tests/test_slow_node.py
@@ -54,7 +54,7 @@
         return self.step(MessageReceived(beat.to, reply))
 
     def attach(self):
-        """Let the preferred voter answer the first heartbeat at once, and not the next one."""
+        """Make the preferred voter answer the first heartbeat immediately, but not the next one."""
         self.push(0, self.view.voter)
         self.advance(0.1)
         self.answer(self.beats[-1])
--- a/packages/bendwind-core/src/bendwind_core/plans/commands.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/commands.py
@@ -51,7 +51,7 @@
 
 
 class PutRevision(Record, frozen=True, array_like=True, tag="put-revision"):
-    """Activate a whole configuration if its revision is above the current revision.
+    """Activate a complete configuration if its revision is above the current revision.
 
     `document` is the text that the operator sent, stored so that it can be read back unchanged.
     `customers` is None if requests need no key.
--- a/packages/bendwind-core/src/bendwind_core/plans/plan_table.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/plan_table.py
@@ -9,7 +9,7 @@
 from bendwind_core.plans.results import EvictedPlan, UnknownPlan
 
 MAX_OPEN_PLANS = 32
-# Four whole configurations of the largest planned size, which is 650 services.
+# Four complete configurations of the largest planned size, which is 650 services.
 MAX_OPEN_SERVICES = 2_600
 # Two whole lists of the maximum number of customers.
 MAX_OPEN_CUSTOMERS = 40_000
--- a/packages/bendwind-core/src/bendwind_core/plans/revision.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/revision.py
@@ -1,4 +1,4 @@
-"""Find faults that make a whole configuration invalid."""
+"""Find faults that make a complete configuration invalid."""
 
 import enum
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 class RevisionFaultKind(enum.StrEnum):
-    """Enumerate the faults of a whole configuration."""
+    """Enumerate the faults of a complete configuration."""
 
     BAD_REVISION = "bad-revision"
     DUPLICATE_SERVICE = "duplicate-service"
@@ -41,7 +41,7 @@
 
 
 def find_revision_fault(command: PutRevision) -> RevisionFault | None:
-    """Return the first fault of a whole configuration, or None if it is valid."""
+    """Return the first fault of a complete configuration, or None if it is valid."""
     return next(_find_faults(command), None)
 
 
--- a/packages/bendwind-core/src/bendwind_core/plans/revision_file.py
+++ b/packages/bendwind-core/src/bendwind_core/plans/revision_file.py
@@ -1,4 +1,4 @@
-"""Parse a whole configuration from TOML text."""
+"""Parse a complete configuration from TOML text."""
 
 from typing import Annotated
 
@@ -82,7 +82,7 @@
 
 
 def parse_revision(data: bytes, file: str) -> Result[PutRevision, TomlError]:
-    """Parse and fully check the TOML text of a whole configuration.
+    """Parse and fully check the TOML text of a complete configuration.
 
     Errors: the first fault of the text.
     """
--- a/packages/bendwind-core/src/bendwind_core/quotas/bucket.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/bucket.py
@@ -103,6 +103,6 @@
 
 
 def find_wait(bucket: Bucket, amount: float, now: Seconds) -> Seconds:
-    """Return the time until the bucket holds so many tokens, if none are withdrawn."""
+    """Return the time until the bucket holds `amount` tokens, if none are withdrawn."""
     refill(bucket, now)
     return max(0.0, amount - bucket.level) / bucket.share.rate
--- a/packages/bendwind-core/src/bendwind_core/quotas/node.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/node.py
@@ -78,7 +78,7 @@
 def request_token(
     quotas: NodeQuotas, customer: str, until: Seconds, now: Seconds
 ) -> Result[Grant, QuotaRefusal] | Waiter:
-    """Take a token for a request, refuse the request, or let it wait, at most until `until`."""
+    """Grant a request a token, refuse it, or make it wait, at most until `until`."""
     account = quotas.accounts.get(customer)
     if account is None:
         account = quotas.accounts[customer] = NodeAccount(last_demand_at=now)
--- a/packages/bendwind-core/src/bendwind_core/quotas/reserve.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/reserve.py
@@ -1,9 +1,9 @@
-"""Let nodes hold a few tokens of the customers that they serve, for use while no voter answers.
+"""Reserve a few tokens at nodes for the customers they serve, for use while no voter answers.
 
 Each voter has numbered reservations for its share of a customer's reserve. A reservation is
 assigned to one node, whose token for it is valid for `RESERVATION_LIFETIME`. It is not assigned
-again until a whole window has passed after that. So in any window each reservation lets at most one
-request run, whichever messages or processes are lost.
+again until a whole window has passed after that. So in any window each reservation permits at most
+one request to run, whichever messages or processes are lost.
 """
 
 import msgspec
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_actions.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_actions.py
@@ -84,7 +84,7 @@
 
 
 def send_requests(world: FuzzWorld, node: Process, number: int) -> None:
-    """Let several requests arrive at the same time."""
+    """Send several requests at the same time."""
     for _ in range(number):
         world.request(node)
 
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_world.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/fuzz_world.py
@@ -244,7 +244,7 @@
             self.tick(process)
 
     def pass_time(self, pause: Seconds, are_confirmed: bool = True) -> None:
-        """Let time pass while requests arrive and all processes run."""
+        """Advance the clock while requests arrive and all processes run."""
         end = self.now + pause
         while self.now < end:
             self.now = min(end, self.now + STEP)
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/quota_world.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/quota_world.py
@@ -189,7 +189,7 @@
         self.send_all(node.name, flush_quota_requests(node.quotas, node.voters, self.now))
 
     def request(self, customer: str, node: str) -> None:
-        """Let a request of a customer arrive at a node."""
+        """Send a request of a customer to a node."""
         entry = self.nodes[node]
         outcome = request_token(entry.quotas, customer, self.now + TOKEN_WAIT, self.now)
         if not isinstance(outcome, Waiter):
@@ -214,7 +214,7 @@
     def add_request_stream(
         self, customer: str, nodes: tuple[str, ...], rate: float, start: Seconds, end: Seconds
     ):
-        """Let requests arrive at random times, each at one of the nodes."""
+        """Send requests at random times, each to one of the nodes."""
 
         def arrive() -> None:
             self.request(customer, self.rng.choice(nodes))
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_fuzz_quotas.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_fuzz_quotas.py
@@ -19,7 +19,7 @@
 
 
 class QuotaMachine(RuleBasedStateMachine):
-    """Let two nodes and three voters serve one customer that sends more than its quota."""
+    """Run two nodes and three voters that serve one customer that sends more than its quota."""
 
     def __init__(self):
         super().__init__()
@@ -98,7 +98,7 @@
 
 
 class ChangingLimitMachine(QuotaMachine):
-    """Let the customer's limit change as well."""
+    """Change the customer's limit as well."""
 
     @rule(limit=st.sampled_from(actions.LIMITS))
     def limit_changes(self, limit):
--- a/packages/bendwind-core/src/bendwind_core/quotas/tests/test_node.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/tests/test_node.py
@@ -35,7 +35,7 @@
         return flush_quota_requests(self.quotas, VOTERS, now)
 
     def request_and_flush(self, now):
-        """Let one request wait; return it and the quota request sent for it."""
+        """Make one request wait; return it and the quota request sent for it."""
         waiter = self.request(now)
         self.assertIsInstance(waiter, Waiter)
         (effect,) = self.flush(now)
--- a/packages/bendwind-core/src/bendwind_core/quotas/voter_state.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/voter_state.py
@@ -29,8 +29,8 @@
 # and are refused the rest.
 MAX_WAITING_DEMANDS = 4096
 # The run of a process is numbered by the millisecond at which the process starts. Its request
-# numbers begin at this many times the run. No process sends so many requests in a millisecond, so
-# two runs never use the same number.
+# numbers begin at this many times the run. No process sends that many requests in a millisecond,
+# so two runs never use the same number.
 NUMBERS_PER_RUN = 1 << 20
 
 
--- a/packages/bendwind-core/src/bendwind_core/routing/table.py
+++ b/packages/bendwind-core/src/bendwind_core/routing/table.py
@@ -139,7 +139,7 @@
     reason: NotRunReason,
     load: LoadSample | None = None,
 ) -> None:
-    """Record that an attempt was sent back without being run."""
+    """Record that an attempt was reported as not run."""
     tracked = table.upstreams.get(name)
     if tracked is None:
         return
--- a/packages/bendwind-core/src/bendwind_core/suspicion/table.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/table.py
@@ -47,17 +47,17 @@
 
 
 class Unrestricted(msgspec.Struct, frozen=True):
-    """Let a request run like any other."""
+    """Permit a request to run like any other."""
 
 
 class Isolated(msgspec.Struct, frozen=True):
-    """Let a request run only where at most `max_other_suspects` other suspects run."""
+    """Permit a request to run only where at most `max_other_suspects` other suspects run."""
 
     max_other_suspects: int
 
 
 class Quarantined(msgspec.Struct, frozen=True):
-    """Do not let a request run.
+    """Do not permit a request to run.
 
     Units: `wait_ms` is the time until its next trial, in milliseconds.
     """
@@ -166,7 +166,7 @@
 
 
 def is_quarantined(table: SuspectTable, suspect: Suspect) -> bool:
-    """Return whether so many upstreams ended under a request that it only runs as a trial."""
+    """Return whether enough upstreams ended under a request that it runs only as a trial."""
     return suspect.count >= table.limits.quarantine_from
 
 
--- a/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_delivery.py
@@ -71,7 +71,7 @@
             self._record_gone()
 
     async def _process_effects(self, *, is_watched: bool) -> bool:
-        """Carry out effects; return False if the call goes on and its caller has to be watched."""
+        """Apply effects; return False if the call continues and its caller has to be watched."""
         run = self.run
         until = math.inf if is_watched else trio.current_time() + GONE_WATCH_DELAY
         while is_watched or not self.is_answer_begun:
--- a/packages/bendwind-node/src/bendwind_node/calls/call_task.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/call_task.py
@@ -128,4 +128,4 @@
             case Result(error=refused):
                 refusal = Refusal.not_run(refused.reason, refused.retry_after_ms)
                 voter = f"voter {refused.voter}" if refused.voter else "no voter"
-                return replace(refusal, quota=f"{call.customer}: refused, told by {voter}")
+                return replace(refusal, quota=f"{call.customer}: refused by {voter}")
--- a/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/entry_node.py
@@ -381,7 +381,7 @@
     def _withholds_body(self, run: CallRun, effect: ev.SendHandOver) -> bool:
         """Return whether the body is sent only after the owner has accepted the request.
 
-        The body of a refused request would load the links of both nodes for nothing.
+        The body of a refused request would load the links of both nodes without any use.
         """
         is_far = effect.upstream.owner.data_centre != self.own.data_centre
         return self._has_long_body(run) and (is_far or not effect.may_wait)
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -366,7 +366,7 @@
         facts = make_dispatch_facts(owned.owner_state, hand_over, scope.deadline, started_at)
         outflow = Outflow()
         self.outflows[attempt] = outflow
-        # The upstream is told the time that is left after the wait in the queue.
+        # The upstream is sent the time that remains after the wait in the queue.
         remaining_ms = (scope.deadline - started_at) * MILLISECONDS_PER_SECOND
         dispatch = UpstreamDispatch(
             owned.pool,
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_notices_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_notices_path.py
@@ -43,7 +43,7 @@
 
 
 class NoticesPathTest(unittest.TestCase):
-    """Let a scripted upstream answer a call, and check which notices its owner node applied."""
+    """Answer a call by a scripted upstream, and check which notices its owner node applied."""
 
     def run_with(self, answer, check):
         async def handler(stream, number):
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_quota_path.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_quota_path.py
@@ -83,7 +83,7 @@
         self.run_requests(make_customer(0.01, 5.0), 40)
         facts = [event.facts.quota for event in self.events if isinstance(event.facts, CallFacts)]
         self.assertIn("maria: token of voter v0", facts)
-        self.assertIn("maria: refused, told by voter v0", facts)
+        self.assertIn("maria: refused by voter v0", facts)
 
     def test_customer_without_a_limit_needs_no_token(self):
         statuses, _, _ = self.run_requests(make_customer(0.0, 0.0), 40)
--- a/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_h11.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/tests/test_upstream_h11.py
@@ -90,7 +90,7 @@
         self.run_with(handler, check)
 
     def check_closed_connection(self, request, resend_window=60.0):
-        """Let the upstream close the idle connection while the second request is sent."""
+        """Make the upstream close the idle connection while the second request is sent."""
         served = []
 
         async def handler(stream, number):
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_choice.py
@@ -29,8 +29,8 @@
 from bendwind_node.links import LinkHub
 from bendwind_node.membership import MembershipTask
 
-# Callers that are refused with the same expected wait for capacity are told to retry after between
-# one and this many times that wait, so that they do not all return together.
+# Callers that are refused with the same expected wait for capacity receive a retry time of between
+# one and this many times that wait, so that they do not all retry together.
 RETRY_AFTER_SPREAD = 3.0
 
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -225,7 +225,7 @@
 
 
 def update_addresses(hub: LinkHub, places: Iterable[VoterPlace | Voter]) -> None:
-    """Give the links the addresses of voters and learners, where these are known."""
+    """Set the addresses of voters and learners on the links, where these are known."""
     for place in places:
         if place.host:
             hub.set_address(place.name, place.host, place.port, place.data_centre)
--- a/packages/bendwind-node/src/bendwind_node/streams/direct_stream.py
+++ b/packages/bendwind-node/src/bendwind_node/streams/direct_stream.py
@@ -101,7 +101,7 @@
 
 
 def _set_acknowledgement_timeout(stream: DirectStream, silence_ms: int | None) -> DirectStream:
-    """Let the operating system abort the connection if its peer acknowledges nothing for a time.
+    """Make the operating system abort a connection whose peer acknowledges nothing for a time.
 
     A peer that lost power or is cut off from the network gives no other sign.
     Source: RFC 5482.
