--- a/packages/bendwind-core/src/bendwind_core/quotas/node.py
+++ b/packages/bendwind-core/src/bendwind_core/quotas/node.py
@@ -280,7 +280,7 @@
 
 
 def tick_node(quotas: NodeQuotas, now: Seconds) -> Effects:
-    """Pass over silent voters, settle requests that waited too long, return expired tokens."""
+    """Skip silent voters, settle requests that waited too long, return expired tokens."""
     _expire_requests(quotas, now)
     for customer, account in quotas.accounts.items():
         _settle_expired_waiters(quotas, account, now)
--- a/packages/bendwind-core/src/bendwind_core/suspicion/suspect.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/suspect.py
@@ -34,7 +34,7 @@
 
 
 class SuspectReport(Record, frozen=True, array_like=True):
-    """Report to another process the ends under one request since it was last cleared.
+    """Report to another process the ends recorded for one request since it was last cleared.
 
     `service` is the service whose upstream ended last. `cleared` counts how often the request was
     cleared: the report with the highest count is the newest, and reports with a lower count are
--- a/packages/bendwind-core/src/bendwind_core/suspicion/table.py
+++ b/packages/bendwind-core/src/bendwind_core/suspicion/table.py
@@ -128,7 +128,7 @@
 
 
 def clear_suspect(table: SuspectTable, signature: bytes, now: Seconds) -> bool:
-    """Remove all ends recorded under a request; return False if there were none."""
+    """Remove all ends recorded for a request; return False if there were none."""
     suspect = table.suspects.get(signature)
     if suspect is None or not suspect.ends:
         return False
@@ -166,7 +166,7 @@
 
 
 def is_quarantined(table: SuspectTable, suspect: Suspect) -> bool:
-    """Return whether enough upstreams ended under a request that it runs only as a trial."""
+    """Return whether enough upstreams ended while running a request to run it only as a trial."""
     return suspect.count >= table.limits.quarantine_from
 
 
--- a/packages/bendwind-node/src/bendwind_node/calls/announce_asgi.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/announce_asgi.py
@@ -1,4 +1,4 @@
-"""Receive the announcements of the upstreams beside this process over HTTP."""
+"""Receive the announcements of the upstreams on this instance over HTTP."""
 
 from collections.abc import Callable
 
--- a/packages/bendwind-node/src/bendwind_node/calls/owned_upstream.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owned_upstream.py
@@ -1,4 +1,4 @@
-"""Describe an upstream beside this process and its announcements."""
+"""Describe an upstream on this instance and its announcements."""
 
 import msgspec
 import trio
@@ -10,7 +10,7 @@
 
 
 class OwnedUpstream(msgspec.Struct, eq=False):
-    """Hold one upstream beside this process.
+    """Hold one upstream on this instance.
 
     An upstream that is not verified was announced once, perhaps by a late message: an earlier run
     of this process may have handled its departure since. It gets requests once its health path or
@@ -36,7 +36,7 @@
 
 
 class UpstreamAddress(msgspec.Struct, frozen=True):
-    """Hold the service and address of the upstream beside this process, whichever runs there."""
+    """Hold the service and address of the upstream on this instance, whichever runs there."""
 
     service: str
     host: str
--- a/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/owner_node.py
@@ -60,7 +60,7 @@
 
 
 class OwnerNode(msgspec.Struct, eq=False):
-    """Own the upstreams that run beside this process, with their states and links."""
+    """Own the upstreams that run on this instance, with their states and links."""
 
     own: Instance
     recorder: Recorder
--- a/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
+++ b/packages/bendwind-node/src/bendwind_node/calls/upstream_register.py
@@ -1,4 +1,4 @@
-"""Register the upstreams beside this process, verify them and expire their leases."""
+"""Register the upstreams on this instance, verify them and expire their leases."""
 
 from collections.abc import Callable, Iterable
 
@@ -41,14 +41,14 @@
 
 
 class UpstreamRegister(msgspec.Struct, eq=False):
-    """Hold the upstreams beside this process by name.
+    """Hold the upstreams on this instance by name.
 
     `feed` and `list_links` are set by the owner node: `feed` applies an event to the state of an
     upstream, and `list_links` returns the open links, which a new upstream's state has to know.
     `started_at` is when this process started. `suspects` holds the requests that may end
     upstreams. `has_evicted` says that a gone upstream was removed to make room for another.
     `is_evacuated` says that operators withdrew this data centre, so that its upstreams get no
-    requests. `configured_address` is the address of the only upstream beside this process
+    requests. `configured_address` is the address of the only upstream on this instance
     according to the settings, None if they name none; no other process reaches that upstream.
     """
 
--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -291,7 +291,7 @@
 
 
 def _track_members(daemon: Daemon, voter: ControlVoter) -> None:
-    """Give the links the addresses of all voters and learners in the log, configured or not."""
+    """Set the addresses of all voters and learners in the log on the links, configured or not."""
 
     hub = daemon.dispatcher.hub
     voter.update_member_address = lambda member: update_addresses(hub, (member,))
