--- a/packages/bendwind-node/src/bendwind_node/daemon/build.py
+++ b/packages/bendwind-node/src/bendwind_node/daemon/build.py
@@ -225,7 +225,7 @@
 
 
 def update_addresses(hub: LinkHub, places: Iterable[VoterPlace | Voter]) -> None:
-    """Give the links the addresses of voters and learners, where these are known."""
+    """Set the addresses of voters and learners on the links, where these are known."""
     for place in places:
         if place.host:
             hub.set_address(place.name, place.host, place.port, place.data_centre)
@@ -291,7 +291,7 @@
 
 
 def _track_members(daemon: Daemon, voter: ControlVoter) -> None:
-    """Give the links the addresses of all voters and learners in the log, configured or not."""
+    """Set the addresses of all voters and learners in the log on the links, configured or not."""
 
     hub = daemon.dispatcher.hub
     voter.update_member_address = lambda member: update_addresses(hub, (member,))
