--- a/packages/bendwind-bench/src/bendwind_bench/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure Bendwind with stand-in upstreams, open-loop load and faults by schedule."""
+"""Benchmark Bendwind with simulated upstreams, open-loop load and scheduled faults."""
--- a/packages/bendwind-bench/src/bendwind_bench/__main__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/__main__.py
@@ -1,4 +1,4 @@
-"""Offer the bench's commands."""
+"""Provide the command line of the benchmarks."""
 
 import signal
 import sys
@@ -6,10 +6,10 @@
 
 
 class Commands:
-    """Measure Bendwind with stand-in upstreams, open-loop load and faults by schedule."""
+    """Benchmark Bendwind with simulated upstreams, open-loop load and scheduled faults."""
 
     def upstream(self, config: str) -> None:
-        """Run one stand-in upstream from a TOML file until SIGTERM."""
+        """Run one simulated upstream with the settings of a TOML file until SIGTERM."""
         import trio
 
         from bendwind_bench.upstream import read_upstream_settings, run_upstream
@@ -17,7 +17,7 @@
         trio.run(run_upstream, read_upstream_settings(Path(config)))
 
     def load(self, plan: str, out: str) -> None:
-        """Send the load of a JSON plan and write its samples as JSON."""
+        """Send the load that a JSON plan describes and write the samples as JSON."""
         from bendwind_bench.load import run_worker
 
         run_worker(Path(plan), Path(out))
@@ -31,7 +31,7 @@
         seed: int = 0,
         direct: bool = False,
     ) -> int:
-        """Send the deployment's mix of requests and print a table; --direct leaves nodes out."""
+        """Send the deployment's mix of requests and print a table; --direct bypasses the nodes."""
         import trio
 
         from bendwind_bench.mix import run_mix
@@ -39,7 +39,7 @@
         return trio.run(run_mix, deployment, rate, seconds, workers, seed, direct)
 
     def demo(self, deployment: str = "certitermica") -> int:
-        """Show a deployment at work; ends with `demo: ok` or `demo: broken: ...`."""
+        """Demonstrate a deployment; the last line is `demo: ok` or `demo: broken: ...`."""
         import trio
 
         from bendwind_bench.demo import run_demo
@@ -47,7 +47,7 @@
         return trio.run(run_demo, deployment)
 
     def experiment(self, name: str, runs: int = 5, seed: int = 1, direct: bool = False) -> int:
-        """Run one experiment, or all, and write the result; --direct tries what needs no node."""
+        """Run one experiment or all and write the results; --direct runs without nodes."""
         import trio
 
         from bendwind_bench.experiments import EXPERIMENTS, run_experiment
@@ -60,14 +60,15 @@
         return max(trio.run(run_experiment, item, runs, seed, direct) for item in names)
 
     def losses(self, *logs: str, by: str = "route", plot: str = "", place: str = "") -> int:
-        """Tell from processes' logs which calls waited, were refused, late or for nothing, and why.
+        """Report from logs which calls waited, were refused, were late or ran in vain, and why.
 
         Args:
-            logs: Files with lines of any processes in any order, as a collector wrote them.
+            logs: Files with lines of any processes in any order, as a log collector writes them.
             by: route, rank, customer, service or data-centre.
             plot: PNG file to draw.
-            place: Regular expression whose first group is the data centre, in what stands before
-                a line; without it, the lines of processes' starts tell it.
+            place: Regular expression that is applied to the text before each log line and whose
+                first group is the data centre; without it, the data centre is read from the
+                lines that processes log at their start.
         """
         from bendwind_bench.losses import account_for
 
@@ -83,24 +84,24 @@
         json: str = "",
         size: int = 1,
     ) -> int:
-        """Run scenarios in virtual time, beside an earlier revision or KEY=VALUE if asked.
+        """Run scenarios in virtual time, optionally compared with a revision or changed keys.
 
         Args:
-            scenarios: Names of shipped scenarios or TOML files; none runs all that are shipped.
-            against: A revision of this repository, whose core decides, or keys of the scenario with
-                other values, parted by spaces.
-            seeds: A..B.
-            jobs: Processes to run at a time.
+            scenarios: Names of shipped scenarios or TOML files; all shipped scenarios if empty.
+            against: What to compare with: a revision of this repository, whose bendwind_core makes
+                the decisions, or KEY=VALUE changes of the scenario, separated by spaces.
+            seeds: Range of seeds, as A..B.
+            jobs: Maximum number of concurrent processes.
             plot: PNG file to draw.
-            json: File for machines to read, or - for standard output.
-            size: Multiplies upstreams and callers.
+            json: JSON file to write, or - for standard output.
+            size: Factor for the numbers of upstreams and callers.
         """
         from bendwind_bench.emulator.command import emulate
 
         return emulate(scenarios, str(against), str(seeds), jobs, plot, json, size)
 
     def page(self) -> None:
-        """Rewrite the page of measurements from the results."""
+        """Regenerate the page of measurements from the results."""
         from bendwind_bench.reports.page import write_page
 
         write_page()
@@ -108,7 +109,7 @@
     def capacity(
         self, note: str = "Nothing else ran.", trial: bool = False, page: bool = False
     ) -> None:
-        """Measure what the design carries and rewrite its page; --page only rewrites it."""
+        """Measure the capacity of the design and regenerate its page; --page skips measuring."""
         from bendwind_bench.capacity import run_capacity, write_page
 
         if not page:
@@ -117,11 +118,11 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name."""
+    """Run the command that the arguments name and return the exit code."""
     import fire
 
-    # A bench that is asked to end must end its processes first; trio does so on Ctrl-C, which a
-    # shell makes its background processes ignore.
+    # A benchmark that is told to stop must stop its child processes first. trio does so on SIGINT,
+    # but a shell makes its background processes ignore SIGINT, so the handler is set again.
     signal.signal(signal.SIGINT, signal.default_int_handler)
     signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     result = fire.Fire(Commands, name="bendwind_bench", serialize=lambda _: None)
--- a/packages/bendwind-bench/src/bendwind_bench/campaign.py
+++ b/packages/bendwind-bench/src/bendwind_bench/campaign.py
@@ -1,4 +1,4 @@
-"""Send load at a running deployment from worker processes while faults are injected."""
+"""Send load to a running deployment from worker processes while faults are injected."""
 
 import sys
 import time
@@ -12,14 +12,14 @@
 from bendwind_bench.load import LoadPlan, RequestKind, Sample, Verdict, check_promises, read_runs
 from bendwind_core.core import Milliseconds, Seconds
 
-WORKER_START_S = 1.5
-WORKER_END_S = 30.0
-POLL_S = 0.05
+WORKER_START_DELAY_S = 1.5
+WORKER_END_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Campaign:
-    """State one load, the faults during it and how many processes send it."""
+    """Describe one load, the faults during it and the number of processes that send it."""
 
     name: str
     rate: float
@@ -38,10 +38,10 @@
 async def run_campaign(
     deployment: Deployment, campaign: Campaign, report=None
 ) -> tuple[list[Sample], Verdict]:
-    """Send the load, inject the faults and check what callers were told."""
-    start_at = time.time() + WORKER_START_S
+    """Send the load, inject the faults and check the promises against the answers."""
+    start_at = time.time() + WORKER_START_DELAY_S
     workers = [
-        _start_worker(deployment, _plan(deployment, campaign, index, start_at))
+        _start_worker(deployment, _make_load_plan(deployment, campaign, index, start_at))
         for index in range(campaign.workers)
     ]
     try:
@@ -49,7 +49,7 @@
         if campaign.at_start is not None:
             await campaign.at_start()
         await inject_faults(deployment, campaign.faults, report)
-        await _await_ends(workers, start_at + campaign.duration_s + WORKER_END_S)
+        await _wait_for_workers(workers, start_at + campaign.duration_s + WORKER_END_TIMEOUT_S)
     finally:
         for worker in workers:
             worker.kill()
@@ -57,7 +57,9 @@
     return samples, check_promises(samples, read_runs(deployment.runs_files))
 
 
-def _plan(deployment: Deployment, campaign: Campaign, index: int, start_at: Seconds) -> LoadPlan:
+def _make_load_plan(
+    deployment: Deployment, campaign: Campaign, index: int, start_at: Seconds
+) -> LoadPlan:
     return LoadPlan(
         name=f"{campaign.name}-{index}",
         start_at=start_at,
@@ -83,9 +85,9 @@
     return worker
 
 
-async def _await_ends(workers: list[Process], latest: Seconds) -> None:
-    while any(worker.is_running for worker in workers) and time.time() < latest:
-        await trio.sleep(POLL_S)
+async def _wait_for_workers(workers: list[Process], deadline: Seconds) -> None:
+    while any(worker.is_running for worker in workers) and time.time() < deadline:
+        await trio.sleep(POLL_INTERVAL_S)
 
 
 def _read_samples(worker: Process) -> list[Sample]:
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/calls.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/calls.py
@@ -6,7 +6,7 @@
 from bendwind_bench.capacity.slope import Slope, fit
 from bendwind_bench.deployment import Deployment, DeploymentDescription, ServiceDescription
 from bendwind_bench.experiments.scene import run_scene
-from bendwind_bench.http import pool_of
+from bendwind_bench.http import create_pool
 from bendwind_bench.load import Outcome, RequestKind, Sample
 from bendwind_bench.reports import summarize_latency
 
@@ -73,7 +73,7 @@
 
 
 async def _hold_call(address: str) -> None:
-    pool = pool_of(address)
+    pool = create_pool(address)
     try:
         answer = await pool.request("GET", "/", [(b"Bendwind-Service", _SLOW.encode())])
     finally:
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
@@ -18,7 +18,7 @@
     write_settings,
 )
 from bendwind_bench.deployment.process import Process
-from bendwind_bench.http import HttpBrokenError, pool_of, send_json
+from bendwind_bench.http import HttpBrokenError, create_pool, send_json
 from bendwind_bench.load import RequestKind
 
 RUN_FOLDER = Path("run")
@@ -136,7 +136,7 @@
 
 
 async def _wait_served(address: str, kind: RequestKind) -> None:
-    pool = pool_of(address)
+    pool = create_pool(address)
     for number in itertools.count():
         headers = [(b"Bendwind-Service", kind.service.encode())]
         if kind.keyed:
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
@@ -72,8 +72,8 @@
 
 def _limit(world: Stage, node: Instance, fault: Fault) -> None:
     limit = node.upstream.limit
-    limit.name(fault.x, world.agenda.now)
-    world.agenda.after(fault.for_s, lambda: limit.name(None, world.agenda.now))
+    limit.set_limit(fault.x, world.agenda.now)
+    world.agenda.after(fault.for_s, lambda: limit.set_limit(None, world.agenda.now))
 
 
 def _shed(world: Stage, nodes: list[Instance], fault: Fault) -> None:
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tally.py
@@ -169,7 +169,9 @@
             for_nothing=_round(self.inner_refused / max(1, self.inner_calls)),
             worst_in_time=_find_worst(self.by_customer.values(), (Fate.IN_TIME,)),
             worst_served=_find_worst(self.by_customer.values(), _SERVED),
-            limit_worst=_round(max((limit.worst for limit in self.limits), default=0.0)),
+            limit_worst=_round(
+                max((limit.fullest_window_share for limit in self.limits), default=0.0)
+            ),
             limit_used=self._find_limit_used(),
             routes={
                 name: {"rank": self.priorities[name], **figures}
@@ -181,8 +183,12 @@
         )
 
     def _find_limit_used(self) -> float:
-        allowed = sum(limit.allowed for limit in self.limits)
-        return _round(sum(limit.taken for limit in self.limits) / allowed) if allowed else 0.0
+        allowed = sum(limit.allowed_requests for limit in self.limits)
+        return (
+            _round(sum(limit.counted_requests for limit in self.limits) / allowed)
+            if allowed
+            else 0.0
+        )
 
     def _find_busiest(self, services: dict[str, list[str]]) -> float:
         ratios = []
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_limited.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/tests/test_limited.py
@@ -40,14 +40,14 @@
 class LimitCountTest(unittest.TestCase):
     def test_windows_count_from_when_the_limit_has_to_be_kept(self):
         count = LimitCount()
-        count.name(5.0, 100.0)
+        count.set_limit(5.0, 100.0)
         for step in range(100):
-            count.note_arrival(100.0 + step * 0.04)
+            count.record_arrival(100.0 + step * 0.04)
         # Ninety-nine came in the last four seconds, where 35 may.
-        self.assertAlmostEqual(count.worst, 100 / 35, delta=0.02)
-        count.name(None, 104.0)
-        self.assertAlmostEqual(count.allowed, 5.0)
-        self.assertEqual(count.taken, 25)
+        self.assertAlmostEqual(count.fullest_window_share, 100 / 35, delta=0.02)
+        count.set_limit(None, 104.0)
+        self.assertAlmostEqual(count.allowed_requests, 5.0)
+        self.assertEqual(count.counted_requests, 25)
 
 
 if __name__ == "__main__":
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
@@ -146,7 +146,7 @@
     ) -> Run | None:
         """Take a request; None, with the reply made, where it is not taken."""
         self._note_arrival()
-        self.limit.note_arrival(self.agenda.now)
+        self.limit.record_arrival(self.agenda.now)
         self.after_leaving += self.agenda.now > self.leaves_at + DRAIN
         if target in self.crashes:
             self.crashes[target].arrived.append(self.agenda.now)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
@@ -99,7 +99,7 @@
         self.tally.waited_long = self.watch.count_long()
         self.tally.waited_s = self.watch.sum_up()
         for node in self.nodes.values():
-            node.upstream.limit.name(None, self.agenda.now)
+            node.upstream.limit.set_limit(None, self.agenda.now)
             self.tally.limits.append(node.upstream.limit)
         return self.tally.summarize(services, fell_over, self.crashes.values())
 
--- a/packages/bendwind-bench/src/bendwind_bench/http.py
+++ b/packages/bendwind-bench/src/bendwind_bench/http.py
@@ -1,4 +1,4 @@
-"""Carry HTTP/1.1 over trio streams with h11, for the stand-ins and the load tool."""
+"""Provide HTTP/1.1 over trio streams with h11, for simulated upstreams and the load generator."""
 
 import select
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 
 class HttpBrokenError(Exception):
-    """Report a connection that ended before the answer was whole."""
+    """Report that a connection ended before the whole answer was received."""
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     body: bytes
 
     def find(self, name: bytes) -> str:
-        """Return the first header of this lower-case name, or an empty text."""
+        """Return the first header with this lower-case name, or an empty string."""
         return next((value.decode() for key, value in self.head.headers if key == name), "")
 
     @property
@@ -35,7 +35,7 @@
 
 
 class HttpStream:
-    """Own one stream and the h11 state of its connection."""
+    """Hold one stream and the h11 state of its connection."""
 
     __slots__ = ("idle_since", "state", "stream")
 
@@ -57,7 +57,7 @@
         return event
 
     async def receive(self) -> Message | None:
-        """Read one whole message, or None when the peer closed before one began."""
+        """Read one whole message; return None if the peer closed before a message began."""
         head = await self.next_event()
         while type(head) is h11.InformationalResponse:
             head = await self.next_event()
@@ -71,7 +71,7 @@
         return Message(head, b"".join(parts))
 
     def has_pending_input(self) -> bool:
-        """Tell whether the peer has sent bytes or closed; on an idle stream both end its use."""
+        """Return whether the peer sent bytes or closed; an idle stream is unusable after either."""
         poll = select.poll()
         poll.register(self.stream.socket.fileno(), select.POLLIN)
         return bool(poll.poll(0))
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class HttpPool:
-    """Own the keep-alive connections to one address."""
+    """Manage the keep-alive connections to one address."""
 
     host: str
     port: int
@@ -90,9 +90,10 @@
     ) -> Message:
         """Send a request and read the whole answer.
 
-        Errors: raises HttpBrokenError when the connection ends first, OSError when none opens.
+        Errors: raises HttpBrokenError if the connection ends before the whole answer is received,
+        OSError if no connection can be opened.
         """
-        connection = self._take_idle() or await self._open()
+        connection = self._pop_idle() or await self._open()
         try:
             answer = await self._exchange(connection, method, target, headers, body)
         except BaseException as error:
@@ -100,13 +101,13 @@
             if isinstance(error, (trio.BrokenResourceError, h11.ProtocolError)):
                 raise HttpBrokenError(str(error) or "reset") from error
             raise
-        await self._put_back(connection)
+        await self._release(connection)
         return answer
 
     async def _open(self) -> HttpStream:
         return HttpStream(await trio.open_tcp_stream(self.host, self.port), h11.CLIENT)
 
-    def _take_idle(self) -> HttpStream | None:
+    def _pop_idle(self) -> HttpStream | None:
         while self.idle:
             connection = self.idle.pop()
             is_old = trio.current_time() - connection.idle_since > MAX_IDLE_S
@@ -128,7 +129,7 @@
             raise HttpBrokenError("closed without an answer")
         return answer
 
-    async def _put_back(self, connection: HttpStream) -> None:
+    async def _release(self, connection: HttpStream) -> None:
         if connection.state.our_state is h11.MUST_CLOSE or (
             connection.state.their_state is not h11.DONE
         ):
@@ -144,14 +145,14 @@
             self.idle.pop().stream.socket.close()
 
 
-def pool_of(address: str) -> HttpPool:
-    """Make a pool for an address written as host:port."""
+def create_pool(address: str) -> HttpPool:
+    """Create a pool for an address in the form host:port."""
     host, port = address.rsplit(":", 1)
     return HttpPool(host, int(port))
 
 
 async def send_json(address: str, method: str, target: str, value=None) -> Message:
-    """Send a JSON request on a connection of its own."""
+    """Send a JSON request on a new connection."""
     body = "" if value is None else msgspec.json.encode(value).decode()
     return await send_text(address, method, target, body, "application/json")
 
@@ -159,8 +160,8 @@
 async def send_text(
     address: str, method: str, target: str, body: str = "", kind: str = "application/toml"
 ) -> Message:
-    """Send a text on a connection of its own."""
-    pool = pool_of(address)
+    """Send a request with a text body on a new connection."""
+    pool = create_pool(address)
     headers = [(b"Content-Type", kind.encode())] if body else []
     try:
         return await pool.request(method, target, headers, body.encode())
--- a/packages/bendwind-bench/src/bendwind_bench/load/worker.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/worker.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from bendwind_bench.http import HttpBrokenError, Message, pool_of
+from bendwind_bench.http import HttpBrokenError, Message, create_pool
 from bendwind_bench.load.plan import LoadPlan, RequestKind, Send, schedule_sends
 from bendwind_bench.load.sample import Outcome, Sample
 from bendwind_bench.upstream.stand_in import make_body
@@ -49,7 +49,7 @@
         self.plan = plan
         groups = [plan.entries, *plan.direct.values(), *(kind.addresses for kind in plan.kinds)]
         addresses = {address for group in groups for address in group}
-        self.pools = {address: pool_of(address) for address in addresses}
+        self.pools = {address: create_pool(address) for address in addresses}
         self.samples: list[Sample] = []
         self.open = 0
         self.started = 0.0
--- a/packages/bendwind-bench/src/bendwind_bench/mix.py
+++ b/packages/bendwind-bench/src/bendwind_bench/mix.py
@@ -1,4 +1,4 @@
-"""Send a deployment's own mix of requests and print what came of it."""
+"""Send a deployment's own mix of requests and print the results."""
 
 from bendwind_bench.campaign import Campaign, run_campaign
 from bendwind_bench.deployment import find_description, run_deployment
@@ -6,7 +6,7 @@
 
 
 async def run_mix(name: str, rate: float, seconds: float, workers: int, seed: int, direct: bool):
-    """Run the mix without faults; return the exit code."""
+    """Run the mix of requests without faults; return the exit code."""
     description, _ = find_description(name)
     async with run_deployment(description, direct, seed) as deployment:
         campaign = Campaign(
--- a/packages/bendwind-bench/src/bendwind_bench/operators.py
+++ b/packages/bendwind-bench/src/bendwind_bench/operators.py
@@ -1,4 +1,4 @@
-"""Ask a deployment's operators' HTTP for what the experiments need."""
+"""Call the operators' HTTP interface of a deployment on behalf of the experiments."""
 
 import contextlib
 
@@ -8,26 +8,26 @@
 from bendwind_bench.deployment import Deployment
 from bendwind_bench.http import HttpBrokenError, Message, send_json, send_text
 
-POLL_S = 0.1
-IN_FORCE_WITHIN_S = 20.0
+POLL_INTERVAL_S = 0.1
+ACTIVATION_TIMEOUT_S = 20.0
 
 
 class IntentRefusedError(Exception):
-    """Report an intent that was not accepted, with the answer."""
+    """Report that an intent was not accepted, with the answer."""
 
 
 async def apply_intent(deployment: Deployment, text: str) -> int:
-    """Plan and confirm an intent, wait until it is in force everywhere, return its version."""
-    plan = msgspec.json.decode((await _ask_leader(deployment, "/v1/plans", text)).body)
+    """Plan and confirm an intent; return its version once it is active on every node."""
+    plan = msgspec.json.decode((await _post_to_leader(deployment, "/v1/plans", text)).body)
     path = f"/v1/plans/{plan['id']}/confirm"
-    outcome = msgspec.json.decode((await _ask_leader(deployment, path, "")).body)
-    await wait_in_force(deployment, outcome["version"])
+    outcome = msgspec.json.decode((await _post_to_leader(deployment, path, "")).body)
+    await wait_until_active(deployment, outcome["version"])
     return outcome["version"]
 
 
-async def _ask_leader(deployment: Deployment, path: str, body: str) -> Message:
+async def _post_to_leader(deployment: Deployment, path: str, body: str) -> Message:
     answer = None
-    with trio.move_on_after(IN_FORCE_WITHIN_S):
+    with trio.move_on_after(ACTIVATION_TIMEOUT_S):
         while True:
             for voter in deployment.layout.voters:
                 with contextlib.suppress(OSError, HttpBrokenError):
@@ -36,27 +36,28 @@
                         return answer
             if answer is not None and answer.status in (400, 409, 410):
                 break
-            await trio.sleep(POLL_S)
+            await trio.sleep(POLL_INTERVAL_S)
     raise IntentRefusedError(f"{path}: {answer and (answer.status, answer.body)}")
 
 
-async def wait_in_force(deployment: Deployment, version: int) -> None:
-    """Wait until every running node has this version of the configuration or a newer one.
+async def wait_until_active(deployment: Deployment, version: int) -> None:
+    """Wait until this version of the configuration or a newer one is active on every node.
 
-    Errors: raises IntentRefusedError naming a node that has not after a long time.
+    Nodes that are expected to be down are left out.
+    Errors: raises IntentRefusedError that names a node without it after ACTIVATION_TIMEOUT_S.
     """
     for member in deployment.layout.members:
         if deployment.nodes[member.name].is_expected_down:
             continue
-        with trio.move_on_after(IN_FORCE_WITHIN_S) as scope:
+        with trio.move_on_after(ACTIVATION_TIMEOUT_S) as scope:
             while await read_version(member.operators_address) < version:
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
         if scope.cancelled_caught:
-            raise IntentRefusedError(f"version {version} is not in force at {member.name}")
+            raise IntentRefusedError(f"version {version} is not active on {member.name}")
 
 
 async def read_version(address: str) -> int:
-    """Return the version that a process has in force, -1 when it does not answer."""
+    """Return the active configuration version of a process, -1 if it does not answer."""
     with contextlib.suppress(OSError, HttpBrokenError):
         answer = await send_json(address, "GET", "/v1/status")
         if answer.status == 200:
@@ -65,7 +66,7 @@
 
 
 async def read_metrics(address: str) -> dict[str, float]:
-    """Return the sum of each metric of a process over its labels."""
+    """Return the sum over all labels of each metric of a process."""
     totals: dict[str, float] = {}
     answer = await send_json(address, "GET", "/metrics")
     for line in answer.body.decode().splitlines():
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_claims.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_claims.py
@@ -1,7 +1,7 @@
-"""Measure what claims cost their entry node and their group, and print it as JSON.
+"""Measure the cost of claims for their entry node and their group, and print it as JSON.
 
-Run it with `python -m bendwind_bench.slopes_claims`. All of it is the pure code and the codec in
-this process; links and system calls are not in it.
+Run it with `python -m bendwind_bench.slopes_claims`. It runs only the pure code and the codec in
+this process; links and system calls are not included.
 """
 
 import collections
@@ -50,11 +50,11 @@
 
 
 def make_key(number: int) -> str:
-    """Return a key as long as the usual UUID."""
+    """Return a key of the length of a UUID."""
     return f"{number:08x}-0000-4000-8000-000000000000"
 
 
-class Exchange:
+class ClaimExchange:
     """Carry messages between an entry node and the members of one group, without loss."""
 
     def __init__(self, size: int, is_encoded: bool):
@@ -74,8 +74,8 @@
             step_holder(holder, LeaseRenewed(FOREVER), 0.0)
             self.holders[f"m{index}"] = holder
 
-    def claim(self, number: int) -> None:
-        """Claim a key and record its answer."""
+    def claim_and_settle(self, number: int) -> None:
+        """Claim a key and settle the claim with an answer."""
         self.claims += 1
         key = make_key(number)
         call = f"{ENTRY}/{number}"
@@ -85,20 +85,20 @@
         self._apply(step_entry(self.entry, SettleClaim(outcome), 0.0))
 
     def _apply(self, effects: list) -> None:
-        self._queue(effects)
+        self._enqueue(effects)
         while self.queue:
             to, message = self.queue.popleft()
             if isinstance(message, ClaimReply | ClaimSettled):
-                self._queue(step_entry(self.entry, ReplyReceived(message), 0.0))
+                self._enqueue(step_entry(self.entry, ReplyReceived(message), 0.0))
             else:
-                self._queue(step_holder(self.holders[to], Received(message), 0.0))
+                self._enqueue(step_holder(self.holders[to], Received(message), 0.0))
 
-    def _queue(self, effects: list) -> None:
+    def _enqueue(self, effects: list) -> None:
         for effect in effects:
             if isinstance(effect, Send):
-                self.queue.append((effect.to, self._carry(effect.message)))
+                self.queue.append((effect.to, self._encode_and_decode(effect.message)))
 
-    def _carry(self, message: Record) -> Record:
+    def _encode_and_decode(self, message: Record) -> Record:
         if not self.is_encoded:
             return message
         data = encode(message)
@@ -107,35 +107,35 @@
         return decode(data)
 
 
-def measure_group(size: int, is_encoded: bool) -> tuple[float, Exchange]:
-    """Return the processor time of a whole claim, summed over all nodes.
+def measure_group(size: int, is_encoded: bool) -> tuple[float, ClaimExchange]:
+    """Return the processor time of a claim from request to settlement, summed over all nodes.
 
     Units: microseconds.
     """
-    exchange = Exchange(size, is_encoded)
+    exchange = ClaimExchange(size, is_encoded)
 
     def work() -> int:
         for holder in exchange.holders.values():
             holder.table.clear()
         for number in range(CLAIMS):
-            exchange.claim(number)
+            exchange.claim_and_settle(number)
         return CLAIMS
 
     return time_median(work), exchange
 
 
-def measure_growth() -> dict:
-    """Measure a claim's cost at each group size and fit lines to it."""
+def measure_group_sizes() -> dict:
+    """Measure the cost of a claim for each group size and fit lines to the results."""
     rows = []
     for size in GROUP_SIZES:
-        decided, _ = measure_group(size, is_encoded=False)
-        carried, exchange = measure_group(size, is_encoded=True)
+        time_without_codec_us, _ = measure_group(size, is_encoded=False)
+        time_with_codec_us, exchange = measure_group(size, is_encoded=True)
         rows.append(
             {
                 "members": size,
-                "decisions_us": decided,
-                "with_codec_us": carried,
-                "claims_per_s_all_in_one_process": 1e6 / carried,
+                "decisions_us": time_without_codec_us,
+                "with_codec_us": time_with_codec_us,
+                "claims_per_s_all_in_one_process": 1e6 / time_with_codec_us,
                 "messages": exchange.messages / exchange.claims,
                 "bytes": exchange.bytes / exchange.claims,
             }
@@ -159,7 +159,7 @@
 
 
 def measure_table(answer_bytes: int) -> dict:
-    """Measure the memory of a table of claims as they arrive from the codec."""
+    """Measure the memory of a table of claims whose objects are new, as decoding makes them."""
     points = []
     for size in TABLE_SIZES:
         gc.collect()
@@ -176,7 +176,7 @@
 
 
 def _make_claim(number: int, answer_bytes: int) -> Claim:
-    # Fresh objects for every field, as decoding makes them.
+    # Every field is a new object, as decoding would create it.
     call = f"{ENTRY}/{number}"
     answer = None
     if answer_bytes:
@@ -188,8 +188,8 @@
 
 
 def main() -> None:
-    """Measure all and print JSON."""
-    result = measure_growth()
+    """Run all measurements and print them as JSON."""
+    result = measure_group_sizes()
     result["memory"] = {f"answer_{size}": measure_table(size) for size in ANSWER_BYTES}
     json.dump(result, sys.stdout, indent=1)
     print()
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_customers.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_customers.py
@@ -1,6 +1,6 @@
-"""Measure what customers cost nodes and voters, and print it as JSON.
+"""Measure the cost of customers for nodes and voters, and print it as JSON.
 
-Run it with `python -m bendwind_bench.slopes_customers`. All of it is the pure code in this process.
+Run it with `python -m bendwind_bench.slopes_customers`. It runs only pure code in this process.
 """
 
 import dataclasses
@@ -25,55 +25,56 @@
 COUNTS = (100, 1_000, 20_000)
 KEYS = 2
 FIRST_VERSION = 7
-# Small sizes are repeated, so that a run is not shorter than the clock can tell.
+# Measurements of few customers are repeated up to this number of units of work, so that a run is
+# not shorter than the resolution of the clock.
 WORK_UNITS = 20_000
 
 
-def make_customer(index: int, salt: int = 0) -> Customer:
-    """Make a customer with two keys, a rank and a quota; another salt gives it another key."""
-    keys = (digest_key(b"%d" % index), digest_key(b"%d-%d" % (index, salt)))
+def make_customer(index: int, key_variant: int = 0) -> Customer:
+    """Make a customer with two keys, a rank and a quota; `key_variant` selects the second key."""
+    keys = (digest_key(b"%d" % index), digest_key(b"%d-%d" % (index, key_variant)))
     return Customer(f"customer-{index:05d}", keys, 1, 12.5, 40.0)
 
 
-def make_customers(count: int, salt: int = 0) -> tuple[Customer, ...]:
-    """Make this many customers, in the order of their names."""
-    return tuple(make_customer(index, salt) for index in range(count))
+def make_customers(count: int, key_variant: int = 0) -> tuple[Customer, ...]:
+    """Make this many customers, sorted by name."""
+    return tuple(make_customer(index, key_variant) for index in range(count))
 
 
-def make_ledger(count: int) -> CustomerHistory:
-    """Make a voter's record of customers that came with one version."""
-    ledger = CustomerHistory()
-    update_customers(ledger, make_customers(count), FIRST_VERSION)
-    return ledger
+def make_history(count: int) -> CustomerHistory:
+    """Make a voter's history of customers that were all added by one version."""
+    history = CustomerHistory()
+    update_customers(history, make_customers(count), FIRST_VERSION)
+    return history
 
 
-def make_holdings(count: int) -> WatchCache:
-    """Make what a node holds after its first push."""
+def make_cache(count: int) -> WatchCache:
+    """Make the cache of a node after the first push to it."""
     cache = WatchCache()
-    put_customers(cache, make_customers_change(make_ledger(count), 0))
+    put_customers(cache, make_customers_change(make_history(count), 0))
     return cache
 
 
 def _change_all(count: int, version: int) -> tuple[CustomersChange, CustomersChange]:
-    """Return a change of every customer's key, and the one that takes it back."""
-    ledger = make_ledger(count)
-    update_customers(ledger, make_customers(count, 1), version)
-    there = make_customers_change(ledger, FIRST_VERSION)
-    update_customers(ledger, make_customers(count), version + 1)
-    return there, make_customers_change(ledger, version)
+    """Return a change of one key of every customer, and the change that reverts it."""
+    history = make_history(count)
+    update_customers(history, make_customers(count, 1), version)
+    forward = make_customers_change(history, FIRST_VERSION)
+    update_customers(history, make_customers(count), version + 1)
+    return forward, make_customers_change(history, version)
 
 
 def _change_one(count: int) -> tuple[CustomersChange, CustomersChange]:
-    ledger = make_ledger(count)
+    history = make_history(count)
     others = make_customers(count)[1:]
-    update_customers(ledger, (make_customer(0, 1), *others), FIRST_VERSION + 1)
-    there = make_customers_change(ledger, FIRST_VERSION)
-    update_customers(ledger, (make_customer(0), *others), FIRST_VERSION + 2)
-    return there, make_customers_change(ledger, FIRST_VERSION + 1)
+    update_customers(history, (make_customer(0, 1), *others), FIRST_VERSION + 1)
+    forward = make_customers_change(history, FIRST_VERSION)
+    update_customers(history, (make_customer(0), *others), FIRST_VERSION + 2)
+    return forward, make_customers_change(history, FIRST_VERSION + 1)
 
 
 def _time_put(count: int, changes: tuple[CustomersChange, ...]) -> float:
-    cache = make_holdings(count)
+    cache = make_cache(count)
     rounds = max(1, WORK_UNITS // count)
 
     def run() -> int:
@@ -85,32 +86,32 @@
     return time_median(run)
 
 
-def _time_take(count: int, lists: tuple[tuple[Customer, ...], ...]) -> float:
-    ledger = make_ledger(count)
+def _time_update(count: int, lists: tuple[tuple[Customer, ...], ...]) -> float:
+    history = make_history(count)
     rounds = max(1, WORK_UNITS // count)
 
     def run() -> int:
-        version = ledger.newest_change
+        version = history.newest_change
         for _ in range(rounds):
             for customers in lists:
                 version += 1
-                assert update_customers(ledger, customers, version)
+                assert update_customers(history, customers, version)
         return rounds * len(lists)
 
     return time_median(run)
 
 
-def _time_take_one(count: int) -> float:
-    held = make_customers(count)
-    return _time_take(count, ((make_customer(0, 1), *held[1:]), held))
+def _time_update_one(count: int) -> float:
+    customers = make_customers(count)
+    return _time_update(count, ((make_customer(0, 1), *customers[1:]), customers))
 
 
-def _time_take_all(count: int) -> float:
-    return _time_take(count, (make_customers(count, 1), make_customers(count)))
+def _time_update_all(count: int) -> float:
+    return _time_update(count, (make_customers(count, 1), make_customers(count)))
 
 
 def _time_find(count: int) -> float:
-    table = make_holdings(count).customers
+    table = make_cache(count).customers
 
     def run() -> int:
         for index in range(WORK_UNITS):
@@ -121,7 +122,7 @@
 
 
 def _time_decode(count: int) -> float:
-    data = encode(make_push(make_customers_change(make_ledger(count), 0)))
+    data = encode(make_push(make_customers_change(make_history(count), 0)))
 
     def run() -> int:
         decode(data)
@@ -131,7 +132,7 @@
 
 
 def make_push(change: CustomersChange) -> ConfigurationChanged:
-    """Return the message that brings a node nothing but customers."""
+    """Return the message that sends a node only a change of customers."""
     return ConfigurationChanged(FIRST_VERSION + 1, (), base=change.base, customers=change)
 
 
@@ -151,19 +152,19 @@
 
 
 def _measure_memory(work: Callable[[], object]) -> float:
-    """Return the bytes that a result holds beyond what it was made from."""
+    """Return the bytes that the result occupies beyond the data that it was made from."""
     gc.collect()
     tracemalloc.start()
-    kept = work()
+    result = work()
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    byte_count, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert kept is not None
-    return float(held)
+    assert result is not None
+    return float(byte_count)
 
 
 def _measure_node(count: int) -> float:
-    data = encode(make_push(make_customers_change(make_ledger(count), 0)))
+    data = encode(make_push(make_customers_change(make_history(count), 0)))
 
     def receive() -> WatchCache:
         cache = WatchCache()
@@ -177,16 +178,16 @@
 def _measure_voter(count: int) -> float:
     customers = make_customers(count)
 
-    def take() -> CustomerHistory:
-        ledger = CustomerHistory()
-        update_customers(ledger, customers, FIRST_VERSION)
-        return ledger
+    def update() -> CustomerHistory:
+        history = CustomerHistory()
+        update_customers(history, customers, FIRST_VERSION)
+        return history
 
-    return _measure_memory(take)
+    return _measure_memory(update)
 
 
 def measure_customers() -> dict[str, Slope]:
-    """Measure what grows with the customers."""
+    """Measure the costs that grow with the number of customers."""
     works = {
         "node_memory": ("byte", _measure_node),
         "voter_ledger_memory": ("byte", _measure_voter),
@@ -194,16 +195,16 @@
         "node_put_all_keys_time": ("us", lambda n: _time_put(n, _change_all(n, 8))),
         "node_put_whole_time": (
             "us",
-            lambda n: _time_put(n, (make_customers_change(make_ledger(n), 0),)),
+            lambda n: _time_put(n, (make_customers_change(make_history(n), 0),)),
         ),
         "node_decode_whole_time": ("us", _time_decode),
         "node_find_time": ("us", _time_find),
-        "voter_take_one_key_time": ("us", _time_take_one),
-        "voter_take_all_keys_time": ("us", _time_take_all),
+        "voter_take_one_key_time": ("us", _time_update_one),
+        "voter_take_all_keys_time": ("us", _time_update_all),
         "push_one_key_bytes": ("byte", lambda n: _count_bytes(_change_one(n)[0])),
         "push_whole_bytes": (
             "byte",
-            lambda n: _count_bytes(make_customers_change(make_ledger(n), 0)),
+            lambda n: _count_bytes(make_customers_change(make_history(n), 0)),
         ),
         "command_bytes": ("byte", _count_command),
         "snapshot_bytes": ("byte", _count_snapshot),
@@ -215,7 +216,7 @@
 
 
 def main() -> None:
-    """Measure all and print JSON."""
+    """Run all measurements and print them as JSON."""
     slopes = measure_customers()
     json.dump(
         {name: dataclasses.asdict(slope) for name, slope in slopes.items()}, sys.stdout, indent=1
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_plans.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_plans.py
@@ -1,6 +1,6 @@
-"""Measure what plans cost a control voter, and print it as JSON.
+"""Measure the cost of plans for a control voter, and print it as JSON.
 
-Run it with `python -m bendwind_bench.slopes_plans`. All of it is the pure code in this process.
+Run it with `python -m bendwind_bench.slopes_plans`. It runs only pure code in this process.
 """
 
 import dataclasses
@@ -46,7 +46,7 @@
     return tuple(make_service(index) for index in range(count))
 
 
-def put_in_force(state: ControlState, changes: Changes, number: int) -> None:
+def confirm_changes(state: ControlState, changes: Changes, number: int) -> None:
     """Create and confirm a plan."""
     request, version = f"{number:032x}", state.configuration.version
     create = CreatePlan(request, b"d" * 32, version, changes, number, TTL_MS)
@@ -56,16 +56,16 @@
 
 
 def make_state(services: int, outcomes: int = 1) -> ControlState:
-    """Make a state with services that came to be by a number of confirmed plans."""
+    """Make a state with services and the outcomes of this many confirmed plans."""
     state = ControlState()
-    put_in_force(state, Changes(make_services(services)), 0)
+    confirm_changes(state, Changes(make_services(services)), 0)
     for number in range(1, outcomes):
-        put_in_force(state, Changes((make_service(0, 1000.0 + number),)), number)
+        confirm_changes(state, Changes((make_service(0, 1000.0 + number),)), number)
     return state
 
 
 def repeat(work: Callable[[], object]) -> float:
-    """Return the processor time of one run, in microseconds."""
+    """Return the processor time of one run of `work`, in microseconds."""
 
     def run() -> int:
         for _ in range(REPEATS):
@@ -76,19 +76,19 @@
 
 
 def measure_memory(services: int, outcomes: int = 1) -> float:
-    """Return the bytes that a restored state holds."""
+    """Return the memory of a restored state, in bytes."""
     snapshot = make_state(services, outcomes).snapshot()
     gc.collect()
     tracemalloc.start()
     state = ControlState()
     state.restore(snapshot)
-    held, _ = tracemalloc.get_traced_memory()
+    byte_count, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return float(held)
+    return float(byte_count)
 
 
 def format_intent(services: tuple[Service, ...]) -> str:
-    """Return the services as an operator would state them."""
+    """Return the TOML text of an intent with these services, as an operator writes it."""
     lines = []
     for service in services:
         lines += ["[[services]]", f'name = "{service.name}"', f'upstreams = ["{service.name}-*"]']
@@ -111,7 +111,7 @@
 
 def _confirm_one_change(state: ControlState) -> None:
     number = state.applied
-    put_in_force(state, Changes((make_service(0, 1000.0 + number % 7),)), number)
+    confirm_changes(state, Changes((make_service(0, 1000.0 + number % 7),)), number)
 
 
 def _measure(sizes: tuple[int, ...], unit: str, per: str, work: Callable[[int], float]) -> Slope:
@@ -119,7 +119,7 @@
 
 
 def measure_services() -> dict[str, Slope]:
-    """Measure what grows with the services."""
+    """Measure the costs that grow with the number of services."""
     states = {count: make_state(count) for count in SERVICE_COUNTS}
     texts = {count: format_intent(make_services(count)) for count in SERVICE_COUNTS}
     changed = {n: text.replace("= 5000", "= 4000", 1) for n, text in texts.items()}
@@ -143,7 +143,7 @@
 
 
 def measure_outcomes() -> dict[str, Slope]:
-    """Measure what grows with the outcomes remembered."""
+    """Measure the costs that grow with the number of stored outcomes."""
     states = {count: make_state(10, count) for count in OUTCOME_COUNTS}
     works = {
         "outcome_snapshot_bytes": ("byte", lambda n: float(len(states[n].snapshot()))),
@@ -157,7 +157,7 @@
 
 
 def measure_commands() -> dict[str, int]:
-    """Return the bytes of the commands that carry a change of one service."""
+    """Return the sizes of the commands for a change of one service, in bytes."""
     change = Changes((make_service(0),))
     create = CreatePlan("0" * 32, b"d" * 32, 10_000, change, 1_790_000_000_000, TTL_MS)
     return {
@@ -167,7 +167,7 @@
 
 
 def main() -> None:
-    """Measure all and print JSON."""
+    """Run all measurements and print them as JSON."""
     slopes = measure_services() | measure_outcomes()
     result = {
         "slopes": {name: dataclasses.asdict(slope) for name, slope in slopes.items()},
--- a/packages/bendwind-bench/src/bendwind_bench/tests/test_end_to_end.py
+++ b/packages/bendwind-bench/src/bendwind_bench/tests/test_end_to_end.py
@@ -35,7 +35,7 @@
 
 
 class EndToEndTests(unittest.TestCase):
-    def test_promises_hold_while_a_node_is_killed(self):
+    def test_promises_are_kept_when_a_node_is_killed(self):
         async def main():
             service = ServiceDescription("emisor", 3, 8, 50, 5.0)
             async with run_scene(describe_scene([service]), INTENT, 1, False, KINDS) as deployment:
@@ -54,7 +54,7 @@
 
         samples, verdict, counters = trio.run(main)
         self.assertEqual(verdict.broken, [])
-        # A request that waits at an upstream was sent beyond its slots.
+        # A request waits at an upstream only if more requests were sent to it than it has slots.
         self.assertEqual([item["most_waiting"] for item in counters], [0, 0, 0])
         self.assertTrue(all(item["most_connections"] <= 50 for item in counters))
         whole = collections.Counter(
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
@@ -68,8 +68,8 @@
 
     def note_arrival(self) -> None:
         """Count a request against the limit, and against having said that it leaves."""
-        self.limit.note_arrival(trio.current_time())
-        self.counters.limit_worst = self.limit.worst
+        self.limit.record_arrival(trio.current_time())
+        self.counters.limit_worst = self.limit.fullest_window_share
         self.counters.while_leaving += self.is_leaving
 
     def must_shed(self) -> bool:
@@ -132,7 +132,7 @@
 
         if change.rate_limit is not None:
             limit = None if change.rate_limit < 0 else change.rate_limit
-            self.limit.name(limit, trio.current_time())
+            self.limit.set_limit(limit, trio.current_time())
         if change.leaving is not None:
             self.is_leaving = change.leaving
         if change.node is not None:
