--- a/packages/bendwind-bench/src/bendwind_bench/capacity/scene.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/fixture.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from bendwind_bench.slopes_membership import scene
-from bendwind_bench.slopes_membership.scene import make_instance
+from bendwind_bench.slopes_membership import fixture
+from bendwind_bench.slopes_membership.fixture import make_instance
 from bendwind_core.world import Service, Upstream
 
 INCARNATION = make_instance(0).incarnation
@@ -13,10 +13,10 @@
 
 def make_upstream(index: int, service: str) -> Upstream:
     """Make the upstream beside a node."""
-    return scene.make_upstream(make_instance(index), service)
+    return fixture.make_upstream(make_instance(index), service)
 
 
 def make_service(index: int, wait_ms: float = 1000.0) -> Service:
     """Make a service with a duration by which it may differ from others."""
-    service = scene.make_service(f"service-{index:03d}")
+    service = fixture.make_service(f"service-{index:03d}")
     return msgspec.structs.replace(service, longest_wait_ms=wait_ms)
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/model/events.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/model/events.py
@@ -5,7 +5,7 @@
 from bendwind_bench.capacity.model.roles import attached_us, push_us
 from bendwind_bench.capacity.model.sizes import (
     APART_S,
-    DATA_CENTRE,
+    DATA_CENTRE_NODES,
     PEAK_S,
     PEAK_SHARE,
     RACK,
@@ -107,9 +107,9 @@
     pushes = result.figures["data_centre_lost_pushes"]
     busy = result.figures["data_centre_lost_processor_s"]
     busy += pushes * result.slopes["exchange_server_us"].slope / 2 / US_PER_SECOND
-    moved = DATA_CENTRE / size.voters / (size.voters - 1)
+    moved = DATA_CENTRE_NODES / size.voters / (size.voters - 1)
     return EventCost(
-        f"A data centre of {DATA_CENTRE} lost",
+        f"A data centre of {DATA_CENTRE_NODES} lost",
         pushes * size.voters,
         pushes + moved,
         busy,
@@ -122,7 +122,7 @@
 
 def _data_centre_back(result: CapacityResult, size: Size) -> EventCost:
     pushes = result.figures["data_centre_returned_pushes"]
-    links = DATA_CENTRE / size.voters
+    links = DATA_CENTRE_NODES / size.voters
     busy = result.figures["data_centre_returned_processor_s"]
     busy += pushes * result.slopes["exchange_server_us"].slope / 2 / US_PER_SECOND
     busy += (
@@ -131,8 +131,8 @@
         / US_PER_SECOND
     )
     return EventCost(
-        f"The data centre of {DATA_CENTRE} returns",
-        pushes * size.voters + 4.0 * DATA_CENTRE,
+        f"The data centre of {DATA_CENTRE_NODES} returns",
+        pushes * size.voters + 4.0 * DATA_CENTRE_NODES,
         pushes + 4 * links,
         busy,
         size.heartbeat_s + busy,
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/adopted.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/adopted.py
@@ -5,8 +5,13 @@
 
 from bendwind_bench import slopes_plans
 from bendwind_bench.capacity.slope import Slope, fit, time_median
+from bendwind_bench.slopes_membership.fixture import (
+    attach_node,
+    build_registry_fixture,
+    flush_pushes,
+    make_instance,
+)
 from bendwind_bench.slopes_membership.node import measure_nodes
-from bendwind_bench.slopes_membership.scene import attach, build_scene, make_instance, settle
 from bendwind_bench.slopes_membership.slope import Slope as Measured
 from bendwind_bench.slopes_membership.voter import (
     measure_data_centre,
@@ -84,15 +89,15 @@
     """Measure a change of one service with thousands of nodes that watch it at one voter."""
     times = []
     for count in MANY_WATCHERS:
-        scene = build_scene(_OTHER_NODES)
-        service = scene.services[0]
+        fixture = build_registry_fixture(_OTHER_NODES)
+        service = fixture.services[0]
         for index in range(count):
             node = make_instance(_FIRST_WATCHER + index)
-            scene.watched[node.name] = (service,)
-            attach(scene, node)
-        settle(scene)
-        watchers = len(scene.registry.services[service].watchers)
-        times.append((watchers, time_median(lambda s=scene, n=service: push_service(s, n))))
+            fixture.watched[node.name] = (service,)
+            attach_node(fixture, node)
+        flush_pushes(fixture)
+        watchers = len(fixture.registry.services[service].watchers)
+        times.append((watchers, time_median(lambda s=fixture, n=service: push_service(s, n))))
     title = "Voter's time for a changed service with thousands of watchers"
     return {"change_many_us": fit(title, "us", "watcher", times)}
 
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/calls.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/calls.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from bendwind_bench.capacity.fixture import INCARNATION, make_service, make_upstream
 from bendwind_bench.capacity.pure.codec import make_hand_over
-from bendwind_bench.capacity.scene import INCARNATION, make_service, make_upstream
 from bendwind_bench.capacity.slope import REPEATS, Slope, decode, encode, fit, time_median, weigh
 from bendwind_core.attempts import AttemptId, HandOver, entry, owner
 from bendwind_core.attempts.attempt_ids import AttemptIds
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/claims.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/claims.py
@@ -3,7 +3,7 @@
 import time
 
 from bendwind_bench import slopes_claims
-from bendwind_bench.capacity.scene import make_instance
+from bendwind_bench.capacity.fixture import make_instance
 from bendwind_bench.capacity.slope import (
     MICROSECONDS,
     Slope,
@@ -12,7 +12,7 @@
     fit,
     time_median,
 )
-from bendwind_bench.slopes_membership.scene import TARGET_SERVICES
+from bendwind_bench.slopes_membership.fixture import TARGET_SERVICES
 from bendwind_core.claims import (
     ClaimAnswer,
     ClaimGroup,
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/codec.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/codec.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from bendwind_bench.capacity.scene import INCARNATION, make_instance, make_service, make_upstream
+from bendwind_bench.capacity.fixture import INCARNATION, make_instance, make_service, make_upstream
 from bendwind_bench.capacity.slope import Slope, decode, encode, fit, time_median
 from bendwind_core.attempts import AnswerHead, AttemptId, Cancel, HandOver, NotRun, NotRunReason
 from bendwind_core.claims import (
@@ -35,7 +35,7 @@
 
 BATCH = 200
 BODY_SIZES = (0, 1024, 4096, 16384)
-WATCHED = 10
+WATCHED_SERVICES = 10
 FLEET = 23
 
 
@@ -90,12 +90,12 @@
     node = make_instance(1)
     upstream = make_upstream(1, "service-001")
     fleet = tuple(make_upstream(index, "service-001") for index in range(FLEET))
-    names = tuple(f"service-{index:03d}" for index in range(WATCHED))
+    names = tuple(f"service-{index:03d}" for index in range(WATCHED_SERVICES))
     state = MemberState(node, "voter-0", 77_000, True, 1, (upstream,))
     yield "Heartbeat", Heartbeat(node, 77_000, 120_000, 3, 2, 2**63)
     yield "HeartbeatReply", HeartbeatReply(77_000, 120_000, 130.123456, True)
     yield "Announce", Announce(node.name, INCARNATION, 2, (upstream,))
-    yield f"Watch of {WATCHED} services", Watch(node.name, names, INCARNATION, 3)
+    yield f"Watch of {WATCHED_SERVICES} services", Watch(node.name, names, INCARNATION, 3)
     yield "WatchUpdate of 1 upstream", WatchUpdate("service-001", (upstream,), False)
     yield f"WatchUpdate of {FLEET} upstreams", WatchUpdate("service-001", fleet)
     yield "ConfigurationChanged of 1 service", ConfigurationChanged(120_000, (make_service(1),))
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/routing.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/routing.py
@@ -3,7 +3,7 @@
 import itertools
 import random
 
-from bendwind_bench.capacity.scene import make_upstream
+from bendwind_bench.capacity.fixture import make_upstream
 from bendwind_bench.capacity.slope import Slope, fit, time_median, weigh
 from bendwind_core.attempts import AttemptId
 from bendwind_core.routing import (
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the slopes of membership."""
+"""Measure how the costs of membership grow with the size of a deployment."""
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/__main__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/__main__.py
@@ -1,7 +1,7 @@
-"""Measure what membership costs a voter and a node, and print it as JSON.
+"""Measure the cost of membership for a voter and a node, and print it as JSON.
 
-Run it with `python -m bendwind_bench.slopes_membership`. All of it is the pure code and the codec
-in this process; links and system calls are not in it.
+Run it with `python -m bendwind_bench.slopes_membership`. It runs only the pure code and
+the codec in this process; links and system calls are not included.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 def main() -> None:
-    """Measure all and print JSON."""
+    """Run all measurements and print them as JSON."""
     slopes = measure_registries() | measure_watchers() | measure_nodes()
     result = {
         "slopes": {name: dataclasses.asdict(slope) for name, slope in slopes.items()},
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/link_voter.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/link_voter.py
@@ -1,6 +1,7 @@
-"""Serve as a voter's registry over real links and report what the process used.
+"""Run the registry of a voter over real links and report the resources of the process.
 
-It reads a line on standard input to begin and one to end, and prints JSON lines.
+It prints its port. Then it prints a JSON line with its usage for each of two lines that it reads
+from standard input; the second one stops it.
 """
 
 import json
@@ -12,7 +13,7 @@
 
 import trio
 
-from bendwind_bench.slopes_membership.scene import TIMES, make_service
+from bendwind_bench.slopes_membership.fixture import LEASE_TIMES, make_service
 from bendwind_core.membership import DrainMarksAccepted, Heartbeat, VoterPlace
 from bendwind_core.messages import Hello
 from bendwind_core.timeline import Recorder
@@ -23,8 +24,8 @@
 NAME = "voter"
 
 
-class StillControl:
-    """Stand in for a log that always has a quorum and never changes."""
+class UnchangingControlLog:
+    """Simulate a control log that always has a quorum and never changes."""
 
     def __init__(self):
         self.configuration = Configuration(7, (make_service("service-000"),))
@@ -33,69 +34,71 @@
         self.voter_places = (VoterPlace(NAME),)
 
     async def confirm(self) -> bool:
-        """Confirm at once."""
+        """Confirm the quorum immediately."""
         return True
 
 
-class Reception:
-    """Hand messages of links to the registry and count heartbeats."""
+class RegistryReceiver:
+    """Pass messages from links to the registry and count heartbeats."""
 
     def __init__(self):
         self.registry: RegistryTask | None = None
-        self.beats = 0
+        self.heartbeat_count = 0
 
     def link_opened(self, link, hello) -> None:
-        """Ignore it."""
+        """Ignore the event."""
 
     def link_closed(self, link) -> None:
-        """Ignore it."""
+        """Ignore the event."""
 
     def dial_failed(self, peer, unsent) -> None:
-        """Ignore it."""
+        """Ignore the event."""
 
     def receive(self, link, message) -> None:
-        """Pass a message on."""
-        self.beats += isinstance(message, Heartbeat)
+        """Pass a message to the registry."""
+        self.heartbeat_count += isinstance(message, Heartbeat)
         self.registry.inbox.send_nowait((link.peer.name, message))
 
 
 def make_recorder(name: str) -> Recorder:
-    """Make a small recorder."""
+    """Make a recorder that keeps 100 events."""
     return Recorder(name, lambda: time.time_ns() // 1_000_000, 100)
 
 
-def resident_bytes() -> int:
-    """Return this process's resident memory."""
+def read_resident_bytes() -> int:
+    """Return the resident memory of this process, in bytes."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
 
-def _report(reception: Reception) -> None:
+def _print_usage(receiver: RegistryReceiver) -> None:
     used = resource.getrusage(resource.RUSAGE_SELF)
     result = {
         "processor_s": used.ru_utime + used.ru_stime,
-        "resident": resident_bytes(),
-        "beats": reception.beats,
+        "resident": read_resident_bytes(),
+        "beats": receiver.heartbeat_count,
     }
     print(json.dumps(result), flush=True)
 
 
 async def serve() -> None:
-    """Serve until two lines were read."""
-    own = Instance(NAME, "a", "127.0.0.1", 0, 1)
-    reception = Reception()
+    """Serve links until two lines have been read from standard input."""
+    instance = Instance(NAME, "a", "127.0.0.1", 0, 1)
+    receiver = RegistryReceiver()
     recorder = make_recorder(NAME)
-    hub = create_link_hub(own, reception, recorder, lambda epoch: Hello(own, epoch))
+    hub = create_link_hub(instance, receiver, recorder, lambda epoch: Hello(instance, epoch))
     rng = random.Random(1)
-    reception.registry = create_registry_task(NAME, StillControl(), TIMES, hub.send, recorder, rng)
+    receiver.registry = create_registry_task(
+        NAME, UnchangingControlLog(), LEASE_TIMES, hub.send, recorder, rng
+    )
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1", backlog=1024)
         print(listeners[0].socket.getsockname()[1], flush=True)
         nursery.start_soon(hub.run, listeners)
-        nursery.start_soon(reception.registry.run)
+        nursery.start_soon(receiver.registry.run)
         for _ in range(2):
             await trio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
-            _report(reception)
+            _print_usage(receiver)
         nursery.cancel_scope.cancel()
 
 
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/slope.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/slope.py
@@ -1,4 +1,4 @@
-"""Time work, fit lines and count the bytes of messages as links send them."""
+"""Measure processor time, fit lines and encode messages as links send them."""
 
 import dataclasses
 import gc
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Point:
-    """Hold one measured value at one size."""
+    """Hold one measured value for one size."""
 
     size: int
     value: float
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Slope:
-    """Hold measured points, the line through them and its worst error as a share."""
+    """Hold measured points, the line fitted to them and its largest relative error."""
 
     unit: str
     per: str
@@ -35,7 +35,7 @@
 
 
 def fit(unit: str, per: str, points: list[Point]) -> Slope:
-    """Fit a line through points."""
+    """Fit a line to points by least squares."""
     sizes = [point.size for point in points]
     line = statistics.linear_regression(sizes, [point.value for point in points])
     errors = [
@@ -58,10 +58,10 @@
 
 
 def encode(message: Record) -> bytes:
-    """Encode a message in a frame of its own."""
+    """Encode a frame that contains only this message."""
     return encode_frame(Frame(_PHYSICAL_MS, 0, (message,)))
 
 
 def decode(data: bytes) -> Record:
-    """Decode a frame that holds one message."""
+    """Return the message of a frame that contains one."""
     return decode_frame(data).ok.messages[0]
--- a/packages/bendwind-bench/src/bendwind_bench/slopes_membership/voter.py
+++ b/packages/bendwind-bench/src/bendwind_bench/slopes_membership/voter.py
@@ -1,20 +1,20 @@
-"""Measure what membership costs a voter."""
+"""Measure the cost of membership for a voter."""
 
 import gc
 import time
 import tracemalloc
 
-from bendwind_bench.slopes_membership.scene import (
+from bendwind_bench.slopes_membership.fixture import (
     TARGET_NODES,
     VOTERS,
-    Scene,
-    attach,
-    build_scene,
-    deliver,
+    RegistryFixture,
+    apply_event,
+    attach_node,
+    build_registry_fixture,
+    find_service,
+    flush_pushes,
     make_instance,
     make_upstream,
-    service_of,
-    settle,
 )
 from bendwind_bench.slopes_membership.slope import Point, Slope, decode, encode, fit, time_median
 from bendwind_core.membership import (
@@ -29,72 +29,74 @@
 )
 from bendwind_core.world import Configuration, Instance, Service, Upstream
 
-SIZES = (1_500, 3_750, 7_500, 15_000)
+NODE_COUNTS = (1_500, 3_750, 7_500, 15_000)
 WATCHER_COUNTS = (10, 46, 230, 1_000)
-DATA_CENTRE = 2_100
+DATA_CENTRE_NODES = 2_100
 BATCH = 300
 
 
-def beat_nodes(scene: Scene) -> int:
-    """Take heartbeats as bytes and reply in bytes, as a voter does."""
-    own = scene.nodes[: len(scene.watched)][:BATCH]
-    sequence = next(scene.beats)
-    for node in own:
-        beat = Heartbeat(node, sequence, 7, 1, 1, digest_for(scene, node))
-        received = decode(encode(beat))
-        for effect in deliver(scene, MessageReceived(node.name, received)):
+def exchange_heartbeats(fixture: RegistryFixture) -> int:
+    """Process encoded heartbeats and encode the replies, as a voter does."""
+    attached_nodes = fixture.nodes[: len(fixture.watched)][:BATCH]
+    sequence = next(fixture.sequences)
+    for node in attached_nodes:
+        heartbeat = Heartbeat(node, sequence, 7, 1, 1, compute_watch_digest(fixture, node))
+        received = decode(encode(heartbeat))
+        for effect in apply_event(fixture, MessageReceived(node.name, received)):
             encode(effect.message)
-    return len(own)
+    return len(attached_nodes)
 
 
-def digest_for(scene: Scene, node: Instance) -> int:
-    """Return the digest that a node in step with the voter states."""
+def compute_watch_digest(fixture: RegistryFixture, node: Instance) -> int:
+    """Return the watch digest that an up-to-date node sends in its heartbeats."""
     digest = 0
-    for service in scene.watched[node.name]:
-        digest ^= scene.registry.services[service].digest
+    for service in fixture.watched[node.name]:
+        digest ^= fixture.registry.services[service].digest
     return digest
 
 
 def measure_registries() -> dict[str, Slope]:
-    """Measure memory and heartbeats over growing deployments."""
-    memory, beats, expiry = [], [], []
-    for size in SIZES:
+    """Measure memory, heartbeats and ticks for growing deployments."""
+    memory, heartbeats, ticks_us = [], [], []
+    for size in NODE_COUNTS:
         gc.collect()
         tracemalloc.start()
-        scene = build_scene(size)
+        fixture = build_registry_fixture(size)
         gc.collect()
         memory.append(Point(size, tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
-        beats.append(Point(size, time_median(lambda scene=scene: beat_nodes(scene))))
-        expiry.append(
-            Point(size, time_median(lambda scene=scene: len(deliver(scene, Tick())) or 1))
+        heartbeats.append(
+            Point(size, time_median(lambda fixture=fixture: exchange_heartbeats(fixture)))
+        )
+        ticks_us.append(
+            Point(size, time_median(lambda fixture=fixture: len(apply_event(fixture, Tick())) or 1))
         )
     return {
         "voter_memory": fit("bytes", "node of the deployment", memory),
-        "voter_heartbeat": fit("us each, codec included", "node of the deployment", beats),
-        "voter_tick": fit("us each", "node of the deployment", expiry),
+        "voter_heartbeat": fit("us each, codec included", "node of the deployment", heartbeats),
+        "voter_tick": fit("us each", "node of the deployment", ticks_us),
     }
 
 
 def measure_watchers() -> dict[str, Slope]:
-    """Measure what a changed upstream and a changed service cost for their watchers."""
+    """Measure the cost of pushing a changed upstream and a changed service to their watchers."""
     updates, changes, memory = [], [], []
     for count in WATCHER_COUNTS:
-        scene = build_scene(1_500)
-        service = scene.services[0]
+        fixture = build_registry_fixture(1_500)
+        service = fixture.services[0]
         gc.collect()
         tracemalloc.start()
         for index in range(count):
             node = make_instance(50_000 + index)
-            scene.watched[node.name] = (service,)
-            attach(scene, node)
-        settle(scene)
+            fixture.watched[node.name] = (service,)
+            attach_node(fixture, node)
+        flush_pushes(fixture)
         gc.collect()
         memory.append(Point(count, tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
-        count = len(scene.registry.services[service].watchers)
-        updates.append(Point(count, time_median(lambda s=scene, n=service: push_upstream(s, n))))
-        changes.append(Point(count, time_median(lambda s=scene, n=service: push_service(s, n))))
+        count = len(fixture.registry.services[service].watchers)
+        updates.append(Point(count, time_median(lambda s=fixture, n=service: push_upstream(s, n))))
+        changes.append(Point(count, time_median(lambda s=fixture, n=service: push_service(s, n))))
     return {
         "voter_watcher_memory": fit("bytes", "attached node watching one service", memory),
         "voter_upstream_change": fit("us for all watchers", "watcher", updates),
@@ -102,60 +104,62 @@
     }
 
 
-def push_upstream(scene: Scene, service: str) -> int:
-    """Change one upstream and push it, encoding one message for all."""
-    node = next(node for node in scene.nodes if service_of(scene, node) == service)
-    sequence = next(scene.beats)
+def push_upstream(fixture: RegistryFixture, service: str) -> int:
+    """Change one upstream and push it; one message is encoded for all watchers."""
+    node = next(node for node in fixture.nodes if find_service(fixture, node) == service)
+    sequence = next(fixture.sequences)
     upstream = make_upstream(node, service)
-    announce = Announce(node.name, node.incarnation, sequence, (renumber(upstream, sequence),))
-    deliver(scene, MessageReceived(node.name, announce))
-    encode_all(deliver(scene, Tick()))
+    announce = Announce(
+        node.name, node.incarnation, sequence, (replace_sequence(upstream, sequence),)
+    )
+    apply_event(fixture, MessageReceived(node.name, announce))
+    encode_messages(apply_event(fixture, Tick()))
     return 1
 
 
-def renumber(upstream: Upstream, sequence: int) -> Upstream:
-    """Return the upstream as announced under another sequence."""
+def replace_sequence(upstream: Upstream, sequence: int) -> Upstream:
+    """Return the upstream with another sequence of its announcement."""
     return Upstream(
         upstream.name, upstream.service, upstream.owner, 12, 200, upstream.state, sequence
     )
 
 
-def push_service(scene: Scene, service: str) -> int:
-    """Change one service and push it, encoding a message for each watcher."""
-    configuration = scene.registry.configuration
+def push_service(fixture: RegistryFixture, service: str) -> int:
+    """Change one service and push it; a message is encoded for each watcher."""
+    configuration = fixture.registry.configuration
     version = configuration.version + 1
     changed = Service(service, ("*",), longest_wait_ms=1000.0 + version)
     services = tuple(changed if old.name == service else old for old in configuration.services)
-    deliver(scene, ConfigurationAccepted(Configuration(version, services)))
-    while scene.registry.outdated_clients:
-        encode_all(deliver(scene, Tick()))
+    apply_event(fixture, ConfigurationAccepted(Configuration(version, services)))
+    while fixture.registry.outdated_clients:
+        encode_messages(apply_event(fixture, Tick()))
     return 1
 
 
-def encode_all(effects: list) -> None:
-    """Encode the messages of effects."""
+def encode_messages(effects: list) -> None:
+    """Encode the messages that the effects send."""
     for effect in effects:
         if isinstance(effect, SendTo):
             encode(effect.message)
 
 
 def measure_data_centre() -> dict[str, float]:
-    """Measure what a voter does when a data centre's nodes are reported dead and come back."""
-    scene = build_scene(TARGET_NODES)
-    others = scene.nodes[-DATA_CENTRE:]
+    """Measure a voter while a data centre's nodes are reported dead, and then alive again."""
+    fixture = build_registry_fixture(TARGET_NODES)
+    reported_nodes = fixture.nodes[-DATA_CENTRE_NODES:]
     result = {}
     for name, is_alive in (("lost", False), ("returned", True)):
         started = time.process_time()
-        beat = next(scene.beats)
-        for node in others:
-            upstreams = (make_upstream(node, service_of(scene, node)),)
-            state = MemberState(node, VOTERS[1], beat, is_alive, 1, upstreams)
-            deliver(scene, MessageReceived(VOTERS[1], MemberGossip(VOTERS[1], (state,))))
+        sequence = next(fixture.sequences)
+        for node in reported_nodes:
+            upstreams = (make_upstream(node, find_service(fixture, node)),)
+            state = MemberState(node, VOTERS[1], sequence, is_alive, 1, upstreams)
+            apply_event(fixture, MessageReceived(VOTERS[1], MemberGossip(VOTERS[1], (state,))))
         pushes, ticks = 0, 0
-        registry = scene.registry
+        registry = fixture.registry
         while registry.dirty_services or registry.urgent_services:
-            effects = deliver(scene, Tick())
-            encode_all(effects)
+            effects = apply_event(fixture, Tick())
+            encode_messages(effects)
             pushes += len(effects)
             ticks += 1
         result[f"{name}_pushes"] = pushes
