--- a/packages/bendwind-bench/src/bendwind_bench/capacity/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the measurements and the page on what the design carries at which size."""
+"""Provide the capacity measurements and the page that reports their results."""
 
 from bendwind_bench.capacity.page import write_page
 from bendwind_bench.capacity.run import run_capacity
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/design.py
@@ -1,4 +1,4 @@
-"""Note the bounds and durations of the design that a result was measured with."""
+"""Record the bounds and durations of the design that a result was measured with."""
 
 import msgspec
 
@@ -14,7 +14,9 @@
 
 
 class Design(msgspec.Struct, frozen=True):
-    """Hold what the model takes from the code, so that the page stays as of its measurement."""
+    """Hold the constants that the model uses, as they were at the time of the measurement.
+
+    The page therefore does not change with the code until the next measurement."""
 
     ping_s: Seconds
     idle_link_s: Seconds
@@ -33,7 +35,7 @@
 
 
 def read_design() -> Design:
-    """Read the design from the code."""
+    """Return the current bounds and durations of the code."""
     claims, log, lease = ClaimLimits(), ReplicaSettings(), LeaseTimes()
     return Design(
         ping_s=PING_INTERVAL_S,
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/findings.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/findings.py
@@ -1,15 +1,15 @@
-"""Say what carries the target, where the design does not reach it, and what would change."""
+"""Describe how the design reaches the target size, where it does not, and what would help."""
 
 from bendwind_bench.capacity.model.roles import (
-    attached_us,
-    claims_kept,
-    cost_of_control,
-    cost_of_holder,
-    cost_of_links,
-    cost_of_voter,
-    placement_percent,
+    compute_attached_node_us,
+    compute_control_cost,
+    compute_holder_cost,
+    compute_links_cost,
+    compute_placement_percent,
+    compute_stored_claims,
+    compute_voter_cost,
 )
-from bendwind_bench.capacity.model.sizes import ADDED_P99_MS, CONTROL, SIZES, Size
+from bendwind_bench.capacity.model.sizes import ADDED_P99_MS, CONTROL_LIMITS, SIZES, Size
 from bendwind_bench.capacity.result import CapacityResult
 from bendwind_bench.reports.number import format_number as number
 
@@ -21,7 +21,7 @@
 
 
 def list_findings(result: CapacityResult, size: Size) -> list[str]:
-    """List the findings at a size, those of structure first."""
+    """Return the findings at a size; those about the structure of the design come first."""
     return [
         _find_links(result, size),
         _find_renewals(result, size),
@@ -37,29 +37,31 @@
 
 
 def compare(value: float, limit: float) -> str:
-    """Say whether a value is within a limit, or by how much it is over."""
+    """Return whether a value is within a limit, or by which factor it exceeds the limit."""
     return "within" if value <= limit else f"**over, {number(value / limit)} times**"
 
 
 def _find_links(result: CapacityResult, size: Size) -> str:
-    links, control = cost_of_links(result, size), cost_of_control(result, size)
+    links, control = compute_links_cost(result, size), compute_control_cost(result, size)
     one = result.slopes["link_dialed_us"].slope + result.slopes["link_accepted_us"].slope
     everyone = size.watched_upstreams
     return (
-        f"**Links.** With at most {result.design.subset} upstreams of each of {size.watched} "
+        f"**Links.** With at most {result.design.subset} upstreams of each of "
+        f"{size.watched_services} "
         f"services a node dials {size.links_each_way(result.design.subset):.0f} owners and is "
         f"dialed by as many entries: {number(links.cpu_percent)}% of a core for pings and "
         f"{number(links.memory / BYTES_PER_MB)} MB. All control of a node takes "
-        f"{number(control.cpu_percent)}%: {compare(control.cpu_percent, CONTROL.cpu_percent)} of "
-        f"{CONTROL.cpu_percent}%. Links to all {everyone:.0f} upstreams would be "
+        f"{number(control.cpu_percent)}%: "
+        f"{compare(control.cpu_percent, CONTROL_LIMITS.cpu_percent)} of "
+        f"{CONTROL_LIMITS.cpu_percent}%. Links to all {everyone:.0f} upstreams would be "
         f"{number(everyone * one / US_PER_PERCENT)}% for pings alone."
     )
 
 
 def _find_renewals(result: CapacityResult, size: Size) -> str:
-    voter = cost_of_voter(result, size)
+    voter = compute_voter_cost(result, size)
     nodes = size.upstreams / size.voters
-    fast = nodes * attached_us(result, 1.0) / US_PER_PERCENT
+    fast = nodes * compute_attached_node_us(result, 1.0) / US_PER_PERCENT
     lost = voter.cpu_percent * size.voters / (size.voters - 1)
     return (
         f"**Renewals.** {nodes:.0f} nodes at a voter that renew every {size.heartbeat_s:g} s take "
@@ -75,48 +77,51 @@
 
 def _find_claims(result: CapacityResult, size: Size) -> str:
     design = result.design
-    cost = cost_of_holder(result, size)
+    cost = compute_holder_cost(result, size)
     per_second = design.claims / design.claim_retention_s
-    wanted = claims_kept(result, size)
+    needed_claims = compute_stored_claims(result, size)
     today = ", ".join(
-        f"{other.title.split()[0]} {compare(claims_kept(result, other), design.claims)}"
+        f"{other.title.split()[0]} {compare(compute_stored_claims(result, other), design.claims)}"
         for other in SIZES
-        if not other.is_set_aside
+        if not other.is_dedicated
     )
     return (
         f"**Claims.** A service's group keeps {design.claims} claims for "
         f"{design.claim_retention_s / SECONDS_PER_HOUR:g} h, so it takes {number(per_second)} new "
         "keys a second for good; then it is full and refuses as not run. With "
-        f"{size.keyed:.0%} of calls keyed a service brings {number(size.claims_per_s)} a second: "
-        f"{compare(wanted, design.claims)} (today, as assumed: {today}). Its primary spends "
-        f"{number(cost.cpu_percent)}% of a core: {compare(cost.cpu_percent, CONTROL.cpu_percent)} "
-        f"of {CONTROL.cpu_percent}%. "
+        f"{size.keyed_share:.0%} of calls keyed a service brings "
+        f"{number(size.claims_per_s)} a second: "
+        f"{compare(needed_claims, design.claims)} (today, as assumed: {today}). Its primary spends "
+        f"{number(cost.cpu_percent)}% of a core: "
+        f"{compare(cost.cpu_percent, CONTROL_LIMITS.cpu_percent)} "
+        f"of {CONTROL_LIMITS.cpu_percent}%. "
         "What would change: a group for each part of a service's keys, by hash over all its "
         "nodes, and a retention in the order of the longest resend, stated by the service."
     )
 
 
 def _find_placement(result: CapacityResult, size: Size) -> str:
-    look_ms = result.slopes["placement_us"].at(size.upstreams) / US_PER_MS
-    share = placement_percent(result, size)
+    check_ms = result.slopes["placement_us"].value_at(size.upstreams) / US_PER_MS
+    share = compute_placement_percent(result, size)
     round_ms = result.design.round_s * 1000.0
     return (
         f"**Claim placement.** The leader's look at all groups, every {result.design.place_s:g} s, "
-        f"takes {number(look_ms)} ms at {size.upstreams} nodes, {number(share)}% of its core; the "
+        f"takes {number(check_ms)} ms at {size.upstreams} nodes, {number(share)}% of its core; the "
         f"log's rounds are {round_ms:.0f} ms apart, and a look delays them by its length at most."
     )
 
 
 def _find_watch(result: CapacityResult, size: Size) -> str:
     worst = min(result.design.watched_most, size.services)
-    upstreams = worst * size.per_service
-    state = result.slopes["node_memory"].at(upstreams)
+    upstreams = worst * size.upstreams_per_service
+    state = result.slopes["node_memory"].value_at(upstreams)
     return (
         f"**Watches only grow.** A node watches each service that its callers name, up to "
         f"{result.design.watched_most}, and leaves none that exists; a further service is unknown "
         "to it. Were callers to spread every service over every node, it would hold "
         f"{upstreams:.0f} upstreams, {number(state / BYTES_PER_MB)} MB, and up to "
-        f"{number(worst * min(result.design.subset, size.per_service))} links each way, as far as "
+        f"{number(worst * min(result.design.subset, size.upstreams_per_service))} "
+        "links each way, as far as "
         f"these are used within {result.design.idle_link_s:g} s. What would change: an idle time "
         "after which a service is left, and entry by a node that serves or calls the service."
     )
@@ -143,8 +148,9 @@
     return (
         f"**Memory of the process.** A node has {number(whole / BYTES_PER_MB)} MB resident; "
         f"{number(bare / BYTES_PER_MB)} MB are there after the same imports without anything that "
-        f"runs. Control alone is within {CONTROL.memory / BYTES_PER_MB:g} MB; the whole process is "
-        f"{compare(whole, CONTROL.memory)}. Resident MB after imports: Python alone "
+        f"runs. Control alone is within {CONTROL_LIMITS.memory / BYTES_PER_MB:g} MB; "
+        "the whole process is "
+        f"{compare(whole, CONTROL_LIMITS.memory)}. Resident MB after imports: Python alone "
         f"{_read_mb(result, 'bare_python_kb')}, with trio {_read_mb(result, 'bare_trio_kb')}, with "
         f"codecs {_read_mb(result, 'bare_codec_kb')}, with websockets and h11 "
         f"{_read_mb(result, 'bare_links_kb')}; the rest is the operators' HTTP and our own "
@@ -154,12 +160,13 @@
 
 
 def _find_small_voter(result: CapacityResult) -> str:
-    costs = [cost_of_voter(result, size) for size in SIZES if not size.is_set_aside]
+    costs = [compute_voter_cost(result, size) for size in SIZES if not size.is_dedicated]
     worst = max(cost.cpu_percent for cost in costs)
     return (
         f"**A voter beside an upstream, today.** A follower takes {number(worst)}% of a core at "
-        f"today's sizes: {compare(worst, CONTROL.cpu_percent)} of an ordinary node's "
-        f"{CONTROL.cpu_percent}%. Rounds of the log, barriers and ticks run whether or not a thing "
+        f"today's sizes: {compare(worst, CONTROL_LIMITS.cpu_percent)} of an ordinary node's "
+        f"{CONTROL_LIMITS.cpu_percent}%. Rounds of the log, barriers and ticks run "
+        "whether or not a thing "
         "changes. At the target voters are instances set aside. What would change: a barrier when "
         "a heartbeat needs one, and a tick only when something is due."
     )
@@ -179,7 +186,7 @@
     entry, owner = slopes["entry_call_us"].slope, slopes["owner_call_us"].slope
     decisions = slopes["entry_decision_us"].slope, slopes["owner_decision_us"].slope
     share = size.entry_calls_per_s * (entry + owner) / US_PER_PERCENT
-    deepest = share / size.depth * 8
+    deepest = share / size.calls_per_external_call * 8
     return (
         f"**Processor time of calls.** A call takes {number(entry)} us of its entry node and "
         f"{number(owner)} us of its owner node, of which the decisions are {number(decisions[0])} "
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/fixture.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/fixture.py
@@ -1,4 +1,4 @@
-"""Make instances, upstreams and services of usual size for the measurements."""
+"""Make instances, upstreams and services of typical size for the measurements."""
 
 import msgspec
 
@@ -12,11 +12,11 @@
 
 
 def make_upstream(index: int, service: str) -> Upstream:
-    """Make the upstream beside a node."""
+    """Make the upstream on the instance of a node."""
     return fixture.make_upstream(make_instance(index), service)
 
 
 def make_service(index: int, wait_ms: float = 1000.0) -> Service:
-    """Make a service with a duration by which it may differ from others."""
+    """Make a service whose longest wait can differ from that of other services."""
     service = fixture.make_service(f"service-{index:03d}")
     return msgspec.structs.replace(service, longest_wait_ms=wait_ms)
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/model/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/model/__init__.py
@@ -1,1 +1,1 @@
-"""Work out each role's cost at a size from the measured slopes."""
+"""Calculate the costs of each role at a size from the measured slopes."""
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/model/events.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/model/events.py
@@ -1,27 +1,28 @@
-"""Work through the events of an ordinary day and of a bad one."""
+"""Calculate the effects of the events of an ordinary day and of major failures."""
 
 from dataclasses import dataclass
 
-from bendwind_bench.capacity.model.roles import attached_us, push_us
+from bendwind_bench.capacity.model.roles import compute_attached_node_us, compute_push_us
 from bendwind_bench.capacity.model.sizes import (
-    APART_S,
     DATA_CENTRE_NODES,
+    PARTITION_S,
     PEAK_S,
     PEAK_SHARE,
-    RACK,
+    RACK_NODES,
     Size,
 )
 from bendwind_bench.capacity.result import CapacityResult
 
 US_PER_SECOND = 1e6
-_CUT_OFF_CENTRES = 2
+_PARTITIONED_DATA_CENTRES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class EventCost:
-    """Hold what an event causes.
+    """Hold the effects of an event.
 
-    `voter_messages` counts those of the voter that has most to do. Units: seconds.
+    `voter_messages` counts the messages of the busiest voter.
+    Units: seconds.
     """
 
     event: str
@@ -34,40 +35,40 @@
 
 
 def list_events(result: CapacityResult, size: Size) -> list[EventCost]:
-    """Work every event through at a size."""
+    """Return the effects of every event at a size."""
     return [
         _ordinary_day(result, size),
-        _peak(result, size),
-        _rack(result, size),
+        _restart_peak(result, size),
+        _rack_lost(result, size),
         _data_centre_lost(result, size),
         _data_centre_back(result, size),
-        _regions_apart(result, size),
-        _regions_joined(result, size),
+        _regions_partitioned(result, size),
+        _regions_reconnected(result, size),
     ]
 
 
-def _pushes(size: Size, services: float) -> float:
+def _count_pushes(size: Size, services: float) -> float:
     return services * size.watchers
 
 
 def _settle_after_loss(result: CapacityResult, size: Size, pushes: float) -> float:
-    """Return lease plus the time that one voter needs for its share of the pushes."""
-    return size.lease_s + pushes / size.voters * push_us(result) / US_PER_SECOND
+    """Return the lease plus the time that one voter needs for its share of the pushes."""
+    return size.lease_s + pushes / size.voters * compute_push_us(result) / US_PER_SECOND
 
 
 def _settle_after_push(result: CapacityResult, size: Size) -> float:
     """Return the time that a voter needs to push one change to its share of the watchers."""
-    return size.watchers / size.voters * push_us(result) / US_PER_SECOND
+    return size.watchers / size.voters * compute_push_us(result) / US_PER_SECOND
 
 
 def _ordinary_day(result: CapacityResult, size: Size) -> EventCost:
     events = 3 * size.restarts_per_day + 2 * size.failures_per_day
-    messages = _pushes(size, events)
+    messages = _count_pushes(size, events)
     return EventCost(
         f"Ordinary day: {size.failures_per_day:.0f} failures, {size.restarts_per_day:.0f} restarts",
         messages,
         messages / size.voters,
-        messages / size.voters * push_us(result) / US_PER_SECOND,
+        messages / size.voters * compute_push_us(result) / US_PER_SECOND,
         _settle_after_loss(result, size, size.watchers),
         "a failed node's calls in flight end `unknown` where they may not be repeated; a planned "
         "restart cuts none",
@@ -75,27 +76,27 @@
     )
 
 
-def _peak(result: CapacityResult, size: Size) -> EventCost:
+def _restart_peak(result: CapacityResult, size: Size) -> EventCost:
     restarts = size.restarts_per_day * PEAK_SHARE
-    messages = _pushes(size, 3 * restarts)
+    messages = _count_pushes(size, 3 * restarts)
     return EventCost(
         f"A tenth of the restarts in ten minutes: {restarts / PEAK_S:.2f} a second",
         messages,
         messages / size.voters,
-        messages / size.voters * push_us(result) / US_PER_SECOND,
+        messages / size.voters * compute_push_us(result) / US_PER_SECOND,
         _settle_after_push(result, size),
         "nothing: each is drained first",
         "a leaving upstream gets nothing new: its owner refuses before anyone has heard",
     )
 
 
-def _rack(result: CapacityResult, size: Size) -> EventCost:
-    messages = _pushes(size, min(RACK, size.services))
+def _rack_lost(result: CapacityResult, size: Size) -> EventCost:
+    messages = _count_pushes(size, min(RACK_NODES, size.services))
     return EventCost(
-        f"A rack of {RACK} lost",
+        f"A rack of {RACK_NODES} lost",
         messages,
         messages / size.voters,
-        messages / size.voters * push_us(result) / US_PER_SECOND,
+        messages / size.voters * compute_push_us(result) / US_PER_SECOND,
         _settle_after_loss(result, size, messages),
         "calls in flight there end `unknown` or are tried elsewhere; new ones fail to link and go "
         "elsewhere at once",
@@ -127,7 +128,10 @@
     busy += pushes * result.slopes["exchange_server_us"].slope / 2 / US_PER_SECOND
     busy += (
         links
-        * (result.slopes["link_accept_us"].slope + attached_us(result, size.heartbeat_s))
+        * (
+            result.slopes["link_accept_us"].slope
+            + compute_attached_node_us(result, size.heartbeat_s)
+        )
         / US_PER_SECOND
     )
     return EventCost(
@@ -141,20 +145,20 @@
     )
 
 
-def _cut_off(size: Size) -> float:
-    return size.upstreams * _CUT_OFF_CENTRES / size.data_centres
+def _count_partitioned_nodes(size: Size) -> float:
+    return size.upstreams * _PARTITIONED_DATA_CENTRES / size.data_centres
 
 
-def _regions_apart(result: CapacityResult, size: Size) -> EventCost:
-    nodes = _cut_off(size)
-    changes = size.changes_per_s * APART_S
-    messages = _pushes(size, min(size.services, nodes))
+def _regions_partitioned(result: CapacityResult, size: Size) -> EventCost:
+    nodes = _count_partitioned_nodes(size)
+    changes = size.changes_per_s * PARTITION_S
+    messages = _count_pushes(size, min(size.services, nodes))
     return EventCost(
-        f"A region of {nodes:.0f} nodes apart for {APART_S / 60:.0f} minutes, "
+        f"A region of {nodes:.0f} nodes apart for {PARTITION_S / 60:.0f} minutes, "
         f"{changes:.1f} changes meanwhile",
         messages,
         messages / size.voters,
-        messages / size.voters * push_us(result) / US_PER_SECOND,
+        messages / size.voters * compute_push_us(result) / US_PER_SECOND,
         _settle_after_loss(result, size, messages),
         f"in the region without a quorum {size.calls_per_s * nodes / size.upstreams:.0f} calls a "
         "second end `not-run` after the lease, but for services with `on_stale = serve`; "
@@ -163,18 +167,18 @@
     )
 
 
-def _regions_joined(result: CapacityResult, size: Size) -> EventCost:
-    nodes = _cut_off(size)
-    changes = size.changes_per_s * APART_S
-    missed = min(1.0, changes * size.watched / size.services)
-    messages = nodes * (2 + missed) + _pushes(size, min(size.services, nodes))
+def _regions_reconnected(result: CapacityResult, size: Size) -> EventCost:
+    nodes = _count_partitioned_nodes(size)
+    changes = size.changes_per_s * PARTITION_S
+    missed = min(1.0, changes * size.watched_services / size.services)
+    messages = nodes * (2 + missed) + _count_pushes(size, min(size.services, nodes))
     share = messages / size.voters
     return EventCost(
         "The region returns",
         messages,
         share,
-        share * push_us(result) / US_PER_SECOND,
-        size.heartbeat_s + share * push_us(result) / US_PER_SECOND,
+        share * compute_push_us(result) / US_PER_SECOND,
+        size.heartbeat_s + share * compute_push_us(result) / US_PER_SECOND,
         "calls are served again from the first confirmed heartbeat on",
         "never an older configuration: what changed is pushed before the confirmation counts",
     )
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/page.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/page.py
@@ -1,4 +1,4 @@
-"""Rewrite docs/CAPACITY.md from the measured slopes, so that no figure is typed by hand."""
+"""Generate docs/CAPACITY.md from the measured slopes, so that no figure is typed by hand."""
 
 import string
 from pathlib import Path
@@ -9,7 +9,7 @@
 from bendwind_bench.capacity.model.sizes import (
     ADDED_P99_MS,
     CERTITERMICA,
-    CONTROL,
+    CONTROL_LIMITS,
     SIZES,
     SPREAD_LIMIT_MS,
     TARGET,
@@ -26,13 +26,13 @@
 
 
 def write_page() -> None:
-    """Write the page from the last result."""
+    """Generate the page from the last result."""
     result = read_result()
     template = string.Template(_TEMPLATE.read_text())
-    PAGE.write_text(template.substitute(_list_places(result)))
+    PAGE.write_text(template.substitute(_make_substitutions(result)))
 
 
-def _list_places(result: CapacityResult) -> dict[str, str]:
+def _make_substitutions(result: CapacityResult) -> dict[str, str]:
     load = ", ".join(f"{value:.1f}" for value in result.load_average)
     trial = "**These are the figures of a trial run, on a machine busy with other work.**\n\n"
     return {
@@ -46,7 +46,9 @@
         "sizes": _format_sizes(),
         "roles": "\n".join(_format_roles(result, size) for size in SIZES),
         "promises": _format_promises(result),
-        "findings": "\n".join(f"{n}. {text}" for n, text in enumerate(_findings(result), 1)),
+        "findings": "\n".join(
+            f"{n}. {text}" for n, text in enumerate(_list_target_findings(result), 1)
+        ),
         "slopes": _format_slopes(result),
         "figures": _format_figures(result),
         "kinds": _format_kinds(result),
@@ -54,7 +56,7 @@
     }
 
 
-def _findings(result: CapacityResult) -> list[str]:
+def _list_target_findings(result: CapacityResult) -> list[str]:
     return list_findings(result, TARGET)
 
 
@@ -65,10 +67,13 @@
         ("data centres", lambda size: size.data_centres),
         ("control voters", lambda size: size.voters),
         ("calls a second from outside", lambda size: size.calls_per_s),
-        ("calls that one from outside causes, itself included (assumed mean)", lambda s: s.depth),
-        ("share of calls from outside with a key (assumed)", lambda size: size.keyed),
-        ("time that a call is held, s (assumed)", lambda size: size.held_s),
-        ("services a node calls or serves (assumed)", lambda size: size.watched),
+        (
+            "calls that one from outside causes, itself included (assumed mean)",
+            lambda s: s.calls_per_external_call,
+        ),
+        ("share of calls from outside with a key (assumed)", lambda size: size.keyed_share),
+        ("time that a call is held, s (assumed)", lambda size: size.call_duration_s),
+        ("services a node calls or serves (assumed)", lambda size: size.watched_services),
         ("nodes that watch a service", lambda size: size.watchers),
         ("heartbeat, s (setting)", lambda size: size.heartbeat_s),
         ("lease, s (setting)", lambda size: size.lease_s),
@@ -114,9 +119,9 @@
 
 def _format_verdicts(cost: Cost) -> str:
     limits = cost.limits
-    bound = f"{compare(cost.state_needed, cost.state_most)} ({cost.state_most:.0f})"
+    bound = f"{compare(cost.state_needed, cost.state_limit)} ({cost.state_limit:.0f})"
     cells = (
-        bound if cost.state_most else "",
+        bound if cost.state_limit else "",
         f"{compare(cost.cpu_percent, limits.cpu_percent)} ({limits.cpu_percent:g}%)",
         f"{compare(cost.memory, limits.memory)} ({limits.memory / _BYTES_PER_MB:g} MB)",
         f"{compare(cost.bytes_per_s, limits.bytes_per_s)} "
@@ -128,7 +133,7 @@
 def _format_promises(result: CapacityResult) -> str:
     figures = result.figures
     added, spread = figures["added_p99_ms"], result.slopes["change_spread_ms"]
-    most = figures["change_spread_most_ms"]
+    max_spread_ms = figures["change_spread_most_ms"]
     nodes = max(point.size for point in spread.points)
     each_us = result.slopes["change_many_us"].slope + result.slopes["exchange_server_us"].slope / 2
     push_s = TARGET.watchers / TARGET.voters * each_us / 1e6
@@ -139,7 +144,8 @@
         f"| added at p99, {CERTITERMICA.title.split()[0]}-like calls over one hop, ms "
         f"| {format_number(added)} | {ADDED_P99_MS} | {compare(added, ADDED_P99_MS)} |",
         f"| a change in force at the last of {nodes:.0f} nodes, worst of all measured, ms "
-        f"| {format_number(most)} | {SPREAD_LIMIT_MS:.0f} | {compare(most, SPREAD_LIMIT_MS)} |",
+        f"| {format_number(max_spread_ms)} | {SPREAD_LIMIT_MS:.0f} "
+        f"| {compare(max_spread_ms, SPREAD_LIMIT_MS)} |",
         f"| a change pushed by a voter to its share of {TARGET.watchers:.0f} watchers, links "
         f"included, ms | {format_number(push_s * 1e3)} | {SPREAD_LIMIT_MS:.0f} "
         f"| {compare(push_s * 1e3, SPREAD_LIMIT_MS)} |",
@@ -151,12 +157,12 @@
         f"| {SPREAD_LIMIT_MS:.0f} | {compare(TARGET.lease_s * 1e3, SPREAD_LIMIT_MS)} |",
         f"| a node's control, resident less its imports, today, MB "
         f"| {format_number(figures['node_control_kb'] * 1024 / _BYTES_PER_MB)} "
-        f"| {CONTROL.memory / _BYTES_PER_MB:g} | "
-        f"{compare(figures['node_control_kb'] * 1024, CONTROL.memory)} |",
+        f"| {CONTROL_LIMITS.memory / _BYTES_PER_MB:g} | "
+        f"{compare(figures['node_control_kb'] * 1024, CONTROL_LIMITS.memory)} |",
         f"| a node's process in all, imports too, MB "
         f"| {format_number(figures['node_kb'] * 1024 / _BYTES_PER_MB)} "
-        f"| {CONTROL.memory / _BYTES_PER_MB:g} | "
-        f"{compare(figures['node_kb'] * 1024, CONTROL.memory)} |",
+        f"| {CONTROL_LIMITS.memory / _BYTES_PER_MB:g} | "
+        f"{compare(figures['node_kb'] * 1024, CONTROL_LIMITS.memory)} |",
     ]
     return "\n".join(lines)
 
@@ -173,7 +179,8 @@
 
 def _format_slope(slope: Slope) -> str:
     points = "; ".join(
-        f"{format_number(point.size)}: {format_number(point.value)}" for point in _thin_out(slope)
+        f"{format_number(point.size)}: {format_number(point.value)}"
+        for point in _keep_largest_values(slope)
     )
     return (
         f"| {slope.title}, {slope.unit} | {slope.per} | {format_number(slope.slope)} "
@@ -182,7 +189,7 @@
     )
 
 
-def _thin_out(slope: Slope) -> list:
+def _keep_largest_values(slope: Slope) -> list:
     sizes: dict[float, list] = {}
     for point in slope.points:
         sizes.setdefault(point.size, []).append(point)
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/__init__.py
@@ -1,1 +1,1 @@
-"""Measure slopes of the pure code in this process."""
+"""Measure slopes of the pure code, in this process."""
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/calls.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/calls.py
@@ -1,4 +1,4 @@
-"""Measure what the decisions on a call cost its entry node and its owner node."""
+"""Measure the cost of the decisions on a call for its entry node and its owner node."""
 
 import itertools
 from collections.abc import Callable
@@ -7,7 +7,15 @@
 
 from bendwind_bench.capacity.fixture import INCARNATION, make_service, make_upstream
 from bendwind_bench.capacity.pure.codec import make_hand_over
-from bendwind_bench.capacity.slope import REPEATS, Slope, decode, encode, fit, time_median, weigh
+from bendwind_bench.capacity.slope import (
+    REPEATS,
+    Slope,
+    decode,
+    encode,
+    fit,
+    measure_allocation,
+    time_median,
+)
 from bendwind_core.attempts import AttemptId, HandOver, entry, owner
 from bendwind_core.attempts.attempt_ids import AttemptIds
 from bendwind_core.attempts.call import EntryCall, create_call
@@ -22,7 +30,7 @@
 from bendwind_core.limits import RetryBudget
 from bendwind_core.world import UpstreamState, find_rule
 
-HELD_CALLS = (100, 250, 500, 1000)
+CALLS_IN_FLIGHT = (100, 250, 500, 1000)
 BATCHES = (200, 400, 800, 1600)
 _ENTRY = "node-00001"
 
@@ -52,7 +60,7 @@
     return owner_state
 
 
-def _hand_over(sequence: int, body: int = 0) -> HandOver:
+def _make_hand_over(sequence: int, body: int = 0) -> HandOver:
     attempt = AttemptId(_ENTRY, INCARNATION, sequence)
     return msgspec.structs.replace(make_hand_over(body), attempt=attempt)
 
@@ -67,16 +75,16 @@
 
 def _prepare_owner(count: int) -> Callable[[], int]:
     sequences = itertools.count(1)
-    batches = [[_hand_over(next(sequences)) for _ in range(count)] for _ in range(REPEATS)]
-    waiting = iter(batches)
+    batches = [[_make_hand_over(next(sequences)) for _ in range(count)] for _ in range(REPEATS)]
+    remaining_batches = iter(batches)
     owner_state = _make_owner_state(12)
-    return lambda: _run_owner(owner_state, next(waiting))
+    return lambda: _run_owner(owner_state, next(remaining_batches))
 
 
 def measure_calls() -> dict[str, Slope]:
-    """Measure time by calls in a row and memory by calls held at once.
+    """Measure processor time for consecutive calls and memory for calls in flight.
 
-    The time of all calls is fitted, so that the slope is that of one call.
+    The line is fitted to the time of all calls, so its slope is the time of one call.
     """
     entry_us, owner_us = [], []
     for count in BATCHES:
@@ -85,15 +93,22 @@
     return {
         "entry_decision_us": fit("Entry node's decisions on a call", "us", "call", entry_us),
         "owner_decision_us": fit("Owner node's decisions on a call", "us", "call", owner_us),
-        **_measure_held(),
+        **_measure_calls_in_flight(),
     }
 
 
-def _measure_held() -> dict[str, Slope]:
+def _measure_calls_in_flight() -> dict[str, Slope]:
     entry_memory, owner_memory = [], []
-    for count in HELD_CALLS:
-        entry_memory.append((count, weigh(lambda count=count: _hold_entry(count))[1]))
-        owner_memory.append((count, weigh(lambda count=count: _hold_owner(count))[1]))
+    for count in CALLS_IN_FLIGHT:
+        entry_memory.append(
+            (count, measure_allocation(lambda count=count: _make_entry_calls_in_flight(count))[1])
+        )
+        owner_memory.append(
+            (
+                count,
+                measure_allocation(lambda count=count: _make_owner_with_calls_in_flight(count))[1],
+            )
+        )
     return {
         "entry_call_bytes": fit(
             "Memory of a call held by its entry node (decisions only)",
@@ -107,7 +122,7 @@
     }
 
 
-def _hold_entry(count: int) -> list[EntryCall]:
+def _make_entry_calls_in_flight(count: int) -> list[EntryCall]:
     ids, budget = AttemptIds(_ENTRY, INCARNATION), RetryBudget(0.1)
     upstream = make_upstream(2, "service-001")
     calls = [_make_call(number, ids, budget) for number in range(count)]
@@ -116,10 +131,10 @@
     return calls
 
 
-def _hold_owner(count: int) -> owner.OwnerState:
+def _make_owner_with_calls_in_flight(count: int) -> owner.OwnerState:
     owner_state = _make_owner_state(count)
     for sequence in range(1, count + 1):
-        # Decoded, as from a link, so that each call keeps its own texts and body.
-        hand_over = decode(encode(_hand_over(sequence, 1024)))
+        # The message is decoded, as from a link, so that each call holds its own strings and body.
+        hand_over = decode(encode(_make_hand_over(sequence, 1024)))
         owner.step(owner_state, HandOverArrived(hand_over, 1), 0.0)
     return owner_state
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/claims.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/claims.py
@@ -1,4 +1,4 @@
-"""Measure what claims cost a primary by the size of its group, and what each keeps."""
+"""Measure the cost of claims for the primary by group size, and the memory of each claim."""
 
 import time
 
@@ -39,8 +39,8 @@
 _ANSWER = ClaimAnswer(201, ((b"content-type", b"application/json"),), b"x" * _ANSWER_BYTES)
 
 
-class Group:
-    """Hold the holders of one group and what the primary spent and sent."""
+class HolderGroup:
+    """Hold the claim holders of one group and the processor time and bytes of each."""
 
     def __init__(self, size: int):
         members = tuple(f"node-{index:05d}#1" for index in range(size))
@@ -53,42 +53,42 @@
             step_holder(holder, LeaseRenewed(1e9), 0.0)
             self.holders[parse_node_name(member)] = holder
         self.primary = parse_node_name(members[0])
-        self.spent = dict.fromkeys(self.holders, 0.0)
+        self.processor_s = dict.fromkeys(self.holders, 0.0)
         self.bytes = dict.fromkeys(self.holders, 0)
 
-    def feed(self, message) -> None:
-        """Deliver a message to the primary, and all that follows from it, as bytes."""
-        waiting = [(self.primary, encode(message))]
-        while waiting:
-            to, data = waiting.pop(0)
+    def deliver(self, message) -> None:
+        """Deliver a message to the primary and all resulting messages, in encoded form."""
+        pending = [(self.primary, encode(message))]
+        while pending:
+            to, data = pending.pop(0)
             if to not in self.holders:
                 continue
             started = time.process_time()
             effects = step_holder(self.holders[to], Received(decode(data)), 1.0)
             sent = [(effect.to, encode(effect.message)) for effect in effects]
-            self.spent[to] += time.process_time() - started
+            self.processor_s[to] += time.process_time() - started
             self.bytes[to] += len(data) + sum(len(part) for _, part in sent)
-            waiting += sent
+            pending += sent
 
 
-def _claim_and_settle(group: Group, number: int) -> None:
+def _claim_and_settle(group: HolderGroup, number: int) -> None:
     key, call = f"{number:036d}", f"node-00099-1-{number}"
-    group.feed(ClaimRequest(_SERVICE, key, b"f" * 16, call, _ENTRY, 2000.0))
-    group.feed(ClaimOutcome(_SERVICE, key, call, _ENTRY, ClaimState.ANSWERED, _ANSWER))
+    group.deliver(ClaimRequest(_SERVICE, key, b"f" * 16, call, _ENTRY, 2000.0))
+    group.deliver(ClaimOutcome(_SERVICE, key, call, _ENTRY, ClaimState.ANSWERED, _ANSWER))
 
 
 def measure_claims() -> tuple[dict[str, Slope], dict[str, float]]:
-    """Measure a claim, from its request to the confirmation of its outcome."""
+    """Measure a claim from its request to the confirmation of its outcome."""
     primary_us, backup_us, primary_bytes = [], [], []
     for size in GROUP_SIZES:
-        group = Group(size)
+        group = HolderGroup(size)
         for number in range(_BATCH):
             _claim_and_settle(group, number)
-        spent = group.spent.pop(group.primary)
-        primary_us.append((size, spent / _BATCH * MICROSECONDS))
+        processor_s = group.processor_s.pop(group.primary)
+        primary_us.append((size, processor_s / _BATCH * MICROSECONDS))
         primary_bytes.append((size, group.bytes[group.primary] / _BATCH))
-        others = sum(group.spent.values()) / max(1, len(group.spent))
-        backup_us.append((size, others / _BATCH * MICROSECONDS))
+        backup_s = sum(group.processor_s.values()) / max(1, len(group.processor_s))
+        backup_us.append((size, backup_s / _BATCH * MICROSECONDS))
     return {
         "claim_primary_us": fit(
             "Primary's time for a claim and its outcome", "us", "member of the group", primary_us
@@ -99,13 +99,13 @@
             "member of the group",
             primary_bytes,
         ),
-        "claim_key_memory": _adopt_memory(0),
-        "claim_memory": _adopt_memory(_ANSWER_BYTES),
+        "claim_key_memory": _measure_claim_memory(0),
+        "claim_memory": _measure_claim_memory(_ANSWER_BYTES),
         **_measure_placement(),
     }, {"claim_backup_us": backup_us[2][1]}
 
 
-def _adopt_memory(answer_bytes: int) -> Slope:
+def _measure_claim_memory(answer_bytes: int) -> Slope:
     points = slopes_claims.measure_table(answer_bytes)["points"]
     pairs = [(point["size"], point["value"]) for point in points]
     return fit(f"Memory of a claim, answer of {answer_bytes} bytes", "bytes", "claim", pairs)
@@ -115,11 +115,11 @@
     times = []
     for count in NODE_COUNTS:
         instances = tuple(make_instance(index) for index in range(count))
-        times.append((count, time_median(lambda alive=instances: _look_around(alive))))
+        times.append((count, time_median(lambda alive=instances: _check_all_groups(alive))))
     return {"placement_us": fit("Leader's look at all claim groups", "us", "node", times)}
 
 
-def _look_around(instances: tuple[Instance, ...]) -> int:
+def _check_all_groups(instances: tuple[Instance, ...]) -> int:
     alive = index_alive_nodes(instances)
     members = tuple(format_member(instance) for instance in instances[:3])
     group = ClaimGroup(_SERVICE, 1, members)
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/pure/codec.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/pure/codec.py
@@ -36,11 +36,11 @@
 BATCH = 200
 BODY_SIZES = (0, 1024, 4096, 16384)
 WATCHED_SERVICES = 10
-FLEET = 23
+UPSTREAMS_PER_SERVICE = 23
 
 
 class MessageKind(msgspec.Struct, frozen=True):
-    """Hold what one kind of message costs.
+    """Hold the size and the processor time of one kind of message.
 
     Units: `encode_us` and `decode_us` are microseconds of processor time.
     """
@@ -52,7 +52,7 @@
 
 
 def make_hand_over(body: int) -> HandOver:
-    """Make the message that hands a call of usual size to an owner."""
+    """Make the hand-over of a call of typical size to an owner."""
     headers = ((b"accept", b"application/json"), (b"user-agent", b"assessor/1.4"))
     attempt = AttemptId("node-00001", INCARNATION, 123_456)
     return HandOver(
@@ -71,7 +71,7 @@
 
 
 def make_answer(body: int) -> AnswerHead:
-    """Make the answer of usual size."""
+    """Make an answer of typical size."""
     headers = ((b"content-type", b"application/json"), (b"content-length", b"1024"))
     attempt = AttemptId("node-00001", INCARNATION, 123_456)
     load = LoadSample(3, 0, 12, 11.25, 0.01)
@@ -89,7 +89,7 @@
 def _list_membership() -> Iterator[tuple[str, Record]]:
     node = make_instance(1)
     upstream = make_upstream(1, "service-001")
-    fleet = tuple(make_upstream(index, "service-001") for index in range(FLEET))
+    upstreams = tuple(make_upstream(index, "service-001") for index in range(UPSTREAMS_PER_SERVICE))
     names = tuple(f"service-{index:03d}" for index in range(WATCHED_SERVICES))
     state = MemberState(node, "voter-0", 77_000, True, 1, (upstream,))
     yield "Heartbeat", Heartbeat(node, 77_000, 120_000, 3, 2, 2**63)
@@ -97,7 +97,7 @@
     yield "Announce", Announce(node.name, INCARNATION, 2, (upstream,))
     yield f"Watch of {WATCHED_SERVICES} services", Watch(node.name, names, INCARNATION, 3)
     yield "WatchUpdate of 1 upstream", WatchUpdate("service-001", (upstream,), False)
-    yield f"WatchUpdate of {FLEET} upstreams", WatchUpdate("service-001", fleet)
+    yield f"WatchUpdate of {UPSTREAMS_PER_SERVICE} upstreams", WatchUpdate("service-001", upstreams)
     yield "ConfigurationChanged of 1 service", ConfigurationChanged(120_000, (make_service(1),))
     yield "MemberGossip of 1 node", MemberGossip("voter-0", (state,))
     yield "MemberDigest", MemberDigest("voter-0", (2**63,) * 256)
@@ -110,15 +110,15 @@
     settled = Claim(key, b"f" * 16, call, ClaimState.ANSWERED, 3, 4_712, answer=answer)
     yield "ClaimRequest", ClaimRequest("service-001", key, b"f" * 16, call, member, 1987.5)
     yield "ClaimGranted", ClaimGranted("service-001", key, call, 3)
-    yield "ClaimAppend of a claim", _append(claim, member)
-    yield "ClaimAppend of an answer", _append(settled, member)
+    yield "ClaimAppend of a claim", _make_append(claim, member)
+    yield "ClaimAppend of an answer", _make_append(settled, member)
     yield "ClaimAppended", ClaimAppended("service-001", 3, 4_711, member)
     outcome = ClaimOutcome("service-001", key, call, member, ClaimState.ANSWERED, answer)
     yield "ClaimOutcome, 512 B answer", outcome
     yield "ClaimSettled", ClaimSettled("service-001", key, call)
 
 
-def _append(claim: Claim, member: str) -> ClaimAppend:
+def _make_append(claim: Claim, member: str) -> ClaimAppend:
     return ClaimAppend("service-001", 3, claim.sequence, member, "node-00002#1", (claim,), (0.0,))
 
 
@@ -132,7 +132,7 @@
 
 
 def measure_kinds() -> tuple[MessageKind, ...]:
-    """Measure every kind of message with usual contents, each in a frame of its own."""
+    """Measure every kind of message with typical contents, each alone in a frame."""
     messages = [*_list_calls(), *_list_membership(), *_list_claims(), *_list_consensus()]
     return tuple(_measure_kind(name, message) for name, message in messages)
 
@@ -155,7 +155,7 @@
 
 
 def measure_bodies() -> dict[str, Slope]:
-    """Measure how the messages of a call grow with its bodies."""
+    """Measure the size and time of the messages of a call for growing bodies."""
     sizes, times = [], []
     for body in BODY_SIZES:
         messages = (make_hand_over(body), make_answer(body))
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/__init__.py
@@ -1,1 +1,1 @@
-"""Measure slopes of real processes on loopback."""
+"""Measure slopes of real processes that communicate over loopback."""
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/fleet.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/fleet.py
@@ -1,4 +1,4 @@
-"""Measure whole deployments of growing size: memory, idle time, and how fast a change spreads."""
+"""Measure deployments of growing size: memory, idle processor time and spread of a change."""
 
 import statistics
 from dataclasses import dataclass, field
@@ -25,14 +25,14 @@
 SETTLE_S = 2.0
 IDLE_S = 5.0
 CHANGES = 3
-APPLIED_WITHIN_S = 20.0
-POLL_S = 0.1
+APPLY_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.1
 _SERVICE = "service"
 
 
 @dataclass(slots=True)
-class Fleet:
-    """Hold what one size of deployment gave.
+class FleetMeasurement:
+    """Hold the measurements of one deployment size.
 
     Units: kB resident, percent of a core, milliseconds.
     """
@@ -44,38 +44,38 @@
     node_percent: float = 0.0
     voter_percent: float = 0.0
     leader_percent: float = 0.0
-    lone_percent: float = 0.0
+    without_upstream_percent: float = 0.0
     spread_ms: list[float] = field(default_factory=list)
 
 
 def describe_fleet(nodes: int) -> DeploymentDescription:
-    """Describe a deployment whose nodes all serve, and so watch, one service."""
+    """Describe a deployment whose nodes all serve one service and therefore watch it."""
     centres = [f"centre-{number}" for number in range(1, VOTERS + 1)]
     service = ServiceDescription(_SERVICE, nodes, 12, 200, 1.0)
     return DeploymentDescription("fleet", "bench", 0.0, 0.0, centres, VOTERS, [service], [])
 
 
 def make_intent(wait_ms: int) -> str:
-    """Make an intent whose only difference to the last is one duration."""
+    """Make an intent that differs from others only in the longest wait."""
     return (
         f'[[services]]\nname = "{_SERVICE}"\nupstreams = ["{_SERVICE}-*"]\n'
         f"longest_wait_ms = {wait_ms}\n"
     )
 
 
-async def measure_fleet(nodes: int) -> Fleet:
-    """Measure one size."""
-    fleet = Fleet(nodes)
+async def measure_fleet(nodes: int) -> FleetMeasurement:
+    """Measure a deployment with this many nodes."""
+    fleet = FleetMeasurement(nodes)
     async with run_deployment(describe_fleet(nodes)) as deployment:
         await apply_intent(deployment, make_intent(2000))
         if not await deployment.wait_served([RequestKind(_SERVICE, "/")]):
-            raise AssertionError(f"{nodes} nodes did not come to serve")
+            raise AssertionError(f"{nodes} nodes did not begin to serve the service in time")
         await trio.sleep(SETTLE_S)
         leader = await _find_leader(deployment)
         await _measure_idle(deployment, leader, fleet)
         for number in range(CHANGES):
             fleet.spread_ms.append(await _measure_change(deployment, 2001 + number))
-        await _measure_lone(deployment, fleet)
+        await _measure_idle_without_upstreams(deployment, fleet)
     return fleet
 
 
@@ -85,7 +85,7 @@
     return msgspec.json.decode(answer.body)["leader"]
 
 
-async def _measure_idle(deployment: Deployment, leader: str, fleet: Fleet) -> None:
+async def _measure_idle(deployment: Deployment, leader: str, fleet: FleetMeasurement) -> None:
     names = list(deployment.nodes)
     shares = await measure_cpu([deployment.nodes[name] for name in names], IDLE_S)
     percent = dict(zip(names, shares, strict=True))
@@ -102,7 +102,7 @@
 
 
 async def _measure_change(deployment: Deployment, wait_ms: int) -> float:
-    """Return the time from the request to confirm until the last node applied the version."""
+    """Return the time from the confirmation of a change until the last node applied it."""
     version = await apply_intent(deployment, make_intent(wait_ms))
     confirmed = [
         time_ms
@@ -114,35 +114,38 @@
 
 
 async def _wait_applied(member: Member, version: int) -> float:
-    """Return when a node applied a version; a voter's status tells of it before its node does."""
-    with trio.fail_after(APPLIED_WITHIN_S):
+    """Return when a node applied a version.
+
+    The time is read from the timeline, since a voter's status shows the version before its node
+    has applied it."""
+    with trio.fail_after(APPLY_TIMEOUT_S):
         while True:
             times = await _read_events(member, EventKind.CONFIGURATION_APPLIED, str(version))
             if times:
                 return min(times)
-            await trio.sleep(POLL_S)
+            await trio.sleep(POLL_INTERVAL_S)
 
 
 async def _read_events(member: Member, kind: EventKind, detail: str | None = None) -> list[float]:
     path = f"/v1/timeline?kind={kind.name}&limit=50"
     answer = await send_json(member.operators_address, "GET", path)
     events = msgspec.json.decode(answer.body)["events"]
-    wanted = [event for event in events if detail is None or event["detail"] == detail]
-    return [float(event["physical_ms"]) for event in wanted]
+    matching = [event for event in events if detail is None or event["detail"] == detail]
+    return [float(event["physical_ms"]) for event in matching]
 
 
-async def _measure_lone(deployment: Deployment, fleet: Fleet) -> None:
-    """Measure nodes whose upstreams were ended, so that no announcements come."""
+async def _measure_idle_without_upstreams(deployment: Deployment, fleet: FleetMeasurement) -> None:
+    """Measure nodes whose upstreams have been killed, so that they receive no announcements."""
     for upstream in deployment.upstreams.values():
         upstream.kill()
     await trio.sleep(SETTLE_S)
     voters = {member.name for member in deployment.layout.voters}
     plain = [node for name, node in deployment.nodes.items() if name not in voters]
-    fleet.lone_percent = statistics.fmean(await measure_cpu(plain, IDLE_S))
+    fleet.without_upstream_percent = statistics.fmean(await measure_cpu(plain, IDLE_S))
 
 
 async def measure_fleets() -> dict[str, Slope]:
-    """Measure every size, one after the other."""
+    """Measure deployments of every size, one after the other."""
     fleets = [await measure_fleet(count) for count in NODE_COUNTS]
     return {
         "node_resident_kb": _fit("Resident memory of a node", "kB", fleets, "node_kb"),
@@ -150,7 +153,10 @@
         "leader_resident_kb": _fit("Resident memory of the leader", "kB", fleets, "leader_kb"),
         "node_idle_percent": _fit("Idle node", "% of a core", fleets, "node_percent"),
         "node_lone_percent": _fit(
-            "Idle node without an upstream's announcements", "% of a core", fleets, "lone_percent"
+            "Idle node without an upstream's announcements",
+            "% of a core",
+            fleets,
+            "without_upstream_percent",
         ),
         "voter_idle_percent": _fit(
             "Following voter without calls", "% of a core", fleets, "voter_percent"
@@ -167,5 +173,5 @@
     }
 
 
-def _fit(title: str, unit: str, fleets: list[Fleet], name: str) -> Slope:
+def _fit(title: str, unit: str, fleets: list[FleetMeasurement], name: str) -> Slope:
     return fit(title, unit, "node", [(fleet.nodes, getattr(fleet, name)) for fleet in fleets])
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/link_peer.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/link_peer.py
@@ -1,6 +1,6 @@
-"""Run one end of links between two processes: `serve`, or `dial PORT LINKS MESSAGES_PER_S`.
+"""Run one end of links between two processes: `serve` or `dial PORT LINKS MESSAGES_PER_S`.
 
-The server prints its port; the dialer prints a line when every link is open.
+The server prints its port. The dialer prints a line once all links are open.
 """
 
 import sys
@@ -16,27 +16,27 @@
 
 HOST = "127.0.0.1"
 SERVER = "server"
-_POLL_S = 0.02
-_DIALS_AT_ONCE = 16
+_POLL_INTERVAL_S = 0.02
+_MAX_CONCURRENT_DIALS = 16
 
 
-class Echo:
-    """Answer heartbeats, and count links."""
+class HeartbeatResponder:
+    """Answer heartbeats and count open links."""
 
     def __init__(self):
-        self.open = 0
+        self.open_links = 0
 
     def link_opened(self, link: Link, hello: Hello) -> None:
-        """Count it."""
-        self.open += 1
+        """Increment the number of open links."""
+        self.open_links += 1
 
     def link_closed(self, link: Link) -> None:
-        """Count it."""
-        self.open -= 1
+        """Decrement the number of open links."""
+        self.open_links -= 1
 
     def dial_failed(self, peer: str, unsent: tuple) -> None:
-        """End: a measurement with missing links would be wrong."""
-        raise AssertionError(f"{peer} was not reached")
+        """Raise an error, since a measurement with missing links would be wrong."""
+        raise AssertionError(f"{peer} could not be reached")
 
     def receive(self, link: Link, message) -> None:
         """Answer a heartbeat."""
@@ -44,32 +44,32 @@
             link.send(HeartbeatReply(message.sequence, message.version, 130.0, True))
 
 
-def _make_hub(name: str, receiver: Echo) -> LinkHub:
-    own = Instance(name, "a", HOST, 0, 1)
+def _make_hub(name: str, receiver: HeartbeatResponder) -> LinkHub:
+    instance = Instance(name, "a", HOST, 0, 1)
     recorder = Recorder(name, lambda: time.time_ns() // 1_000_000, 10)
-    return create_link_hub(own, receiver, recorder, lambda epoch: Hello(own, epoch))
+    return create_link_hub(instance, receiver, recorder, lambda epoch: Hello(instance, epoch))
 
 
 async def serve() -> None:
-    """Accept links until the process is ended."""
+    """Accept links until the process is killed."""
     listeners = await trio.open_tcp_listeners(0, host=HOST, backlog=1024)
     print(listeners[0].socket.getsockname()[1], flush=True)
-    await _make_hub(SERVER, Echo()).run(listeners)
+    await _make_hub(SERVER, HeartbeatResponder()).run(listeners)
 
 
 async def dial(port: int, links: int, rate: float) -> None:
-    """Open links one from each of as many hubs and send heartbeats over the first."""
-    receiver = Echo()
+    """Open one link from each of several hubs and send heartbeats over the first link."""
+    receiver = HeartbeatResponder()
     async with trio.open_nursery() as nursery:
         hubs = [_make_hub(f"dialer-{number}", receiver) for number in range(links)]
         for number, hub in enumerate(hubs):
             hub.nursery = nursery
             hub.learn_address(SERVER, HOST, port)
             hub.send(SERVER, Heartbeat(hub.own, 1, 1))
-            while number + 1 - receiver.open > _DIALS_AT_ONCE:
-                await trio.sleep(_POLL_S)
-        while receiver.open < links:
-            await trio.sleep(_POLL_S)
+            while number + 1 - receiver.open_links > _MAX_CONCURRENT_DIALS:
+                await trio.sleep(_POLL_INTERVAL_S)
+        while receiver.open_links < links:
+            await trio.sleep(_POLL_INTERVAL_S)
         print("open", flush=True)
         if rate:
             await _send_beats(hubs[0], rate)
@@ -86,7 +86,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run the end that the arguments name."""
+    """Run the end of the links that the arguments name."""
     match arguments:
         case ["serve"]:
             trio.run(serve)
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/processes.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/processes.py
@@ -1,4 +1,4 @@
-"""Start, read and end the processes of a measurement."""
+"""Start, observe and kill the processes of a measurement."""
 
 import contextlib
 import sys
@@ -9,17 +9,17 @@
 
 from bendwind_bench.deployment import Process
 
-_POLL_S = 0.02
-_START_WITHIN_S = 20.0
+_POLL_INTERVAL_S = 0.02
+_START_TIMEOUT_S = 20.0
 
 
 class NotStartedError(Exception):
-    """Report a process that did not print its line, with its log."""
+    """Report that a process did not print its first line; the message is the end of its log."""
 
 
 @contextlib.contextmanager
-def keep_processes():
-    """Offer a function that starts a Python process; end all of them with the block."""
+def manage_processes():
+    """Yield a function that starts a Python process; kill all processes at the end of the block."""
     processes: list[Process] = []
     with tempfile.TemporaryDirectory() as folder:
 
@@ -43,17 +43,17 @@
 
     Errors: raises NotStartedError.
     """
-    with trio.move_on_after(_START_WITHIN_S):
+    with trio.move_on_after(_START_TIMEOUT_S):
         while process.is_running:
             text = process.log.read_text()
             if "\n" in text:
                 return text.partition("\n")[0]
-            await trio.sleep(_POLL_S)
+            await trio.sleep(_POLL_INTERVAL_S)
     raise NotStartedError(process.log.read_text()[-2000:])
 
 
 async def measure_cpu(processes: list[Process], seconds: float) -> list[float]:
-    """Return the share of a core that each process takes over some seconds.
+    """Return the share of a core that each process uses over this many seconds.
 
     Units: percent of one core.
     """
@@ -62,6 +62,6 @@
     await trio.sleep(seconds)
     elapsed = trio.current_time() - started
     return [
-        100.0 * (process.cpu_seconds() - spent) / elapsed
-        for process, spent in zip(processes, before, strict=True)
+        100.0 * (process.cpu_seconds() - cpu_before_s) / elapsed
+        for process, cpu_before_s in zip(processes, before, strict=True)
     ]
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/renewals.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/renewals.py
@@ -1,4 +1,4 @@
-"""Take the cost of renewals at a voter over real links into the form of the page."""
+"""Measure the cost of lease renewals for a voter over real links, in the form for the page."""
 
 from bendwind_bench.capacity.slope import Slope, fit
 from bendwind_bench.slopes_membership.fixture import LEASE_TIMES
@@ -6,10 +6,10 @@
 
 
 async def measure_renewals() -> dict[str, Slope]:
-    """Measure voters with growing numbers of nodes, one after the other."""
-    spent = []
+    """Measure a voter with growing numbers of nodes, one run after the other."""
+    voter_us_per_s = []
     for count in COUNTS:
         _, each_us = await measure_voter(count)
-        spent.append((count, each_us * count / LEASE_TIMES.heartbeat))
+        voter_us_per_s.append((count, each_us * count / LEASE_TIMES.heartbeat))
     title = f"Voter with nodes that renew every {LEASE_TIMES.heartbeat:g} s, links included"
-    return {"voter_node_us": fit(title, "us a second", "attached node", spent)}
+    return {"voter_node_us": fit(title, "us a second", "attached node", voter_us_per_s)}
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/result.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/result.py
@@ -1,4 +1,4 @@
-"""Keep everything that one run of the measurements gave."""
+"""Read and write the result of one run of all measurements."""
 
 from pathlib import Path
 
@@ -12,10 +12,10 @@
 
 
 class CapacityResult(msgspec.Struct):
-    """Hold the slopes, single figures and message kinds, and how they came about.
+    """Hold the slopes, single figures and message kinds, and the conditions of their measurement.
 
-    `note` says what else ran on the machine.
-    Units: `seconds` is how long the measurements took.
+    `note` states what else ran on the machine during the measurement.
+    Units: `seconds` is the duration of the measurements.
     """
 
     measured_on: str
@@ -30,8 +30,8 @@
     figures: dict[str, float]
     kinds: tuple[MessageKind, ...]
 
-    def kind(self, name: str) -> MessageKind:
-        """Return the message kind of this name."""
+    def find_kind(self, name: str) -> MessageKind:
+        """Return the message kind with this name."""
         return next(kind for kind in self.kinds if kind.name == name)
 
 
