--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/link_peer.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/link_peer.py
@@ -72,11 +72,11 @@
             await trio.sleep(_POLL_INTERVAL_S)
         print("open", flush=True)
         if rate:
-            await _send_beats(hubs[0], rate)
+            await _send_heartbeats(hubs[0], rate)
         await trio.sleep_forever()
 
 
-async def _send_beats(hub: LinkHub, rate: float) -> None:
+async def _send_heartbeats(hub: LinkHub, rate: float) -> None:
     started = trio.current_time()
     sequence = 0
     while True:
