--- a/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/faults.py
@@ -76,8 +76,8 @@
 
 def _set_limit(world: FaultTarget, node: EmulatedNode, fault: Fault) -> None:
     limit = node.upstream.limit
-    limit.name(fault.x, world.scheduler.now)
-    world.scheduler.call_later(fault.for_s, lambda: limit.name(None, world.scheduler.now))
+    limit.set_limit(fault.x, world.scheduler.now)
+    world.scheduler.call_later(fault.for_s, lambda: limit.set_limit(None, world.scheduler.now))
 
 
 def _shed(world: FaultTarget, nodes: list[EmulatedNode], fault: Fault) -> None:
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/upstream.py
@@ -151,7 +151,7 @@
     ) -> Run | None:
         """Accept a request; if it is not accepted, reply to it and return None."""
         self._record_arrival()
-        self.limit.note_arrival(self.scheduler.now)
+        self.limit.record_arrival(self.scheduler.now)
         self.arrivals_after_leaving += self.scheduler.now > self.leaves_at + LEAVING_GRACE
         if target in self.crashes:
             self.crashes[target].arrived.append(self.scheduler.now)
--- a/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
+++ b/packages/bendwind-bench/src/bendwind_bench/emulator/world.py
@@ -100,7 +100,7 @@
         self.tally.long_waits = self.wait_sampler.count_long_waits()
         self.tally.waited_s = self.wait_sampler.sum_waits()
         for node in self.nodes.values():
-            node.upstream.limit.name(None, self.scheduler.now)
+            node.upstream.limit.set_limit(None, self.scheduler.now)
             self.tally.limits.append(node.upstream.limit)
         return self.tally.summarize(services, fell_over, self.crashes.values())
 
