--- a/packages/bendwind-bench/src/bendwind_bench/__main__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/__main__.py
@@ -69,9 +69,9 @@
             place: Regular expression whose first group is the data centre, in what stands before
                 a line; without it, the lines of processes' starts tell it.
         """
-        from bendwind_bench.losses import account_for
+        from bendwind_bench.losses import report_losses
 
-        return account_for(logs, str(by), str(plot), str(place))
+        return report_losses(logs, str(by), str(plot), str(place))
 
     def emulate(
         self,
--- a/packages/bendwind-bench/src/bendwind_bench/losses/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/__init__.py
@@ -1,9 +1,17 @@
-"""Tell from the logs of a deployment's processes what became of its calls, and why."""
+"""Determine the outcome of a deployment's calls, and its cause, from the logs of its processes."""
 
-from bendwind_bench.losses.account import Account, By, Fate, Row, group, list_rows, sum_up
-from bendwind_bench.losses.account_report import render_account, write_account
+from bendwind_bench.losses.account import (
+    Account,
+    By,
+    Fate,
+    Row,
+    aggregate_rows,
+    group_rows,
+    list_rows,
+)
+from bendwind_bench.losses.account_report import render_account, write_account_plot
 from bendwind_bench.losses.causes import Cause, find_cause
-from bendwind_bench.losses.command import account_for
+from bendwind_bench.losses.command import report_losses
 from bendwind_bench.losses.read import Logs, read_lines, read_logs
 
 __all__ = [
@@ -13,13 +21,13 @@
     "Fate",
     "Logs",
     "Row",
-    "account_for",
+    "aggregate_rows",
     "find_cause",
-    "group",
+    "group_rows",
     "list_rows",
     "read_lines",
     "read_logs",
     "render_account",
-    "sum_up",
-    "write_account",
+    "report_losses",
+    "write_account_plot",
 ]
--- a/packages/bendwind-bench/src/bendwind_bench/losses/account.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/account.py
@@ -1,4 +1,4 @@
-"""Give account of every call: what came of it, what it waited for and what ran for nothing."""
+"""Compute for every call its outcome, its waits and whether it was run in vain."""
 
 import collections
 import enum
@@ -7,35 +7,36 @@
 import msgspec
 
 from bendwind_bench.losses.causes import Cause, find_cause, is_refused
-from bendwind_bench.losses.free import FreeTimes, find_free_times, find_wait
+from bendwind_bench.losses.free import FreeTimes, find_free_times, find_wait_span
 from bendwind_bench.losses.read import Logs, list_owner_lines
 from bendwind_bench.losses.runs import FailedRun, is_inner, list_failed_runs
 from bendwind_bench.losses.stages import Stages, find_stages
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds
 from bendwind_core.timeline import LogLine
 
-# Asking another upstream takes a few round trips; clocks agree to about half of this.
-SHORT_MS: Milliseconds = 20.0
-# Clocks of instances agree to about this.
-MOMENT_MS: Milliseconds = 10.0
-# Customers that have a row of their own.
-TOP = 10
-REST = "the rest"
+# Longer waits are counted. Sending an attempt to another upstream takes a few round trips, and the
+# clocks of instances agree to about half of this time.
+NEGLIGIBLE_WAIT_MS: Milliseconds = 20.0
+# The clocks of instances agree to about this.
+CLOCK_ACCURACY_MS: Milliseconds = 10.0
+# Maximum number of customers or routes that have a row of their own.
+MAX_GROUPS = 10
+REMAINING_GROUPS = "the rest"
 _SERVER_ERROR = 500
 
 
 class Fate(enum.StrEnum):
-    """Say what a call came to."""
+    """List the outcomes of a call."""
 
     IN_TIME = "in time"
     LATE = "late"
     REFUSED = "refused"
     FAILED = "failed"
-    GONE = "caller gone"
+    CALLER_GONE = "caller gone"
 
 
 class By(enum.StrEnum):
-    """Name what calls may be told apart by."""
+    """List the properties by which calls are grouped."""
 
     ROUTE = "route"
     RANK = "rank"
@@ -45,13 +46,13 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """Hold the account of one call.
+    """Hold what the logs show of one call.
 
-    `second` counts from the first call on, `ages_ms` are those of the reports of pace that its
-    owners went by. `waited_ms` is what its attempts waited at owners, `waited_free_ms` how much of
-    that while an upstream of the service was free, `near_ms` while one was in the data centre of
-    its entry node. `reason` is that of a refusal, and `was_free` says that an upstream of the
-    service was free when it came.
+    `second` counts from the start of the first call. `ages_ms` are the ages of the pace reports
+    that its owners used. `waited_ms` is the time that its attempts waited at owners,
+    `waited_free_ms` the part of it during which an upstream of the service was free, `near_ms` the
+    part during which one was free in the data centre of its entry node. `reason` is the reason of
+    a refusal, and `was_free` is true if an upstream of the service was free at the refusal.
     """
 
     second: int
@@ -72,14 +73,14 @@
 
     @property
     def is_for_nothing(self) -> bool:
-        """Tell whether it ran and ended with an error since a call it made was refused."""
+        """Return whether it ran and ended with an error because a call that it made was refused."""
         return self.failed_run is not None and self.failed_run.is_refused
 
 
 def list_rows(logs: Logs) -> list[Row]:
-    """Give account of all calls with a latency objective, and of those refused without one."""
+    """Return a row for each call that has a latency objective or was refused."""
     calls = [call for call in logs.calls if call.facts.target_ms is not None or is_refused(call)]
-    first_ms = min((_find_start(call) for call in calls), default=0.0)
+    first_ms = min((_find_start_ms(call) for call in calls), default=0.0)
     requests = {call.request for call in logs.calls}
     free, failed = find_free_times(logs), list_failed_runs(logs)
     return [
@@ -100,9 +101,9 @@
     place = logs.places.get(call.instance, "")
     service = call.facts.service
     lines = list_owner_lines(call, logs)
-    waits = [find_wait(line) for line in lines]
+    waits = [find_wait_span(line) for line in lines]
     return Row(
-        int((_find_start(call) - first_ms) / MILLISECONDS_PER_SECOND),
+        int((_find_start_ms(call) - first_ms) / MILLISECONDS_PER_SECOND),
         call,
         place,
         fate,
@@ -121,17 +122,20 @@
 
 
 def _was_free(call: LogLine, free: FreeTimes) -> bool:
-    """Tell whether one was free for most of the last moment before the refusal."""
+    """Return whether an upstream was free for most of CLOCK_ACCURACY_MS before the refusal."""
     ended_ms = call.physical_ms
-    return free.measure(call.facts.service, ended_ms - MOMENT_MS, ended_ms) > MOMENT_MS / 2
+    return (
+        free.measure(call.facts.service, ended_ms - CLOCK_ACCURACY_MS, ended_ms)
+        > CLOCK_ACCURACY_MS / 2
+    )
 
 
-def _find_start(call: LogLine) -> float:
+def _find_start_ms(call: LogLine) -> float:
     return call.physical_ms - call.facts.ms
 
 
 def find_fate(call: LogLine) -> Fate:
-    """Return what a call came to."""
+    """Return the outcome of a call."""
     facts = call.facts
     if call.detail == "answered":
         if facts.status >= _SERVER_ERROR:
@@ -140,11 +144,11 @@
         return Fate.IN_TIME if is_in_time else Fate.LATE
     if is_refused(call):
         return Fate.REFUSED
-    return Fate.GONE if call.detail == "caller gone" else Fate.FAILED
+    return Fate.CALLER_GONE if call.detail == "caller gone" else Fate.FAILED
 
 
 class Account(msgspec.Struct):
-    """Hold what calls together came to."""
+    """Hold the totals of several calls."""
 
     calls: int = 0
     fates: collections.Counter[Fate] = msgspec.field(default_factory=collections.Counter)
@@ -160,17 +164,17 @@
     stages: list[Stages] = msgspec.field(default_factory=list)
 
     def share(self, number: float) -> float:
-        """Return a number as a share of the calls."""
+        """Return a number divided by the number of calls."""
         return number / max(1, self.calls)
 
     @property
     def served(self) -> int:
-        """Count the calls that were answered at all."""
+        """Return the number of calls that were answered, in time or late."""
         return self.fates[Fate.IN_TIME] + self.fates[Fate.LATE]
 
 
-def sum_up(rows: Iterable[Row]) -> Account:
-    """Add calls up."""
+def aggregate_rows(rows: Iterable[Row]) -> Account:
+    """Return the totals of the rows."""
     account = Account()
     for row in rows:
         account.calls += 1
@@ -180,9 +184,9 @@
             account.reasons[row.reason] += 1
         account.refused_free += row.was_free
         account.sent_back += row.sent_back
-        account.waited += row.waited_ms > SHORT_MS
-        account.waited_free += row.waited_free_ms > SHORT_MS
-        account.waited_near += row.near_ms > SHORT_MS
+        account.waited += row.waited_ms > NEGLIGIBLE_WAIT_MS
+        account.waited_free += row.waited_free_ms > NEGLIGIBLE_WAIT_MS
+        account.waited_near += row.near_ms > NEGLIGIBLE_WAIT_MS
         account.waited_free_ms += row.waited_free_ms
         account.for_nothing += row.is_for_nothing
         if row.fate in (Fate.IN_TIME, Fate.LATE):
@@ -190,20 +194,23 @@
     return account
 
 
-def group(rows: list[Row], by: By) -> dict[str, list[Row]]:
-    """Tell calls apart, those of most calls first; of customers, the ten largest and the rest."""
+def group_rows(rows: list[Row], by: By) -> dict[str, list[Row]]:
+    """Group rows by a property, the largest group first.
+
+    Customers and routes beyond the ten largest share one group.
+    """
     groups: dict[str, list[Row]] = collections.defaultdict(list)
-    find_name = _NAMES[by]
+    find_name = _GROUP_NAMES[by]
     for row in rows:
         groups[find_name(row)].append(row)
     ordered = sorted(groups.items(), key=lambda item: (-len(item[1]), item[0]))
-    if by not in (By.CUSTOMER, By.ROUTE) or len(ordered) <= TOP:
+    if by not in (By.CUSTOMER, By.ROUTE) or len(ordered) <= MAX_GROUPS:
         return dict(ordered)
-    rest = [row for _, found in ordered[TOP:] for row in found]
-    return {**dict(ordered[:TOP]), REST: rest}
+    rest = [row for _, found in ordered[MAX_GROUPS:] for row in found]
+    return {**dict(ordered[:MAX_GROUPS]), REMAINING_GROUPS: rest}
 
 
-_NAMES: dict[By, Callable[[Row], str]] = {
+_GROUP_NAMES: dict[By, Callable[[Row], str]] = {
     By.ROUTE: lambda row: f"{row.call.facts.service} {row.call.facts.route}",
     By.RANK: lambda row: f"rank {row.call.facts.rank}",
     By.CUSTOMER: lambda row: row.call.facts.customer or "unnamed",
@@ -212,4 +219,4 @@
 }
 
 
-__all__ = ["Account", "By", "Fate", "Row", "find_fate", "group", "list_rows", "sum_up"]
+__all__ = ["Account", "By", "Fate", "Row", "aggregate_rows", "find_fate", "group_rows", "list_rows"]
--- a/packages/bendwind-bench/src/bendwind_bench/losses/account_report.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/account_report.py
@@ -1,4 +1,4 @@
-"""Lay out the account of a day as tables, and draw it."""
+"""Format the account of a deployment's calls as tables, and plot it."""
 
 import collections
 import statistics
@@ -9,8 +9,8 @@
     By,
     Fate,
     Row,
-    group,
-    sum_up,
+    aggregate_rows,
+    group_rows,
 )
 from bendwind_bench.losses.causes import Cause
 from bendwind_bench.losses.stages import Stages
@@ -18,9 +18,9 @@
 from bendwind_core.core import MILLISECONDS_PER_SECOND
 
 _SIZE_INCHES = (12.0, 7.0)
-# More columns or lines than this hide what they show.
-_MOST_COLUMNS = 6
-_HEAD = [
+# More columns or plotted lines than this make a table or plot unreadable.
+_MAX_COLUMNS = 6
+_HEADER = [
     "calls",
     "in time",
     "late",
@@ -35,32 +35,32 @@
     "for nothing",
 ]
 _NOTE = """\
-back/call: hand-overs sent back. waited: share of calls that waited over 20 ms at an owner; free,
-near: while another upstream of the service was free, anywhere or in the data centre of the entry
-node; s: how long all waited so. for nothing: runs that ended with an error since a call they made
-was refused."""
+back/call: hand-overs refused per call. waited: share of calls that waited over 20 ms at an owner;
+free, near: while another upstream of the service was free, anywhere or in the data centre of the
+entry node; s: total of the waits under free, in seconds. for nothing: runs that ended with an error
+because a call that they made was refused."""
 
 
 def render_account(rows: list[Row], by: By) -> str:
-    """Return the tables: the whole day, refusals, where time went, runs for nothing, seconds."""
-    groups = group(rows, by)
-    accounts = {name: sum_up(found) for name, found in groups.items()}
-    whole = {"all": sum_up(rows)} | accounts
+    """Return the tables: totals, losses, causes, stages, failed runs, and totals per second."""
+    groups = group_rows(rows, by)
+    accounts = {name: aggregate_rows(found) for name, found in groups.items()}
+    whole = {"all": aggregate_rows(rows)} | accounts
     parts = (
-        _render_whole(by, whole),
+        _render_overview(by, whole),
         _NOTE,
         _render_losses(by, whole),
         _render_causes(rows),
         _render_stages(by, whole),
-        _render_nothing(rows),
+        _render_failed_runs(rows),
         _render_seconds(groups),
     )
     return "\n\n".join(parts)
 
 
-def _render_whole(by: By, accounts: dict[str, Account]) -> str:
+def _render_overview(by: By, accounts: dict[str, Account]) -> str:
     rows = [[name, *_list_cells(account)] for name, account in accounts.items()]
-    return format_table([str(by), *_HEAD], rows)
+    return format_table([str(by), *_HEADER], rows)
 
 
 def _list_cells(account: Account) -> list[str]:
@@ -84,11 +84,11 @@
         causes = [(str(cause), n) for cause, n in account.causes.most_common() if _is_loss(cause)]
         lost = "; ".join(f"{cause} {n}" for cause, n in causes[:4])
         rows.append([name, reasons or "-", str(account.refused_free), lost or "-"])
-    return _format_texts([str(by), "refused as", "while one was free", "most lost by"], rows)
+    return _format_text_table([str(by), "refused as", "while one was free", "most lost by"], rows)
 
 
-def _format_texts(header: list[str], rows: list[list[str]]) -> str:
-    """Lay out rows of texts, all to the left."""
+def _format_text_table(header: list[str], rows: list[list[str]]) -> str:
+    """Format rows of texts as a table, all aligned to the left."""
     widths = [max(len(row[index]) for row in [header, *rows]) for index in range(len(header))]
     lines = []
     for row in [header, *rows]:
@@ -123,17 +123,17 @@
     return format_table([f"answered, mean ms by {by}", "calls", *head], rows)
 
 
-def _render_nothing(rows: list[Row]) -> str:
+def _render_failed_runs(rows: list[Row]) -> str:
     counts: collections.Counter[tuple[str, str, str]] = collections.Counter()
     for row in rows:
         if row.failed_run is not None:
-            counts[_describe_failed(row)] += 1
-    cells = [[*names, str(n)] for names, n in counts.most_common(2 * _MOST_COLUMNS)]
+            counts[_describe_failed_run(row)] += 1
+    cells = [[*names, str(n)] for names, n in counts.most_common(2 * _MAX_COLUMNS)]
     header = ["runs that ended with an error", "for a call to", "that was", "runs"]
-    return _format_texts(header, cells)
+    return _format_text_table(header, cells)
 
 
-def _describe_failed(row: Row) -> tuple[str, str, str]:
+def _describe_failed_run(row: Row) -> tuple[str, str, str]:
     outer = row.call.facts
     inner = row.failed_run.inner
     name = f"{outer.service} {outer.route}"
@@ -145,40 +145,42 @@
 
 
 def _render_seconds(groups: dict[str, list[Row]]) -> str:
-    """Return a line a second: all calls, and the share in time of the largest groups."""
-    shown = list(groups)[:_MOST_COLUMNS]
-    by_second = _split_seconds([row for found in groups.values() for row in found])
-    of_groups = {name: _split_seconds(groups[name]) for name in shown}
+    """Return one line per second: all calls, and the share in time of the largest groups."""
+    shown = list(groups)[:_MAX_COLUMNS]
+    by_second = _group_by_second([row for found in groups.values() for row in found])
+    of_groups = {name: _group_by_second(groups[name]) for name in shown}
     rows = []
     for second, found in sorted(by_second.items()):
-        cells = [_show_in_time(of_groups[name].get(second, [])) for name in shown]
-        rows.append([str(second), *_list_cells(sum_up(found)), *cells])
-    return format_table(["second", *_HEAD, *(f"in time: {name}" for name in shown)], rows)
+        cells = [_format_in_time_share(of_groups[name].get(second, [])) for name in shown]
+        rows.append([str(second), *_list_cells(aggregate_rows(found)), *cells])
+    return format_table(["second", *_HEADER, *(f"in time: {name}" for name in shown)], rows)
 
 
-def _split_seconds(rows: list[Row]) -> dict[int, list[Row]]:
+def _group_by_second(rows: list[Row]) -> dict[int, list[Row]]:
     seconds: dict[int, list[Row]] = collections.defaultdict(list)
     for row in rows:
         seconds[row.second].append(row)
     return seconds
 
 
-def _show_in_time(rows: list[Row]) -> str:
+def _format_in_time_share(rows: list[Row]) -> str:
     if not rows:
         return "-"
-    account = sum_up(rows)
+    account = aggregate_rows(rows)
     return f"{account.share(account.fates[Fate.IN_TIME]):.2f}"
 
 
-def write_account(rows: list[Row], by: By, file: Path) -> None:
-    """Draw the calls of each second by cause, and the share in time by group, into a PNG file."""
+def write_account_plot(rows: list[Row], by: By, file: Path) -> None:
+    """Plot the calls of each second by cause, and the share in time by group, to a PNG file."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, (upper, lower) = pyplot.subplots(2, 1, sharex=True, figsize=_SIZE_INCHES)
-    seconds = {second: sum_up(found) for second, found in sorted(_split_seconds(rows).items())}
+    seconds = {
+        second: aggregate_rows(found) for second, found in sorted(_group_by_second(rows).items())
+    }
     bottom = [0] * len(seconds)
     colours = pyplot.get_cmap("tab20").colors
     for cause, colour in zip(Cause, colours, strict=False):
@@ -189,9 +191,11 @@
             )
             bottom = [low + count for low, count in zip(bottom, counts, strict=True)]
     waited = [account.waited_free for account in seconds.values()]
-    upper.plot(list(seconds), waited, color="black", label="waited beside a free one")
-    for name, found in list(group(rows, by).items())[:_MOST_COLUMNS]:
-        accounts = {at: sum_up(some) for at, some in sorted(_split_seconds(found).items())}
+    upper.plot(list(seconds), waited, color="black", label="waited while another was free")
+    for name, found in list(group_rows(rows, by).items())[:_MAX_COLUMNS]:
+        accounts = {
+            at: aggregate_rows(some) for at, some in sorted(_group_by_second(found).items())
+        }
         shares = [account.share(account.fates[Fate.IN_TIME]) for account in accounts.values()]
         lower.plot(list(accounts), shares, marker=".", label=name)
     upper.set_ylabel("calls")
@@ -204,4 +208,4 @@
     pyplot.close(figure)
 
 
-__all__ = ["render_account", "write_account"]
+__all__ = ["render_account", "write_account_plot"]
--- a/packages/bendwind-bench/src/bendwind_bench/losses/causes.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/causes.py
@@ -1,4 +1,4 @@
-"""Name the cause for which one call was not answered in time."""
+"""Find the cause for which a call was not answered in time."""
 
 import enum
 
@@ -8,7 +8,7 @@
 from bendwind_core.core import Milliseconds
 from bendwind_core.timeline import CallFacts, DispatchFacts, LogLine, RefusalFacts
 
-# A part of a call's time is named as the cause of its lateness from this share of its objective on.
+# A part of a late call's time counts as the cause when it exceeds this share of the objective.
 LARGE_SHARE = 0.3
 _ANSWERED = "answered"
 _NOT_RUN = "not-run"
@@ -17,10 +17,10 @@
 
 
 class Cause(enum.StrEnum):
-    """List the causes, from the caller's side to the upstream's."""
+    """List the causes, ordered from the caller's side to the upstream's."""
 
     NONE = "in time"
-    CAME_BACK = "late before it came: its caller had been refused"
+    LATE_ON_ARRIVAL = "late before it came: its caller had been refused"
     NO_CONFIGURATION = "refused: no configuration yet"
     NO_UPSTREAM = "refused: no upstream known"
     OVER_QUOTA = "refused: over its customer's quota, or that not known"
@@ -33,27 +33,30 @@
     STARTED_SLOW = "late: began in a slow phase"
     RAN_LONG = "late: took long in the upstream"
     FAILED = "failed in the upstream"
-    CUT = "cut: result unknown"
-    GONE = "caller went away"
+    RESULT_UNKNOWN = "cut: result unknown"
+    CALLER_GONE = "caller went away"
     OTHER = "other"
 
 
 def find_cause(call: LogLine, logs: Logs) -> Cause:
-    """Return why a call was not answered in time, NONE if it was."""
+    """Return why a call was not answered in time, NONE if it was answered in time."""
     facts: CallFacts = call.facts
     if call.detail == _ANSWERED:
         return _find_answered(call, facts, logs)
     if call.detail == "caller gone":
-        return Cause.GONE
+        return Cause.CALLER_GONE
     if is_refused(call):
         return _find_refused(call, logs)
     if call.detail.startswith(("unknown", "cut")):
-        return Cause.CUT
+        return Cause.RESULT_UNKNOWN
     return Cause.OTHER
 
 
 def is_refused(call: LogLine) -> bool:
-    """Tell whether a call provably did not run; before any attempt, the reason stands alone."""
+    """Return whether a call provably did not run.
+
+    The detail of a call refused before any attempt is the reason alone, without "not-run".
+    """
     return call.detail.startswith(_NOT_RUN) or call.detail in _REASONS
 
 
@@ -63,7 +66,7 @@
     if facts.target_ms is None or facts.ms <= facts.target_ms:
         return Cause.NONE
     if facts.target_ms <= 0:
-        return Cause.CAME_BACK
+        return Cause.LATE_ON_ARRIVAL
     last = facts.attempts[-1]
     large = LARGE_SHARE * (facts.target_ms + facts.tried_ms)
     if last.sent_ms > large:
--- a/packages/bendwind-bench/src/bendwind_bench/losses/exactness.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/exactness.py
@@ -1,27 +1,27 @@
-"""Say how far the reconstruction of what ran where agrees with what owners told."""
+"""Check how far the reconstruction of what ran on each upstream agrees with the owners' logs."""
 
 import bisect
 import collections
 
 import msgspec
 
-from bendwind_bench.losses.free import find_run
+from bendwind_bench.losses.free import find_run_span
 from bendwind_bench.losses.read import Logs
 from bendwind_core.timeline import DispatchFacts, LogLine
 
-# Lines are stamped with whole milliseconds.
+# Log lines have timestamps of whole milliseconds.
 _ROUNDING_MS = 0.5
 
 
 class Agreement(msgspec.Struct, frozen=True):
-    """Hold at how many starts of runs as many are found running as the owner told."""
+    """Hold at how many starts of runs the reconstructed number running equals the owner's."""
 
     starts: int
     equal: int
 
 
 def compare_with_owners(logs: Logs) -> Agreement:
-    """Count the starts at which the reconstruction and the owner agree."""
+    """Count the starts of runs at which the reconstruction and the owner agree."""
     by_upstream: dict[str, list[LogLine]] = collections.defaultdict(list)
     for lines in logs.owners.values():
         for line in lines:
@@ -32,7 +32,7 @@
 
 
 def _count_equal(lines: list[LogLine]) -> int:
-    runs = [find_run(line) for line in lines]
+    runs = [find_run_span(line) for line in lines]
     begins, ends = sorted(begin for begin, _ in runs), sorted(end for _, end in runs)
     equal = 0
     for line, (begin, _) in zip(lines, runs, strict=True):
--- a/packages/bendwind-bench/src/bendwind_bench/losses/free.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/free.py
@@ -1,8 +1,9 @@
-"""Reconstruct from owners' lines when upstreams were free.
+"""Reconstruct from owners' log lines when upstreams were free.
 
-A dispatch's line comes at its end and says how long the run and the wait before it took, so that
-both are known as exactly as the clocks of the instances agree. An upstream whose last report of a
-slow phase is older than a phase lasts is taken to be at its usual pace, also if nobody asked it.
+A dispatch is logged at its end, with the durations of the run and of the wait before it, so that
+both spans are as exact as the clocks of the instances agree. An upstream whose last report of a
+slow phase is older than such a phase lasts counts as running at its usual pace, even if no newer
+report was requested.
 """
 
 import collections
@@ -16,12 +17,12 @@
 from bendwind_core.core import Milliseconds
 from bendwind_core.timeline import DispatchFacts, LogLine
 
-# Slow phases on the users' platform last 150 ms to 300 ms.
-PHASE_MS: Milliseconds = 300.0
-# An upstream that shed a request or broke off is no help to others until it has answered again, or
-# for this long: what routing needs to try it again.
-FAILING_MS: Milliseconds = 1000.0
-_OPENED = "UPSTREAM_READY"
+# Slow phases of upstreams on the target platform last 150 ms to 300 ms.
+MAX_SLOW_PHASE_MS: Milliseconds = 300.0
+# An upstream that shed a request or broke it off does not count as free until it answers again or
+# this time has passed, after which routing tries it again.
+MAX_FAILING_MS: Milliseconds = 1000.0
+_READY = "UPSTREAM_READY"
 _ANSWERED = "answered"
 
 
@@ -32,16 +33,21 @@
     near: dict[tuple[str, str], list[Span]]
 
     def measure(self, service: str, begin: float, end: float) -> Milliseconds:
-        """Return how much of a time any upstream of a service was free."""
+        """Return for how much of a span any upstream of a service was free."""
         return measure(self.anywhere.get(service, []), begin, end)
 
     def measure_near(self, service: str, place: str, begin: float, end: float) -> Milliseconds:
-        """Return how much of a time one in a data centre was free."""
+        """Return for how much of a span an upstream of a service in a data centre was free."""
         return measure(self.near.get((service, place), []), begin, end)
 
 
 class _Seen(msgspec.Struct):
-    """Hold what was logged of one upstream; `limit` is the most that ran at a time."""
+    """Hold what was logged of one upstream.
+
+    `limit` is the highest number of requests known to run on it at a time. The lists `paces`,
+    `ends` and `states` hold times and a flag: whether the pace was slow, the run failed, or the
+    upstream became ready.
+    """
 
     service: str = ""
     place: str = ""
@@ -53,29 +59,29 @@
     states: list[tuple[float, bool]] = msgspec.field(default_factory=list)
 
 
-def find_run(line: LogLine) -> Span:
-    """Return when a dispatch ran."""
+def find_run_span(line: LogLine) -> Span:
+    """Return the span in which a dispatch ran."""
     return line.physical_ms - line.facts.ms, line.physical_ms
 
 
-def find_wait(line: LogLine) -> Span:
-    """Return when an attempt waited at its owner before it ran or was refused."""
+def find_wait_span(line: LogLine) -> Span:
+    """Return the span in which an attempt waited at its owner before it ran or was refused."""
     is_dispatch = isinstance(line.facts, DispatchFacts)
-    until = find_run(line)[0] if is_dispatch else line.physical_ms
+    until = find_run_span(line)[0] if is_dispatch else line.physical_ms
     return until - (line.facts.waited_ms or 0.0), until
 
 
 def find_free_times(logs: Logs) -> FreeTimes:
     """Reconstruct when any upstream of each service was free, from the first call to the last."""
-    seen = _list_seen(logs)
-    _level_limits(seen.values())
+    seen = _collect_upstreams(logs)
+    _share_highest_limit(seen.values())
     ends = [call.physical_ms for call in logs.calls]
     begins = [call.physical_ms - call.facts.ms for call in logs.calls]
-    whole = min(begins, default=0.0), max(ends, default=0.0)
+    period = min(begins, default=0.0), max(ends, default=0.0)
     anywhere: dict[str, list[Span]] = collections.defaultdict(list)
     near: dict[tuple[str, str], list[Span]] = collections.defaultdict(list)
     for upstream in seen.values():
-        free = invert(_list_busy(upstream, whole), *whole)
+        free = invert(_list_busy(upstream, period), *period)
         anywhere[upstream.service] += free
         near[upstream.service, upstream.place] += free
     return FreeTimes(
@@ -84,39 +90,42 @@
     )
 
 
-def _list_seen(logs: Logs) -> dict[str, _Seen]:
+def _collect_upstreams(logs: Logs) -> dict[str, _Seen]:
     seen: dict[str, _Seen] = collections.defaultdict(_Seen)
     for lines in logs.owners.values():
         for line in lines:
-            _note_line(seen[line.upstream], line, logs)
+            _record_line(seen[line.upstream], line, logs)
     for call in logs.calls:
         for attempt in call.facts.attempts:
             seen[attempt.upstream].service = call.facts.service
     for line in logs.states:
-        if line.name == _OPENED:
+        if line.name == _READY:
             seen[line.upstream].service = line.detail
-        seen[line.upstream].states.append((line.physical_ms, line.name == _OPENED))
+        seen[line.upstream].states.append((line.physical_ms, line.name == _READY))
         seen[line.upstream].place = logs.places.get(line.instance, "")
     return seen
 
 
-def _note_line(upstream: _Seen, line: LogLine, logs: Logs) -> None:
+def _record_line(upstream: _Seen, line: LogLine, logs: Logs) -> None:
     facts = line.facts
     upstream.place = logs.places.get(line.instance, "")
     if facts.waited_ms:
-        upstream.waits.append(find_wait(line))
+        upstream.waits.append(find_wait_span(line))
     known_at = line.physical_ms
     if isinstance(facts, DispatchFacts):
-        upstream.runs.append(find_run(line))
+        upstream.runs.append(find_run_span(line))
         upstream.limit = max(upstream.limit, facts.limit or facts.running)
         upstream.ends.append((line.physical_ms, line.detail != _ANSWERED))
-        known_at = find_run(line)[0]
+        known_at = find_run_span(line)[0]
     if facts.report_age_ms is not None:
         upstream.paces.append((known_at - facts.report_age_ms, facts.slow_factor >= SLOW_FACTOR))
 
 
-def _level_limits(upstreams: Iterable[_Seen]) -> None:
-    """Take for each upstream of a service the most that ran at any: few may have run at one."""
+def _share_highest_limit(upstreams: Iterable[_Seen]) -> None:
+    """Set the limit of each upstream to the highest limit among the upstreams of its service.
+
+    Too few requests may have run on one upstream to show its own limit.
+    """
     upstreams = list(upstreams)
     most: collections.Counter[str] = collections.Counter()
     for upstream in upstreams:
@@ -125,17 +134,17 @@
         upstream.limit = most[upstream.service]
 
 
-def _list_busy(upstream: _Seen, whole: Span) -> list[Span]:
-    """Return when an upstream could not have started a request at once at its usual pace."""
+def _list_busy(upstream: _Seen, period: Span) -> list[Span]:
+    """Return when an upstream could not start a request immediately at its usual pace."""
     busy = [*find_full(upstream.runs, max(1, upstream.limit)), *upstream.waits]
-    busy += _list_lasting(upstream.paces, PHASE_MS)
-    busy += _list_lasting(upstream.ends, FAILING_MS)
-    return unite([*busy, *_list_closed(upstream, whole)])
+    busy += _list_bad_spans(upstream.paces, MAX_SLOW_PHASE_MS)
+    busy += _list_bad_spans(upstream.ends, MAX_FAILING_MS)
+    return unite([*busy, *_list_unavailable(upstream, period)])
 
 
-def _list_lasting(signs: list[tuple[float, bool]], longest: Milliseconds) -> list[Span]:
-    """Return from when on an upstream was known to be bad, until a good sign or for a time."""
-    ordered = sorted(signs)
+def _list_bad_spans(observations: list[tuple[float, bool]], longest: Milliseconds) -> list[Span]:
+    """Return the spans from each bad observation to the next observation, `longest` at most."""
+    ordered = sorted(observations)
     spans = []
     for position, (at, is_bad) in enumerate(ordered):
         if is_bad:
@@ -144,19 +153,26 @@
     return spans
 
 
-def _list_closed(upstream: _Seen, whole: Span) -> list[Span]:
+def _list_unavailable(upstream: _Seen, period: Span) -> list[Span]:
     states = sorted(upstream.states)
     if not states:
-        # It was there before the logs begin; without any line it is not there at all.
-        return [] if upstream.runs else [whole]
-    begin = whole[0]
+        # An upstream with runs was ready before the logs begin; one without is never available.
+        return [] if upstream.runs else [period]
+    begin = period[0]
     closed = []
     is_open = not states[0][1]
     for at, opens in states:
         if not is_open:
             closed.append((begin, at))
         begin, is_open = at, opens
-    return closed if is_open else [*closed, (begin, whole[1])]
+    return closed if is_open else [*closed, (begin, period[1])]
 
 
-__all__ = ["FAILING_MS", "PHASE_MS", "FreeTimes", "find_free_times", "find_run", "find_wait"]
+__all__ = [
+    "MAX_FAILING_MS",
+    "MAX_SLOW_PHASE_MS",
+    "FreeTimes",
+    "find_free_times",
+    "find_run_span",
+    "find_wait_span",
+]
--- a/packages/bendwind-bench/src/bendwind_bench/losses/read.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/read.py
@@ -1,4 +1,4 @@
-"""Read what the processes of a deployment logged of calls and attempts."""
+"""Read the log lines of a deployment's processes about calls and attempts."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -8,15 +8,18 @@
 from bendwind_core.timeline import CallFacts, DispatchFacts, LogLine, RefusalFacts
 from bendwind_core.timeline.log_line import read_log_line
 
-# What says that an upstream may be used, and that it may not.
-_STATES = frozenset({"UPSTREAM_READY", "UPSTREAM_DRAINING", "UPSTREAM_GONE", "UPSTREAM_ENDED"})
-_TOLD_PLACE = re.compile(r"\bdata_centre=(\S+)")
+# Events that make an upstream available or unavailable.
+_STATE_EVENTS = frozenset(
+    {"UPSTREAM_READY", "UPSTREAM_DRAINING", "UPSTREAM_GONE", "UPSTREAM_ENDED"}
+)
+_DATA_CENTRE_DETAIL = re.compile(r"\bdata_centre=(\S+)")
 
 
 class Logs(msgspec.Struct):
-    """Hold the ends of calls, and owners' lines by the request and by the attempt that they are of.
+    """Hold the lines of finished calls, and owners' lines by request and by attempt.
 
-    `states` are the lines on which upstreams came and went, `places` the data centre of instances.
+    `states` are the lines at which upstreams became available or unavailable, `places` the data
+    centre of each instance, `unread` the number of other lines.
     """
 
     calls: list[LogLine] = msgspec.field(default_factory=list)
@@ -28,17 +31,17 @@
 
 
 def read_lines(names: Iterable[str]) -> Iterator[str]:
-    """Read the lines of files one after the other; each is closed at its end."""
+    """Yield the lines of files one after the other; each file is closed at its end."""
     for name in names:
         with open(name, errors="replace") as file:
             yield from file
 
 
 def read_logs(lines: Iterable[str], place: re.Pattern[str] | None = None) -> Logs:
-    """Read lines of any processes in any order; those that are no log lines are counted.
+    """Read lines of any processes in any order; lines that are not log lines are counted.
 
-    `place` finds the data centre, its first group, in what a collector of logs has put before a
-    line; without it, instances tell theirs when they start.
+    `place` matches the prefix that a log collector puts before a line, and its first group is the
+    data centre. Without it, the data centre comes from the line that an instance logs at its start.
     """
     logs = Logs()
     for text in lines:
@@ -46,24 +49,26 @@
         if line is None:
             logs.unread += bool(text.strip())
             continue
-        _note_place(logs, line, text, place)
+        _record_data_centre(logs, line, text, place)
         if isinstance(line.facts, CallFacts):
             logs.calls.append(line)
         elif isinstance(line.facts, DispatchFacts | RefusalFacts):
             logs.owners.setdefault(line.request, []).append(line)
             logs.attempts.setdefault(line.call, []).append(line)
-        elif line.name in _STATES:
+        elif line.name in _STATE_EVENTS:
             logs.states.append(line)
     return logs
 
 
-def _note_place(logs: Logs, line: LogLine, text: str, place: re.Pattern[str] | None) -> None:
+def _record_data_centre(
+    logs: Logs, line: LogLine, text: str, place: re.Pattern[str] | None
+) -> None:
     if line.instance in logs.places:
         return
     if place is not None:
         found = place.search(text[: text.index("{")])
     else:
-        found = _TOLD_PLACE.search(line.detail) if line.name == "PROCESS_STARTED" else None
+        found = _DATA_CENTRE_DETAIL.search(line.detail) if line.name == "PROCESS_STARTED" else None
     if found is not None:
         logs.places[line.instance] = found[1]
 
@@ -71,7 +76,7 @@
 def list_owner_lines(call: LogLine, logs: Logs) -> list[LogLine]:
     """Return what owners logged of a call's attempts.
 
-    Lines of older processes do not number attempts; those are known by the caller's request id.
+    Lines of older processes do not number attempts; these are matched by the caller's request id.
     """
     entry = call.call.rpartition("/")[0]
     numbers = [attempt.number for attempt in call.facts.attempts if attempt.number]
--- a/packages/bendwind-bench/src/bendwind_bench/losses/runs.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/runs.py
@@ -1,4 +1,4 @@
-"""Find the runs that ended with an error since a call which they made did not succeed."""
+"""Find the runs that ended with an error, and the failed call that each of them made, if any."""
 
 import collections
 
@@ -10,12 +10,12 @@
 
 _SERVER_ERROR = 500
 _SEPARATOR = "."
-# Clocks of instances differ by some milliseconds.
-_SKEW_MS = 20.0
+# The clocks of instances differ by some milliseconds.
+_CLOCK_SKEW_MS = 20.0
 
 
 class FailedRun(msgspec.Struct, frozen=True):
-    """Hold a run that ended with an error; `inner` is the call it failed for, if one is known."""
+    """Hold a run that ended with an error; `inner` is the call that caused it, if one is known."""
 
     call: LogLine
     inner: LogLine | None = None
@@ -23,16 +23,16 @@
 
 
 def is_inner(call: LogLine, requests: set[str]) -> bool:
-    """Tell whether an upstream made a call while it ran another.
+    """Return whether an upstream made a call while it ran another.
 
-    Such a call is known by its request id: that of the outer request, a dot, and a part of its own.
+    The request id of such a call is the id of the outer request, a dot and a part of its own.
     """
-    outer = find_outer(call.request)
+    outer = find_outer_request(call.request)
     return bool(outer) and outer in requests
 
 
-def find_outer(request: str) -> str:
-    """Return the id of the request that an inner call belongs to, empty for any other.
+def find_outer_request(request: str) -> str:
+    """Return the id of the request that an inner call belongs to, empty for other calls.
 
     >>> find_outer("5f3c.a1")
     '5f3c'
@@ -44,12 +44,12 @@
     """Return the runs that answered with an error, by the ids of their calls."""
     inner: dict[str, list[LogLine]] = collections.defaultdict(list)
     for call in logs.calls:
-        if outer := find_outer(call.request):
+        if outer := find_outer_request(call.request):
             inner[outer].append(call)
     failed = {}
     for call in logs.calls:
         if any(_is_error(attempt.end) for attempt in call.facts.attempts):
-            failed[call.call] = _find_cause(call, inner.get(call.request, []), logs)
+            failed[call.call] = _find_failed_call(call, inner.get(call.request, []), logs)
     return failed
 
 
@@ -57,13 +57,15 @@
     return end.isdigit() and int(end) >= _SERVER_ERROR
 
 
-def _find_cause(call: LogLine, inner: list[LogLine], logs: Logs) -> FailedRun:
-    """Take the last inner call that ended badly within the run; there may be runs before it."""
+def _find_failed_call(call: LogLine, inner: list[LogLine], logs: Logs) -> FailedRun:
+    """Find the last inner call that failed during the failed run; earlier runs are ignored."""
     last = next(one for one in reversed(call.facts.attempts) if _is_error(one.end))
     dispatch = find_dispatch(call, last, logs)
     until = dispatch.physical_ms if dispatch is not None else call.physical_ms
     since = until - (dispatch.facts.ms if dispatch is not None else call.facts.ms)
-    within = [one for one in inner if since - _SKEW_MS <= one.physical_ms <= until + _SKEW_MS]
+    within = [
+        one for one in inner if since - _CLOCK_SKEW_MS <= one.physical_ms <= until + _CLOCK_SKEW_MS
+    ]
     bad = [one for one in within if one.detail != "answered" or one.facts.status >= _SERVER_ERROR]
     if not bad:
         return FailedRun(call)
@@ -71,4 +73,4 @@
     return FailedRun(call, worst, worst.detail.startswith("not-run"))
 
 
-__all__ = ["FailedRun", "find_outer", "is_inner", "list_failed_runs"]
+__all__ = ["FailedRun", "find_outer_request", "is_inner", "list_failed_runs"]
--- a/packages/bendwind-bench/src/bendwind_bench/losses/spans.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/spans.py
@@ -1,4 +1,4 @@
-"""Reckon with spans of time: sorted, disjoint pairs of beginning and end."""
+"""Compute with spans of time: sorted, disjoint pairs of beginning and end."""
 
 import bisect
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def unite(spans: Iterable[Span]) -> list[Span]:
-    """Return what any of the spans covers.
+    """Return the union of the spans, sorted and disjoint.
 
     >>> unite([(3, 5), (1, 2), (4, 6), (7, 7)])
     [(1, 2), (3, 6)]
@@ -24,7 +24,7 @@
 
 
 def invert(spans: list[Span], begin: float, end: float) -> list[Span]:
-    """Return what of a time none of some united spans covers.
+    """Return the parts of a period that none of the united spans covers.
 
     >>> invert([(1, 2), (4, 9)], 0, 6)
     [(0, 1), (2, 4)]
@@ -40,7 +40,7 @@
 
 
 def measure(spans: list[Span], begin: float, end: float) -> float:
-    """Return how much of a time united spans cover.
+    """Return how much of a period the united spans cover.
 
     >>> measure([(1, 2), (4, 9)], 0, 6)
     3
@@ -55,7 +55,7 @@
 
 
 def find_full(spans: Iterable[Span], limit: int) -> list[Span]:
-    """Return when at least so many of the spans go on at a time.
+    """Return when at least `limit` of the spans overlap.
 
     >>> find_full([(0, 4), (1, 3), (2, 6)], 2)
     [(1, 4)]
--- a/packages/bendwind-bench/src/bendwind_bench/losses/stages.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/stages.py
@@ -1,4 +1,4 @@
-"""Say where the time of one call went."""
+"""Split the time of a call into stages."""
 
 import msgspec
 
@@ -12,8 +12,9 @@
 class Stages(msgspec.Struct, frozen=True):
     """Hold the parts of a call's time.
 
-    `choosing` is before and between attempts, `sent_back` went into attempts that did not run. Of
-    the one that ran, `waiting` is at its owner, `running` in the upstream, `on_the_way` the rest.
+    `choosing` is the time before and between attempts, `sent_back` the time of attempts that did
+    not run. Of the attempt that ran, `waiting` is the time at its owner, `running` the time in the
+    upstream, and `on_the_way` the rest.
     Units: milliseconds.
     """
 
@@ -34,7 +35,7 @@
     took = ran.ms if ran.ms is not None else facts.ms - ran.sent_ms
     dispatch = find_dispatch(call, ran, logs)
     waiting = min(took, dispatch.facts.waited_ms) if dispatch is not None else 0.0
-    # The owner's end comes a little after the answer's, once the connection is put back.
+    # The owner records the end a little after the answer, once the connection is back in the pool.
     running = min(took - waiting, dispatch.facts.ms) if dispatch is not None else 0.0
     choosing = max(0.0, facts.ms - sent_back - took)
     return Stages(choosing, took - waiting - running, waiting, sent_back, running)
--- a/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_account.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_account.py
@@ -6,15 +6,23 @@
 
 import msgspec
 
-from bendwind_bench.losses import By, Fate, account_for, group, list_rows, render_account, sum_up
-from bendwind_bench.losses.account import REST, TOP
+from bendwind_bench.losses import (
+    By,
+    Fate,
+    aggregate_rows,
+    group_rows,
+    list_rows,
+    render_account,
+    report_losses,
+)
+from bendwind_bench.losses.account import MAX_GROUPS, REMAINING_GROUPS
 from bendwind_bench.losses.tests.test_free import run, start
 from bendwind_bench.losses.tests.test_losses import read
 from bendwind_core.timeline import AttemptFacts, CallFacts, LogLine
 
 
 def call(request, end_ms=1000, detail="answered", ends=("200",), number=1, instance="e", **more):
-    """Make the end of a call whose attempts took 50 ms each, one after the other."""
+    """Make the line of a finished call whose attempts took 50 ms each, one after the other."""
     attempts = tuple(
         AttemptFacts("u" if i == len(ends) - 1 else f"u{i}", 5.0 + 50 * i, end, 50.0)
         for i, end in enumerate(ends)
@@ -47,25 +55,25 @@
         self.assertEqual(sum(stages.values()), row.call.facts.ms)
         self.assertEqual(row.sent_back, 1)
 
-    def test_run_that_the_owner_saw_end_later_than_the_answer_came_takes_no_more_than_that(self):
+    def test_running_time_is_capped_when_owner_records_end_after_answer(self):
         row = self.only(call("a"), dispatch("a", 990, 45.0, 15.0))
         self.assertEqual((row.stages.waiting, row.stages.running), (15.0, 35.0))
         self.assertEqual(row.stages.on_the_way, 0.0)
 
-    def test_wait_counts_while_another_upstream_was_free(self):
+    def test_wait_counts_as_free_while_another_upstream_was_free(self):
         waits = dispatch("a", 990, 100.0, 200.0)
         long = call("a", ms=400.0)
         other = dispatch("b", 750, 50.0, 0.0, "v")
         beside = call("b", 750, ms=50.0, attempts=(AttemptFacts("v", 0.0, "200", 50.0),), number=2)
         rows = list_rows(read(long, waits, other, beside))
         row = next(row for row in rows if row.call.request == "a")
-        # It waited from 690 to 890, and the other one ran from 700 to 750.
+        # The attempt waited from 690 to 890, and the other upstream ran a request from 700 to 750.
         self.assertEqual((row.waited_ms, row.waited_free_ms), (200.0, 150.0))
-        account = sum_up(rows)
+        account = aggregate_rows(rows)
         self.assertEqual((account.waited, account.waited_free, account.waited_near), (1, 1, 1))
         self.assertEqual(account.waited_free_ms, 150.0)
 
-    def test_fates_and_reasons(self):
+    def test_fates_and_refusal_reasons_are_counted(self):
         rows = list_rows(
             read(
                 call("a"),
@@ -76,16 +84,16 @@
                 call("f", status=500, number=6),
             )
         )
-        account = sum_up(rows)
+        account = aggregate_rows(rows)
         self.assertEqual(account.fates[Fate.FAILED], 2)
         self.assertEqual(
             {fate: account.fates[fate] for fate in Fate if fate is not Fate.FAILED},
-            dict.fromkeys((Fate.IN_TIME, Fate.LATE, Fate.REFUSED, Fate.GONE), 1),
+            dict.fromkeys((Fate.IN_TIME, Fate.LATE, Fate.REFUSED, Fate.CALLER_GONE), 1),
         )
         self.assertEqual(dict(account.reasons), {"queue-full": 1})
         self.assertEqual(account.served, 2)
 
-    def test_run_is_for_nothing_if_a_call_it_made_was_refused(self):
+    def test_run_is_for_nothing_if_its_inner_call_was_refused(self):
         outer = call("a", status=500, ends=("500",))
         ran = dispatch("a", 990, 400.0, 0.0)
         refused = call("a.1", 900, "not-run: shed", status=503, service="t", number=2)
@@ -95,23 +103,23 @@
         text = render_account(list_rows(read(outer, ran, refused)), By.SERVICE)
         self.assertRegex(text, r"s r +t r +not-run: shed +1")
 
-    def test_run_that_failed_by_itself_or_before_the_refusal_is_not(self):
+    def test_run_without_a_refused_inner_call_during_it_is_not_for_nothing(self):
         outer = call("a", status=500, ends=("500",))
         ran = dispatch("a", 990, 100.0, 0.0)
         early = call("a.1", 500, "not-run: shed", status=503, number=2)
         lost = call("a.2", 950, "unknown: link-lost", status=502, number=3)
         for inner in ((), (early,), (early, lost)):
             rows = list_rows(read(outer, ran, *inner))
-            self.assertEqual(sum_up(rows).for_nothing, 0, inner)
+            self.assertEqual(aggregate_rows(rows).for_nothing, 0, inner)
 
-    def test_calls_without_a_request_id_are_nobodys_inner_calls(self):
+    def test_calls_without_a_request_id_are_not_inner_calls(self):
         outer = call("", status=500, ends=("500",))
         refused = call("", 1005, "not-run: shed", status=503, number=2)
         rows = list_rows(read(outer, dispatch("", 990, 400.0, 0.0), refused))
         self.assertEqual([row.is_inner for row in rows], [False, False])
-        self.assertEqual(sum_up(rows).for_nothing, 0)
+        self.assertEqual(aggregate_rows(rows).for_nothing, 0)
 
-    def test_calls_are_told_apart_by_rank_customer_service_and_data_centre(self):
+    def test_calls_are_grouped_by_rank_customer_service_and_data_centre(self):
         rows = list_rows(
             read(
                 start("e", "north"),
@@ -119,36 +127,38 @@
                 call("b", number=2, instance="f", service="t"),
             )
         )
-        self.assertEqual(set(group(rows, By.RANK)), {"rank 0", "rank 2"})
-        self.assertEqual(set(group(rows, By.CUSTOMER)), {"mill", "unnamed"})
-        self.assertEqual(set(group(rows, By.SERVICE)), {"s", "t"})
-        self.assertEqual(set(group(rows, By.DATA_CENTRE)), {"north", "unknown"})
+        self.assertEqual(set(group_rows(rows, By.RANK)), {"rank 0", "rank 2"})
+        self.assertEqual(set(group_rows(rows, By.CUSTOMER)), {"mill", "unnamed"})
+        self.assertEqual(set(group_rows(rows, By.SERVICE)), {"s", "t"})
+        self.assertEqual(set(group_rows(rows, By.DATA_CENTRE)), {"north", "unknown"})
 
-    def test_customers_beyond_the_largest_ten_stand_together(self):
+    def test_customers_beyond_the_largest_ten_share_a_group(self):
         calls = [
             call(f"{i}-{j}", customer=f"c{i}", number=100 * i + j)
-            for i in range(TOP + 3)
+            for i in range(MAX_GROUPS + 3)
             for j in range(20 - i)
         ]
-        groups = group(list_rows(read(*calls)), By.CUSTOMER)
-        self.assertEqual(list(groups), [*(f"c{i}" for i in range(TOP)), REST])
+        groups = group_rows(list_rows(read(*calls)), By.CUSTOMER)
+        self.assertEqual(list(groups), [*(f"c{i}" for i in range(MAX_GROUPS)), REMAINING_GROUPS])
         self.assertEqual(sum(map(len, groups.values())), len(calls))
 
-    def test_refusal_while_another_was_free_is_counted(self):
+    def test_refusal_while_another_upstream_was_free_is_counted(self):
         refused = call("a", detail="not-run: queue-full", status=503)
         free = call("b", 2000, ms=1900.0, number=2)
-        self.assertEqual(sum_up(list_rows(read(refused, free))).refused_free, 0)
+        self.assertEqual(aggregate_rows(list_rows(read(refused, free))).refused_free, 0)
         known = dispatch("c", 500, 10.0, 0.0)
-        self.assertEqual(sum_up(list_rows(read(refused, free, known))).refused_free, 1)
+        self.assertEqual(aggregate_rows(list_rows(read(refused, free, known))).refused_free, 1)
         full = dispatch("c", 1500, 1400.0, 0.0)
-        self.assertEqual(sum_up(list_rows(read(refused, free, known, full))).refused_free, 0)
+        self.assertEqual(
+            aggregate_rows(list_rows(read(refused, free, known, full))).refused_free, 0
+        )
 
 
 class CommandTest(unittest.TestCase):
     def account(self, *files, by="route", plot="", place=""):
         out, err = io.StringIO(), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
-            code = account_for(files, by, plot, place)
+            code = report_losses(files, by, plot, place)
         return code, out.getvalue(), err.getvalue()
 
     def setUp(self):
@@ -159,18 +169,18 @@
         texts = [f"0.1 north-7 {msgspec.json.encode(line).decode()}\n" for line in lines]
         self.file.write_text("".join(texts))
 
-    def test_account_with_a_plot_says_how_exact_it_is(self):
+    def test_command_prints_agreement_with_owners_and_writes_plot(self):
         plot = self.file.with_suffix(".png")
         code, out, err = self.account(str(self.file), plot=str(plot))
         self.assertEqual(code, 0, err)
         self.assertIn("at 1 of 1 starts", out)
         self.assertGreater(plot.stat().st_size, 1000)
 
-    def test_data_centre_is_read_from_what_the_collector_wrote(self):
+    def test_data_centre_is_read_from_the_collector_prefix(self):
         _, out, _ = self.account(str(self.file), by="data-centre", place=r"(\w+)-\d+ $")
         self.assertRegex(out, r"(?m)^north +1 ")
 
-    def test_bad_input_is_one_line_that_says_what_was_expected(self):
+    def test_bad_input_prints_one_line_with_the_expected_value(self):
         name = str(self.file)
         cases = (
             ((), {}),
--- a/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_free.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_free.py
@@ -19,7 +19,7 @@
         self.assertEqual(measure(spans, 2, 6), 2)
         self.assertEqual(measure(spans, 3, 5), 0)
 
-    def test_full_is_while_so_many_go_on(self):
+    def test_find_full_returns_spans_with_limit_overlaps(self):
         spans = [(0, 10), (2, 5), (5, 8), (9, 12)]
         self.assertEqual(find_full(spans, 2), [(2, 8), (9, 10)])
         self.assertEqual(find_full(spans, 1), [(0, 12)])
@@ -47,8 +47,8 @@
     return LogLine("info", instance, 0, "PROCESS_STARTED", 801, detail=detail)
 
 
-# A day from 0 to 1,000 ms, and each upstream named as one of the service.
-def day(*upstreams):
+# A call from 0 to 1,000 ms with an attempt at each upstream, so that each belongs to the service.
+def make_period(*upstreams):
     attempts = tuple(AttemptFacts(name, 0.0, "200", 1.0) for name in upstreams)
     facts = CallFacts("s", "r", 200, 1000.0, 4000.0, 2000.0, attempts=attempts)
     line = LogLine("info", "e", 1000, "CALL_FINISHED", 102, request="z", detail="answered")
@@ -59,56 +59,56 @@
     def free(self, *lines, begin=0, end=1000):
         return find_free_times(read(*lines)).measure("s", begin, end)
 
-    def test_upstream_is_free_while_fewer_run_than_may(self):
-        self.assertEqual(self.free(day("u"), run("u", 700, 300.0)), 700)
+    def test_upstream_is_free_while_it_runs_fewer_than_its_limit(self):
+        self.assertEqual(self.free(make_period("u"), run("u", 700, 300.0)), 700)
 
-    def test_two_upstreams_are_not_free_while_both_run(self):
-        lines = (day("u", "v"), run("u", 700, 300.0), run("v", 900, 300.0))
+    def test_service_is_not_free_while_both_upstreams_run(self):
+        lines = (make_period("u", "v"), run("u", 700, 300.0), run("v", 900, 300.0))
         self.assertEqual(self.free(*lines), 900)
 
-    def test_upstream_with_something_waiting_is_not_free(self):
-        self.assertEqual(self.free(day("u"), run("u", 700, 100.0, 200.0)), 700)
+    def test_upstream_with_waiting_attempt_is_not_free(self):
+        self.assertEqual(self.free(make_period("u"), run("u", 700, 100.0, 200.0)), 700)
 
-    def test_wait_that_ended_in_a_refusal_counts_as_well(self):
-        lines = (day("u"), run("u", 100, 100.0), refuse("u", 500, waited_ms=200.0))
+    def test_wait_that_ended_in_a_refusal_counts(self):
+        lines = (make_period("u"), run("u", 100, 100.0), refuse("u", 500, waited_ms=200.0))
         self.assertEqual(self.free(*lines), 700)
 
-    def test_slowed_upstream_is_not_free_until_it_tells_or_a_phase_is_over(self):
+    def test_slowed_upstream_is_not_free_until_it_reports_or_the_phase_ends(self):
         slow = {"slow_factor": 4.0, "report_age_ms": 0.0}
         at_pace = {"report_age_ms": 0.0}
-        self.assertEqual(self.free(day("u"), run("u", 300, 100.0, **slow)), 700)
-        lines = (day("u"), run("u", 300, 100.0, **slow), run("u", 450, 50.0, **at_pace))
+        self.assertEqual(self.free(make_period("u"), run("u", 300, 100.0, **slow)), 700)
+        lines = (make_period("u"), run("u", 300, 100.0, **slow), run("u", 450, 50.0, **at_pace))
         self.assertEqual(self.free(*lines), 750)
 
     def test_upstream_that_sheds_or_breaks_off_is_not_free_until_it_answers(self):
         shed = run("u", 200, 10.0, detail="not-run: shed")
-        self.assertEqual(self.free(day("u"), shed), 190)
-        self.assertEqual(self.free(day("u"), shed, run("u", 600, 10.0)), 590)
+        self.assertEqual(self.free(make_period("u"), shed), 190)
+        self.assertEqual(self.free(make_period("u"), shed, run("u", 600, 10.0)), 590)
 
-    def test_upstream_is_not_free_before_it_comes_and_after_it_has_left(self):
+    def test_upstream_is_not_free_before_ready_and_after_gone(self):
         came, left = state("u", "UPSTREAM_READY", 200), state("u", "UPSTREAM_GONE", 500)
-        self.assertEqual(self.free(day("u"), came, left), 300)
-        self.assertEqual(self.free(day("u"), left, run("u", 300, 100.0)), 400)
+        self.assertEqual(self.free(make_period("u"), came, left), 300)
+        self.assertEqual(self.free(make_period("u"), left, run("u", 300, 100.0)), 400)
 
-    def test_near_ones_are_told_apart_by_the_data_centre_of_their_owner(self):
+    def test_near_upstreams_are_those_with_owner_in_the_data_centre(self):
         lines = (
             start("o", "north"),
             start("p", "south"),
             run("u", 1000, 1000.0),
             run("v", 400, 400.0, instance="p"),
-            day("u", "v"),
+            make_period("u", "v"),
         )
         free = find_free_times(read(*lines))
         self.assertEqual(free.measure_near("s", "north", 0, 1000), 0)
         self.assertEqual(free.measure_near("s", "south", 0, 1000), 600)
 
-    def test_other_services_have_times_of_their_own(self):
-        free = find_free_times(read(day("u"), run("u", 700, 300.0)))
+    def test_free_times_are_separate_per_service(self):
+        free = find_free_times(read(make_period("u"), run("u", 700, 300.0)))
         self.assertEqual(free.measure("other", 0, 1000), 0)
 
 
 class AgreementTest(unittest.TestCase):
-    def test_starts_are_compared_with_what_the_owner_told(self):
+    def test_starts_are_compared_with_the_owner(self):
         lines = (
             run("u", 500, 400.0, running=1),
             run("u", 700, 400.0, running=2),
--- a/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_real_lines.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_real_lines.py
@@ -1,4 +1,4 @@
-"""Give account of calls from the lines that real entry and owner nodes log."""
+"""Test the account of calls with the lines that real entry and owner nodes log."""
 
 import time
 import unittest
@@ -16,17 +16,17 @@
 from bendwind_node.calls.tests.fakes import CallTestCluster, announce, make_exchange
 from bendwind_node.calls.tests.scripted_server import OK, read_request, run_server
 
-# The upstream takes two at a time, so that half of the calls wait.
+# The upstream serves two requests at a time, so that half of the calls wait.
 CALLS = 4
 WORK_S = 0.02
 
 
-def wall_ms() -> int:
+def read_wall_ms() -> int:
     return int(time.time() * MILLISECONDS_PER_SECOND)
 
 
 def to_line(event) -> str:
-    """Return the line that is logged of an event."""
+    """Return the log line of an event."""
     line = LogLine(
         "info",
         event.instance,
@@ -48,27 +48,27 @@
         await stream.send_all(OK)
 
 
-async def play() -> Logs:
+async def run_calls() -> Logs:
     rule = Rule("*", repeat=Repeat.NEVER, target_latency_ms=90_000.0, priority=2, name="r")
     service = Service("svc", ("*",), rules=(rule,), longest_wait_ms=90_000.0)
     with trio.fail_after(20):
         async with run_server(work) as port, trio.open_nursery() as nursery:
-            bench = CallTestCluster(nursery, service)
-            bench.owner.recorder.clock = HybridClock(wall_ms)
-            announce(bench.owner, port)
+            cluster = CallTestCluster(nursery, service)
+            cluster.owner.recorder.clock = HybridClock(read_wall_ms)
+            announce(cluster.owner, port)
             async with trio.open_nursery() as callers:
                 for _ in range(CALLS):
-                    callers.start_soon(bench.call, make_exchange())
+                    callers.start_soon(cluster.call, make_exchange())
             nursery.cancel_scope.cancel()
-    return read_logs(to_line(event) for event in bench.owner.recorder.events)
+    return read_logs(to_line(event) for event in cluster.owner.recorder.events)
 
 
 class RealLinesTest(unittest.TestCase):
     def setUp(self):
-        self.logs = trio.run(play)
+        self.logs = trio.run(run_calls)
         self.rows = list_rows(self.logs)
 
-    def test_each_call_is_found_with_its_own_line_though_callers_name_no_request(self):
+    def test_each_call_is_matched_with_its_own_line_without_request_ids(self):
         self.assertEqual([row.fate for row in self.rows], [Fate.IN_TIME] * CALLS)
         found = [list_owner_lines(row.call, self.logs) for row in self.rows]
         self.assertEqual([len(lines) for lines in found], [1] * CALLS)
@@ -80,13 +80,13 @@
     def test_stages_add_up_to_the_time_of_the_call(self):
         for row in self.rows:
             stages = msgspec.structs.asdict(row.stages)
-            # Each is rounded to a tenth of a millisecond.
+            # Each stage is rounded to a tenth of a millisecond.
             self.assertAlmostEqual(sum(stages.values()), row.call.facts.ms, delta=0.5)
 
-    def test_rank_is_that_of_the_rule(self):
+    def test_rank_of_call_is_rank_of_its_rule(self):
         self.assertEqual({row.call.facts.rank for row in self.rows}, {2})
 
-    def test_every_start_is_compared_with_what_the_owner_told(self):
+    def test_every_start_is_compared_with_the_owner(self):
         found = compare_with_owners(self.logs)
         self.assertEqual(found.starts, CALLS)
 
