--- a/packages/bendwind-bench/src/bendwind_bench/campaign.py
+++ b/packages/bendwind-bench/src/bendwind_bench/campaign.py
@@ -9,7 +9,14 @@
 import trio
 
 from bendwind_bench.deployment import Deployment, Fault, Process, inject_faults
-from bendwind_bench.load import LoadPlan, RequestKind, Sample, Verdict, check_promises, read_runs
+from bendwind_bench.load import (
+    GuaranteeReport,
+    LoadPlan,
+    RequestKind,
+    Sample,
+    check_guarantees,
+    read_runs,
+)
 from bendwind_core.core import Milliseconds, Seconds
 
 WORKER_START_S = 1.5
@@ -37,7 +44,7 @@
 
 async def run_campaign(
     deployment: Deployment, campaign: Campaign, report=None
-) -> tuple[list[Sample], Verdict]:
+) -> tuple[list[Sample], GuaranteeReport]:
     """Send the load, inject the faults and check what callers were told."""
     start_at = time.time() + WORKER_START_S
     workers = [
@@ -54,7 +61,7 @@
         for worker in workers:
             worker.kill()
     samples = [sample for worker in workers for sample in _read_samples(worker)]
-    return samples, check_promises(samples, read_runs(deployment.runs_files))
+    return samples, check_guarantees(samples, read_runs(deployment.runs_files))
 
 
 def _plan(deployment: Deployment, campaign: Campaign, index: int, start_at: Seconds) -> LoadPlan:
--- a/packages/bendwind-bench/src/bendwind_bench/capacity/real/calls.py
+++ b/packages/bendwind-bench/src/bendwind_bench/capacity/real/calls.py
@@ -5,7 +5,7 @@
 from bendwind_bench.campaign import Campaign, run_campaign
 from bendwind_bench.capacity.slope import Slope, fit
 from bendwind_bench.deployment import Deployment, DeploymentDescription, ServiceDescription
-from bendwind_bench.experiments.scene import run_scene
+from bendwind_bench.experiments.phase_runner import run_small_deployment
 from bendwind_bench.http import pool_of
 from bendwind_bench.load import Outcome, RequestKind, Sample
 from bendwind_bench.reports import summarize_latency
@@ -86,7 +86,7 @@
 async def measure_calls() -> tuple[dict[str, Slope], dict[str, float]]:
     """Measure calls from an entry node, over a link, to another node's upstream."""
     entry_us, owner_us = [], []
-    async with run_scene(_describe(), _INTENT, 1, False) as deployment:
+    async with run_small_deployment(_describe(), _INTENT, 1, False) as deployment:
         members = deployment.layout.members
         entry, owner = (deployment.nodes[members[index].name] for index in (-1, 0))
         await _send(deployment, "warm", RATES[1], False)
--- a/packages/bendwind-bench/src/bendwind_bench/demo.py
+++ b/packages/bendwind-bench/src/bendwind_bench/demo.py
@@ -13,7 +13,7 @@
 from bendwind_bench.deployment import Deployment, find_description, run_deployment
 from bendwind_bench.load import Outcome, Sample
 from bendwind_bench.operators import IntentRefusedError
-from bendwind_bench.reports import summary_table
+from bendwind_bench.reports import format_summary_table
 
 RATE = 120.0
 SECONDS = 12.0
@@ -85,12 +85,12 @@
         await trio.sleep(DRAIN_AT_S)
         await self.bendwind("drain", upstream, "--kind=upstream")
         await trio.sleep(DRAIN_WITHIN_S)
-        before = (await self.deployment.counters(upstream))["runs"]
+        before = (await self.deployment.read_counters(upstream))["runs"]
         await trio.sleep(STOP_AT_S - DRAIN_AT_S - DRAIN_WITHIN_S)
         self.deployment.nodes[instance].is_expected_down = True
         await self.bendwind("stop", instance)
         await trio.sleep(SECONDS - STOP_AT_S)
-        after = (await self.deployment.counters(upstream))["runs"]
+        after = (await self.deployment.read_counters(upstream))["runs"]
         if after > before:
             self.broken.append(
                 f"{upstream} got {after - before} requests after {DRAIN_WITHIN_S:.0f} s of draining"
@@ -113,8 +113,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.drain_and_stop, upstream, instance)
             samples, verdict = await run_campaign(self.deployment, campaign)
-        print(f"\n{summary_table(samples, verdict)}\n", flush=True)
-        self.broken += verdict.broken + self._find_faults(samples)
+        print(f"\n{format_summary_table(samples, verdict)}\n", flush=True)
+        self.broken += verdict.violations + self._find_faults(samples)
 
     def _find_faults(self, samples: list[Sample]) -> list[str]:
         faults = [
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/layout.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/layout.py
@@ -57,7 +57,7 @@
         """Return the member whose instance or upstream has this name."""
         return next(item for item in self.members if name in (item.name, item.upstream.name))
 
-    def serving(self, service: str) -> tuple[Member, ...]:
+    def list_serving(self, service: str) -> tuple[Member, ...]:
         """Return the members whose upstream offers a service."""
         return tuple(item for item in self.members if item.upstream.service == service)
 
@@ -72,13 +72,13 @@
         return tuple(item for item in self.members if item.is_voter)
 
 
-class _FreePorts:
+class _PortAllocator:
     """Hand out ports that nobody listens on; each only once."""
 
     def __init__(self):
         self.candidates = iter(random.sample(PORTS, len(PORTS)))
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """Return the next free port."""
         for port in self.candidates:
             with socket.socket() as probe:
@@ -93,7 +93,7 @@
 
 def make_layout(description: DeploymentDescription, folder: Path, seed: int = 0) -> Layout:
     """Place every upstream beside a node, in data centres by turns."""
-    ports = _FreePorts()
+    ports = _PortAllocator()
     numbers = {centre: 0 for centre in description.data_centres}
     members: list[Member] = []
     for service in description.services:
@@ -102,18 +102,18 @@
             numbers[centre] += 1
             is_voter = len(members) < description.voters
             name = f"{centre}-{numbers[centre]}"
-            upstreams_port = ports.take()
+            upstreams_port = ports.allocate()
             upstream = _describe_upstream(
-                service, number, ports.take(), upstreams_port, folder, seed + len(members)
+                service, number, ports.allocate(), upstreams_port, folder, seed + len(members)
             )
             member = Member(
                 name,
                 centre,
                 upstream,
-                peers=ports.take(),
-                callers=ports.take(),
+                peers=ports.allocate(),
+                callers=ports.allocate(),
                 upstreams=upstreams_port,
-                operators=ports.take(),
+                operators=ports.allocate(),
                 is_voter=is_voter,
             )
             members.append(member)
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/process.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/process.py
@@ -48,11 +48,11 @@
             self.popen.kill()
             self.popen.wait()
 
-    async def stop(self, within_s: float = 30.0) -> int | None:
+    async def stop(self, timeout_s: float = 30.0) -> int | None:
         """Ask the process to stop; return its exit code, or None if it had to be killed."""
         self.is_expected_down = True
         self.signal(signal.SIGTERM)
-        with trio.move_on_after(within_s):
+        with trio.move_on_after(timeout_s):
             while self.is_running:
                 await trio.sleep(0.02)
             return self.popen.returncode
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
@@ -22,8 +22,8 @@
 from bendwind_bench.load import RequestKind
 
 RUN_FOLDER = Path("run")
-READY_WITHIN_S = 60.0
-POLL_S = 0.1
+READY_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
 
 
 class NotReadyError(Exception):
@@ -57,7 +57,7 @@
         """Return the upstreams' own addresses by service."""
         services = [service.name for service in self.layout.description.services]
         return {
-            name: [member.upstream_address for member in self.layout.serving(name)]
+            name: [member.upstream_address for member in self.layout.list_serving(name)]
             for name in services
         }
 
@@ -71,7 +71,7 @@
             )
             if not self.direct:
                 self.nodes[member.name] = self._make_process(member.name, ["bendwind_node.main"])
-        for process in self.processes():
+        for process in self.list_processes():
             process.start()
 
     def _make_process(self, name: str, module: list[str]) -> Process:
@@ -79,7 +79,7 @@
         command = [sys.executable, "-m", *module, f"--config={config}"]
         return Process(name, command, self.layout.folder / f"{name}.log")
 
-    def processes(self) -> list[Process]:
+    def list_processes(self) -> list[Process]:
         """Return every process."""
         return [*self.nodes.values(), *self.upstreams.values()]
 
@@ -94,27 +94,27 @@
         """
         for member in members or self.layout.members:
             upstream = self.upstreams[member.upstream.name]
-            await self._wait_answer(upstream, member.upstream_address, "/.bendwind/health")
+            await self._wait_until_ready(upstream, member.upstream_address, "/.bendwind/health")
             if not self.direct:
                 node = self.nodes[member.name]
-                await self._wait_answer(node, member.operators_address, "/v1/status")
+                await self._wait_until_ready(node, member.operators_address, "/v1/status")
 
-    async def _wait_answer(self, process: Process, address: str, path: str) -> None:
-        with trio.move_on_after(READY_WITHIN_S):
+    async def _wait_until_ready(self, process: Process, address: str, path: str) -> None:
+        with trio.move_on_after(READY_TIMEOUT_S):
             while process.is_running:
                 with contextlib.suppress(OSError, HttpBrokenError):
                     if (await send_json(address, "GET", path)).status == 200:
                         return
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
         tail = process.log.read_text(errors="replace")[-2000:]
         raise NotReadyError(f"{process.name} is not ready\n{tail}")
 
-    async def wait_served(self, kinds: Sequence[RequestKind], within_s: float = 60.0) -> bool:
+    async def wait_served(self, kinds: Sequence[RequestKind], timeout_s: float = 60.0) -> bool:
         """Wait until a request of every kind is served at every node."""
-        with trio.move_on_after(within_s):
+        with trio.move_on_after(timeout_s):
             for address in self.entries:
                 for kind in kinds:
-                    await _wait_served(address, kind)
+                    await _wait_until_served(address, kind)
             return True
         return False
 
@@ -123,7 +123,7 @@
         member = self.layout.find(upstream)
         await send_json(member.upstream_address, "POST", "/.bench/changes", changes)
 
-    async def counters(self, upstream: str) -> dict:
+    async def read_counters(self, upstream: str) -> dict:
         """Return what a stand-in counted."""
         member = self.layout.find(upstream)
         answer = await send_json(member.upstream_address, "GET", "/.bench/counters")
@@ -131,11 +131,11 @@
 
     def kill_all(self) -> None:
         """End every process that still runs."""
-        for process in self.processes():
+        for process in self.list_processes():
             process.kill()
 
 
-async def _wait_served(address: str, kind: RequestKind) -> None:
+async def _wait_until_served(address: str, kind: RequestKind) -> None:
     pool = pool_of(address)
     for number in itertools.count():
         headers = [(b"Bendwind-Service", kind.service.encode())]
@@ -145,7 +145,7 @@
         with contextlib.suppress(OSError, HttpBrokenError):
             if (await pool.request(kind.method, kind.path, headers)).status == 200:
                 break
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
     pool.close()
 
 
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/added_latency.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/added_latency.py
@@ -2,11 +2,11 @@
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.deployment import Deployment, ServiceDescription
-from bendwind_bench.experiments.scene import (
-    Measured,
-    describe_scene,
+from bendwind_bench.experiments.phase_runner import (
+    Measurements,
+    describe_small_deployment,
     run_phase,
-    run_scene,
+    run_small_deployment,
 )
 from bendwind_bench.load import RequestKind
 from bendwind_bench.reports.result import Check
@@ -35,34 +35,34 @@
 
 def describe_solo(slots: int = 64, service_ms: float = 0.001):
     """Describe three services of one upstream each, so that there are three nodes."""
-    return describe_scene(
+    return describe_small_deployment(
         [ServiceDescription(name, 1, slots, 200, service_ms, 0.0) for name in SERVICES]
     )
 
 
-def find_ways(deployment: Deployment) -> dict[str, str]:
+def find_addresses(deployment: Deployment) -> dict[str, str]:
     """Return the address that each way of calling asks."""
     own, other = deployment.layout.members[:2]
-    ways = {"direct": own.upstream_address}
+    addresses = {"direct": own.upstream_address}
     if not deployment.direct:
-        ways |= {"own": own.callers_address, "other": other.callers_address}
-    return ways
+        addresses |= {"own": own.callers_address, "other": other.callers_address}
+    return addresses
 
 
-async def run_once(seed: int, direct: bool) -> Measured:
+async def run_once(seed: int, direct: bool) -> Measurements:
     """Measure the ways side by side."""
-    measured = Measured()
-    async with run_scene(describe_solo(), INTENT, seed, direct) as deployment:
-        ways = find_ways(deployment)
+    measurements = Measurements()
+    async with run_small_deployment(describe_solo(), INTENT, seed, direct) as deployment:
+        addresses = find_addresses(deployment)
         kinds = [
             RequestKind("solo", "/item", answer_bytes=(200, 400), chunked=0.0, addresses=[address])
-            for address in ways.values()
+            for address in addresses.values()
         ]
         campaign = Campaign("ways", RATE, SECONDS, kinds, seed=seed)
         phase = await run_phase(deployment, campaign)
-    for way, address in ways.items():
-        measured.keep(way, phase.select(address))
-        figures = measured.figures[way]
-        for mark in ("p50 ms", "p99 ms") if way != "direct" else ():
-            figures[f"added {mark}"] = figures[mark] - measured.figures["direct"][mark]
-    return measured
+    for path, address in addresses.items():
+        measurements.record_phase(path, phase.select(address))
+        figures = measurements.figures[path]
+        for mark in ("p50 ms", "p99 ms") if path != "direct" else ():
+            figures[f"added {mark}"] = figures[mark] - measurements.figures["direct"][mark]
+    return measurements
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/claims.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/claims.py
@@ -2,7 +2,7 @@
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.experiments.added_latency import describe_solo
-from bendwind_bench.experiments.scene import Measured, run_scene
+from bendwind_bench.experiments.phase_runner import Measurements, run_small_deployment
 from bendwind_bench.load import RequestKind
 
 TITLE = "Claims: latency added, and claims a second"
@@ -31,12 +31,12 @@
 )
 
 
-async def run_once(seed: int, direct: bool) -> Measured:
+async def run_once(seed: int, direct: bool) -> Measurements:
     """Measure requests without and with keys, then rising rates of claims."""
-    measured = Measured()
+    measurements = Measurements()
     steps = [("unkeyed", PLAIN, RATE), ("keyed", KEYED, RATE), ("resent", RESENT, RATE)]
     steps += [(f"keyed, {rate:.0f} a second", KEYED, rate) for rate in RATES]
-    async with run_scene(describe_solo(), INTENT, seed, direct, [KEYED]) as deployment:
+    async with run_small_deployment(describe_solo(), INTENT, seed, direct, [KEYED]) as deployment:
         keys = {"entries": [deployment.layout.members[0].callers_address]}
         if direct:
             keys = {"direct": deployment.direct_addresses()}
@@ -45,7 +45,7 @@
             campaign = Campaign(
                 name, rate, SECONDS, [kind], seed=seed, timeout_ms=TIMEOUT_MS, **keys
             )
-            figures = await measured.measure(deployment, variant, campaign)
+            figures = await measurements.measure(deployment, variant, campaign)
             for mark in ("p50 ms", "p99 ms"):
-                figures[f"added {mark}"] = figures[mark] - measured.figures["unkeyed"][mark]
-    return measured
+                figures[f"added {mark}"] = figures[mark] - measurements.figures["unkeyed"][mark]
+    return measurements
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/fast_failure.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/fast_failure.py
@@ -1,7 +1,12 @@
 """Measure what callers see of an upstream that fails fast."""
 
 from bendwind_bench.campaign import Campaign
-from bendwind_bench.experiments.scene import MILLI, Measured, describe_scene, run_scene
+from bendwind_bench.experiments.phase_runner import (
+    MILLISECONDS_IN_SECOND,
+    Measurements,
+    describe_small_deployment,
+    run_small_deployment,
+)
 from bendwind_bench.experiments.slowdown import KINDS, POLICIES, RATE, SERVICE, write_intent
 from bendwind_bench.operators import apply_intent
 from bendwind_bench.reports.plot import Span
@@ -19,23 +24,25 @@
 FAILING = Span(1.0, 7.0, "statusdesk-2 fails")
 
 
-async def run_once(seed: int, direct: bool) -> Measured:
+async def run_once(seed: int, direct: bool) -> Measurements:
     """Measure every policy once."""
-    measured = Measured()
+    measurements = Measurements()
 
     async def fail() -> None:
-        begin = Change(FAILING.start_s * MILLI, fail_share=1.0)
-        end = Change(FAILING.end_s * MILLI, fail_share=0.0)
-        await scene.change("statusdesk-2", [begin, end])
+        begin = Change(FAILING.start_s * MILLISECONDS_IN_SECOND, fail_share=1.0)
+        end = Change(FAILING.end_s * MILLISECONDS_IN_SECOND, fail_share=0.0)
+        await deployment.change("statusdesk-2", [begin, end])
 
     intent = write_intent(POLICIES[0])
-    async with run_scene(describe_scene([SERVICE]), intent, seed, direct) as scene:
+    async with run_small_deployment(
+        describe_small_deployment([SERVICE]), intent, seed, direct
+    ) as deployment:
         for policy in ("direct",) if direct else ("direct", *POLICIES[:3]):
-            addresses = scene.direct_addresses() if policy == "direct" else {}
+            addresses = deployment.direct_addresses() if policy == "direct" else {}
             if policy != "direct":
-                await apply_intent(scene, write_intent(policy))
+                await apply_intent(deployment, write_intent(policy))
             campaign = Campaign(
                 policy, RATE, SECONDS, KINDS, seed=seed, at_start=fail, direct=addresses
             )
-            await measured.measure(scene, policy, campaign, [FAILING])
-    return measured
+            await measurements.measure(deployment, policy, campaign, [FAILING])
+    return measurements
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/measuring.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/measuring.py
@@ -5,7 +5,13 @@
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.deployment import Deployment, ServiceDescription
-from bendwind_bench.experiments.scene import MILLI, Measured, describe_scene, run_phase, run_scene
+from bendwind_bench.experiments.phase_runner import (
+    MILLISECONDS_IN_SECOND,
+    Measurements,
+    describe_small_deployment,
+    run_phase,
+    run_small_deployment,
+)
 from bendwind_bench.load import RequestKind
 from bendwind_bench.operators import read_metrics
 from bendwind_bench.reports.result import Check
@@ -23,7 +29,7 @@
     "timed in a loop in the bench's process. `share %` is that time as a part of the nodes' "
     "processor time."
 )
-NORMAL = 20.0
+NORMAL_RATE = 20.0
 TIMES = (0.1, 1.0, 10.0)
 SECONDS = 8.0
 # Default of measuring.messages_per_s.
@@ -41,7 +47,7 @@
 UPSTREAMS = 3
 REPEATS = 1000
 ROUNDS = 20
-PER = 1000.0
+CALLS_PER_FIGURE = 1000.0
 SAMPLE = LoadSample(5, 2, 12, 12.345678, 0.01)
 
 
@@ -58,22 +64,22 @@
     rounds = timeit.repeat(
         lambda: decode_message(encode_message(message)), number=REPEATS, repeat=ROUNDS
     )
-    return Cost(len(encode_message(message)), min(rounds) * MILLI / REPEATS)
+    return Cost(len(encode_message(message)), min(rounds) * MILLISECONDS_IN_SECOND / REPEATS)
 
 
 def measure_sample() -> Cost:
     """Measure what a load sample adds to an answer."""
     attempt = AttemptId("centre-1-1", 1_790_000_000_000, 123_456)
     bare = measure_message(NotRun(attempt, NotRunReason.SHED))
-    laden = measure_message(NotRun(attempt, NotRunReason.SHED, SAMPLE))
-    return Cost(laden.size - bare.size, max(0.0, laden.cpu_ms - bare.cpu_ms))
+    with_sample = measure_message(NotRun(attempt, NotRunReason.SHED, SAMPLE))
+    return Cost(with_sample.size - bare.size, max(0.0, with_sample.cpu_ms - bare.cpu_ms))
 
 
 def measure_probe() -> Cost:
     """Measure a probe or its answer, whose numbers are alike."""
-    asked = measure_message(LoadProbe("status-1"))
-    answered = measure_message(LoadReport("status-1", "status", SAMPLE))
-    return Cost((asked.size + answered.size) / 2, (asked.cpu_ms + answered.cpu_ms) / 2)
+    probe = measure_message(LoadProbe("status-1"))
+    report = measure_message(LoadReport("status-1", "status", SAMPLE))
+    return Cost((probe.size + report.size) / 2, (probe.cpu_ms + report.cpu_ms) / 2)
 
 
 async def _count_probes(deployment: Deployment) -> float:
@@ -86,29 +92,33 @@
     return total
 
 
-async def run_once(seed: int, direct: bool) -> Measured:
+async def run_once(seed: int, direct: bool) -> Measurements:
     """Measure each multiple of the normal traffic once."""
-    measured = Measured()
+    measurements = Measurements()
     sample = measure_sample()
     probe = measure_probe()
     service = ServiceDescription("status", UPSTREAMS, 12, 200, 5.0)
-    async with run_scene(describe_scene([service]), INTENT, seed, direct) as deployment:
+    async with run_small_deployment(
+        describe_small_deployment([service]), INTENT, seed, direct
+    ) as deployment:
         addresses = deployment.direct_addresses() if direct else {}
         for times in TIMES:
             before = await _count_probes(deployment)
             name = f"{times:g}x"
-            campaign = Campaign(name, NORMAL * times, SECONDS, KINDS, seed=seed, direct=addresses)
+            campaign = Campaign(
+                name, NORMAL_RATE * times, SECONDS, KINDS, seed=seed, direct=addresses
+            )
             phase = await run_phase(deployment, campaign)
             probes = await _count_probes(deployment) - before
             calls = float(len(phase.samples))
             cpu_ms = probes * probe.cpu_ms + calls * sample.cpu_ms
-            measured.figures[name] = {
+            measurements.figures[name] = {
                 "calls": calls,
                 "messages/s": probes / SECONDS / UPSTREAMS,
-                "B": (probes * probe.size + calls * sample.size) * PER / calls,
-                "CPU ms": cpu_ms * PER / calls,
-                "node CPU ms": phase.cpu_ms_per_call * PER,
-                "share %": 100.0 * cpu_ms / max(phase.node_cpu_s * MILLI, 1.0),
+                "B": (probes * probe.size + calls * sample.size) * CALLS_PER_FIGURE / calls,
+                "CPU ms": cpu_ms * CALLS_PER_FIGURE / calls,
+                "node CPU ms": phase.cpu_ms_per_call * CALLS_PER_FIGURE,
+                "share %": 100.0 * cpu_ms / max(phase.node_cpu_s * MILLISECONDS_IN_SECOND, 1.0),
             }
-            measured.broken += phase.verdict.broken
-    return measured
+            measurements.violations += phase.guarantees.violations
+    return measurements
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/overload.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/overload.py
@@ -2,7 +2,11 @@
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.deployment import ServiceDescription
-from bendwind_bench.experiments.scene import Measured, describe_scene, run_scene
+from bendwind_bench.experiments.phase_runner import (
+    Measurements,
+    describe_small_deployment,
+    run_small_deployment,
+)
 from bendwind_bench.load import RequestKind
 from bendwind_bench.reports.result import Check
 
@@ -24,16 +28,18 @@
 INTENT = '[[services]]\nname = "status"\nupstreams = ["status-*"]\nlongest_wait_ms = 1000\n'
 
 
-async def run_once(seed: int, direct: bool) -> Measured:
+async def run_once(seed: int, direct: bool) -> Measurements:
     """Measure each multiple of the capacity once."""
-    measured = Measured()
+    measurements = Measurements()
     service = ServiceDescription("status", 3, 2, 200, 60.0)
-    async with run_scene(describe_scene([service]), INTENT, seed, direct) as deployment:
+    async with run_small_deployment(
+        describe_small_deployment([service]), INTENT, seed, direct
+    ) as deployment:
         addresses = deployment.direct_addresses() if direct else {}
         for times in TIMES:
             name = f"{times:g}x"
             campaign = Campaign(
                 name, CAPACITY * times, SECONDS, KINDS, seed=seed, workers=4, direct=addresses
             )
-            await measured.measure(deployment, name, campaign)
-    return measured
+            await measurements.measure(deployment, name, campaign)
+    return measurements
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/scene.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/phase_runner.py
@@ -13,15 +13,15 @@
     ServiceDescription,
     run_deployment,
 )
-from bendwind_bench.load import Outcome, RequestKind, Sample, Verdict
+from bendwind_bench.load import GuaranteeReport, Outcome, RequestKind, Sample
 from bendwind_bench.operators import IntentRefusedError, apply_intent
 from bendwind_bench.reports import summarize, summarize_latency
 from bendwind_bench.reports.plot import Panel, Span
 
-MILLI = 1000.0
+MILLISECONDS_IN_SECOND = 1000.0
 SETTLE_S = 1.0
-MEMORY_EVERY_S = 0.2
-TRIM_S = 0.5
+MEMORY_POLL_INTERVAL_S = 0.2
+EXCLUDED_START_S = 0.5
 # Outcomes that a caller sees as an error.
 _ERRORS = (Outcome.FAILED, Outcome.UNKNOWN, Outcome.NOT_RUN, Outcome.REFUSED, Outcome.BROKEN)
 
@@ -31,7 +31,7 @@
     """Hold what one phase gave; samples of its first moments are left out."""
 
     samples: list[Sample]
-    verdict: Verdict
+    guarantees: GuaranteeReport
     seconds: float
     node_cpu_s: float
     peak_resident_kb: int
@@ -50,7 +50,7 @@
             "whole/s": whole / self.seconds,
             "not-run": float(summary.outcomes.get(Outcome.NOT_RUN, 0)),
             "unknown": float(summary.outcomes.get(Outcome.UNKNOWN, 0)),
-            "broken": float(len(self.verdict.broken)),
+            "broken": float(len(self.guarantees.violations)),
         }
 
     def select(self, address: str) -> "Phase":
@@ -61,42 +61,44 @@
     @property
     def cpu_ms_per_call(self) -> float:
         """Return the processor time that all nodes took, divided by the calls."""
-        return self.node_cpu_s * MILLI / max(1, len(self.samples))
+        return self.node_cpu_s * MILLISECONDS_IN_SECOND / max(1, len(self.samples))
 
 
 @dataclass(slots=True)
-class Measured:
+class Measurements:
     """Collect the figures, plot panels and broken promises of one run."""
 
     figures: dict[str, dict[str, float]] = field(default_factory=dict)
     panels: list[Panel] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     async def measure(
         self, deployment: Deployment, variant: str, campaign: Campaign, spans: Sequence[Span] = ()
     ) -> dict[str, float]:
         """Run a phase, keep what it gave under the variant's name and return its figures."""
         phase = await run_phase(deployment, campaign)
-        self.keep(variant, phase, spans)
+        self.record_phase(variant, phase, spans)
         if deployment.nodes:
             self.figures[variant]["node CPU ms/call"] = phase.cpu_ms_per_call
         return self.figures[variant]
 
-    def keep(self, variant: str, phase: Phase, spans: Sequence[Span] = ()) -> None:
+    def record_phase(self, variant: str, phase: Phase, spans: Sequence[Span] = ()) -> None:
         """Keep a phase's figures, samples and broken promises."""
         self.figures[variant] = phase.figures()
         self.panels.append(Panel(variant, phase.samples, spans))
-        self.broken += phase.verdict.broken
+        self.violations += phase.guarantees.violations
 
 
-def describe_scene(services: list[ServiceDescription], voters: int = 3) -> DeploymentDescription:
+def describe_small_deployment(
+    services: list[ServiceDescription], voters: int = 3
+) -> DeploymentDescription:
     """Describe a deployment of one data centre for each voter."""
     centres = [f"centre-{number}" for number in range(1, voters + 1)]
     return DeploymentDescription("scene", "bench", 0.0, 0.0, centres, voters, services, [])
 
 
 @contextlib.asynccontextmanager
-async def run_scene(
+async def run_small_deployment(
     description: DeploymentDescription,
     intent: str,
     seed: int,
@@ -132,12 +134,14 @@
     cpu_before = _sum_cpu(deployment)
     peak = _PeakMemory(deployment)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(peak.watch)
-        samples, verdict = await run_campaign(deployment, campaign)
+        nursery.start_soon(peak.poll)
+        samples, guarantees = await run_campaign(deployment, campaign)
         nursery.cancel_scope.cancel()
     cpu = _sum_cpu(deployment) - cpu_before
-    settled = [sample for sample in samples if sample.at_s >= TRIM_S]
-    return Phase(settled, verdict, campaign.duration_s - TRIM_S, cpu, peak.resident_kb)
+    included = [sample for sample in samples if sample.at_s >= EXCLUDED_START_S]
+    return Phase(
+        included, guarantees, campaign.duration_s - EXCLUDED_START_S, cpu, peak.resident_kb
+    )
 
 
 @dataclass(slots=True)
@@ -145,11 +149,11 @@
     deployment: Deployment
     resident_kb: int = 0
 
-    async def watch(self) -> None:
+    async def poll(self) -> None:
         while True:
             running = [node for node in self.deployment.nodes.values() if node.is_running]
             self.resident_kb = max([self.resident_kb, *(node.resident_kb() for node in running)])
-            await trio.sleep(MEMORY_EVERY_S)
+            await trio.sleep(MEMORY_POLL_INTERVAL_S)
 
 
 def _sum_cpu(deployment: Deployment) -> float:
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/run.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/run.py
@@ -18,29 +18,29 @@
     "slowdown": "slowdown",
     "throughput": "throughput",
 }
-MOST_NOTES = 5
-MOST_LATE_MS = 20.0
+MAX_NOTES = 5
+MAX_LATE_MS = 20.0
 
 
 async def run_experiment(name: str, runs: int, seed: int, direct: bool) -> int:
     """Run an experiment; the exit code is 1 when a promise was broken."""
     module = importlib.import_module(f"bendwind_bench.experiments.{EXPERIMENTS[name]}")
     result = _begin(name, module, runs, seed)
-    broken: list[str] = []
+    violations: list[str] = []
     for number in range(runs):
         print(f"{name}: run {number + 1} of {runs}", flush=True)
-        measured = await module.run_once(seed + number, direct)
-        result.runs.append(measured.figures)
-        broken += measured.broken
+        measurements = await module.run_once(seed + number, direct)
+        result.runs.append(measurements.figures)
+        violations += measurements.violations
         print_result(result)
-    result.notes = [f"Broken promise: {line}" for line in broken[:MOST_NOTES]]
+    result.notes = [f"Broken promise: {line}" for line in violations[:MAX_NOTES]]
     result.notes += _find_late_variants(result)
     if not direct:
         write_result(result)
-        if measured.panels:
-            write_plot(measured.panels, FOLDER / f"{name}.png")
+        if measurements.panels:
+            write_plot(measurements.panels, FOLDER / f"{name}.png")
         write_page()
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
 def _find_late_variants(result: Result) -> list[str]:
@@ -50,7 +50,7 @@
         f"{name}: the load tool itself was late by {late_ms:.0f} ms at p99, so that the latencies "
         "and errors of this row are not those of the nodes alone."
         for name, late_ms in late.items()
-        if late_ms > MOST_LATE_MS
+        if late_ms > MAX_LATE_MS
     ]
 
 
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/slowdown.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/slowdown.py
@@ -4,7 +4,12 @@
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.deployment import ServiceDescription
-from bendwind_bench.experiments.scene import MILLI, Measured, describe_scene, run_scene
+from bendwind_bench.experiments.phase_runner import (
+    MILLISECONDS_IN_SECOND,
+    Measurements,
+    describe_small_deployment,
+    run_small_deployment,
+)
 from bendwind_bench.load import RequestKind
 from bendwind_bench.operators import apply_intent
 from bendwind_bench.reports.plot import Span
@@ -33,7 +38,7 @@
 HEDGE_AFTER = 2.5
 SECONDS = 10.0
 LOAD = 0.6
-RATE = LOAD * UPSTREAMS * SLOTS * MILLI / SERVICE_MS
+RATE = LOAD * UPSTREAMS * SLOTS * MILLISECONDS_IN_SECOND / SERVICE_MS
 SERVICE = ServiceDescription("statusdesk", UPSTREAMS, SLOTS, 200, SERVICE_MS)
 KINDS = [RequestKind("statusdesk", "/lamps/310")]
 
@@ -67,30 +72,32 @@
     )
 
 
-async def run_once(seed: int, direct: bool) -> Measured:
+async def run_once(seed: int, direct: bool) -> Measurements:
     """Measure every policy once, in an order that rotates with the seed."""
-    measured = Measured()
+    measurements = Measurements()
     spans = draw_slowdowns(seed)
 
     async def slow_down() -> None:
         for name in {span.label for span in spans}:
             own = [span for span in spans if span.label == name]
-            changes = [Change(span.start_s * MILLI, factor=10.0) for span in own]
-            changes += [Change(span.end_s * MILLI, factor=1.0) for span in own]
+            changes = [Change(span.start_s * MILLISECONDS_IN_SECOND, factor=10.0) for span in own]
+            changes += [Change(span.end_s * MILLISECONDS_IN_SECOND, factor=1.0) for span in own]
             await deployment.change(name, changes)
 
-    scene = describe_scene([SERVICE])
-    async with run_scene(scene, write_intent(POLICIES[0]), seed, direct) as deployment:
+    description = describe_small_deployment([SERVICE])
+    async with run_small_deployment(
+        description, write_intent(POLICIES[0]), seed, direct
+    ) as deployment:
         addresses = deployment.direct_addresses()
         campaign = make_campaign("direct", seed, at_start=slow_down, direct=addresses)
-        await measured.measure(deployment, "direct", campaign, spans)
+        await measurements.measure(deployment, "direct", campaign, spans)
         if direct:
-            return measured
-        calm = make_campaign("no slow-down", seed)
-        await measured.measure(deployment, "no slow-down", calm)
-        turn = seed % len(POLICIES)
-        for policy in POLICIES[turn:] + POLICIES[:turn]:
+            return measurements
+        undisturbed = make_campaign("no slow-down", seed)
+        await measurements.measure(deployment, "no slow-down", undisturbed)
+        first = seed % len(POLICIES)
+        for policy in POLICIES[first:] + POLICIES[:first]:
             await apply_intent(deployment, write_intent(policy))
             campaign = make_campaign(policy, seed, at_start=slow_down)
-            await measured.measure(deployment, policy, campaign, spans)
-    return measured
+            await measurements.measure(deployment, policy, campaign, spans)
+    return measurements
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/throughput.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/throughput.py
@@ -2,7 +2,7 @@
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.experiments.added_latency import INTENT, KINDS, describe_solo
-from bendwind_bench.experiments.scene import Measured, measure_idle, run_scene
+from bendwind_bench.experiments.phase_runner import Measurements, measure_idle, run_small_deployment
 
 TITLE = "Throughput of one node and processor time a call"
 ABOUT = (
@@ -17,18 +17,18 @@
 TIMEOUT_MS = 2000.0
 
 
-async def run_once(seed: int, direct: bool) -> Measured:
+async def run_once(seed: int, direct: bool) -> Measurements:
     """Measure each rate once."""
-    measured = Measured()
-    async with run_scene(describe_solo(), INTENT, seed, direct) as deployment:
+    measurements = Measurements()
+    async with run_small_deployment(describe_solo(), INTENT, seed, direct) as deployment:
         keys = {"entries": [deployment.layout.members[0].callers_address]}
         if direct:
             keys = {"direct": deployment.direct_addresses()}
-        measured.figures["no calls"] = await measure_idle(deployment, SECONDS)
+        measurements.figures["no calls"] = await measure_idle(deployment, SECONDS)
         for rate in RATES:
             name = f"rate-{rate:.0f}"
             campaign = Campaign(
                 name, rate, SECONDS, KINDS, seed=seed, workers=4, timeout_ms=TIMEOUT_MS, **keys
             )
-            await measured.measure(deployment, f"{rate:.0f} a second", campaign)
-    return measured
+            await measurements.measure(deployment, f"{rate:.0f} a second", campaign)
+    return measurements
--- a/packages/bendwind-bench/src/bendwind_bench/load/verdict.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/guarantees.py
@@ -6,65 +6,69 @@
 from pathlib import Path
 
 from bendwind_bench.load.sample import Outcome, Sample
-from bendwind_bench.upstream.stand_in import UNNAMED
+from bendwind_bench.upstream.stand_in import MISSING_ID
 
-Runs = collections.Counter
+RunCounts = collections.Counter
 
 
 @dataclass(slots=True)
-class Verdict:
+class GuaranteeReport:
     """List the broken promises, each as one line.
 
     `misleading` counts resends that were told not-run though an earlier send had run.
     """
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     doubled: collections.Counter = field(default_factory=collections.Counter)
-    misleading: int = 0
+    misleading_not_run: int = 0
 
     @property
     def is_ok(self) -> bool:
         """Tell whether every promise held."""
-        return not self.broken
+        return not self.violations
 
 
-def read_runs(files: Iterable[Path]) -> Runs:
+def read_runs(files: Iterable[Path]) -> RunCounts:
     """Count the runs of each (request, send number) from the stand-ins' files."""
-    runs = Runs()
+    runs = RunCounts()
     for file in files:
         if not file.exists():
             continue
         for line in file.read_text().splitlines():
             request, number = line.split()
-            if request != UNNAMED:
+            if request != MISSING_ID:
                 runs[request, int(number)] += 1
     return runs
 
 
-def check_promises(samples: list[Sample], runs: Runs) -> Verdict:
+def check_guarantees(samples: list[Sample], runs: RunCounts) -> GuaranteeReport:
     """Check that not-run requests never ran, marked ones ran once at most, answers were own."""
-    verdict = Verdict()
-    totals = Runs()
+    guarantees = GuaranteeReport()
+    totals = RunCounts()
     for (request, _), count in runs.items():
         totals[request] += count
     marked = {sample.request: sample.service for sample in samples if sample.marked}
     for request, service in marked.items():
         if totals[request] > 1:
-            verdict.doubled[service] += 1
-            verdict.broken.append(f"{request} of {service} ran {totals[request]} times")
+            guarantees.doubled[service] += 1
+            guarantees.violations.append(f"{request} of {service} ran {totals[request]} times")
     for sample in samples:
-        _check_sample(sample, runs, totals, verdict)
-    return verdict
+        _check_sample(sample, runs, totals, guarantees)
+    return guarantees
 
 
-def _check_sample(sample: Sample, runs: Runs, totals: Runs, verdict: Verdict) -> None:
+def _check_sample(
+    sample: Sample, runs: RunCounts, totals: RunCounts, guarantees: GuaranteeReport
+) -> None:
     name = f"{sample.request}/{sample.number} of {sample.service}"
     own_runs = runs[sample.request, sample.number]
     if sample.outcome is Outcome.BROKEN:
-        verdict.broken.append(f"{name} got {sample.reason}")
+        guarantees.violations.append(f"{name} got {sample.reason}")
     if sample.outcome is Outcome.NOT_RUN and own_runs:
-        verdict.broken.append(f"{name} was told not-run ({sample.reason}) but ran {own_runs} times")
+        guarantees.violations.append(
+            f"{name} was told not-run ({sample.reason}) but ran {own_runs} times"
+        )
     if sample.outcome is Outcome.NOT_RUN and totals[sample.request] > own_runs:
-        verdict.misleading += 1
+        guarantees.misleading_not_run += 1
     if sample.outcome is Outcome.WHOLE and not totals[sample.request]:
-        verdict.broken.append(f"{name} got an answer though no upstream ran it")
+        guarantees.violations.append(f"{name} got an answer though no upstream ran it")
--- a/packages/bendwind-bench/src/bendwind_bench/load/plan.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/plan.py
@@ -59,7 +59,7 @@
     chunked: bool
 
 
-RESEND_WITHIN_S = 0.4
+MAX_RESEND_DELAY_S = 0.4
 
 
 def schedule_sends(plan: LoadPlan) -> list[Send]:
@@ -81,7 +81,7 @@
     is_chunked = rng.random() < kind.chunked
     times = [at_s]
     if kind.keyed and rng.random() < kind.resend:
-        times.append(at_s + rng.uniform(0.0, RESEND_WITHIN_S))
+        times.append(at_s + rng.uniform(0.0, MAX_RESEND_DELAY_S))
     targets = kind.addresses or plan.direct.get(kind.service) or plan.entries
     return [
         Send(time, request, index, number, rng.choice(targets), size, is_chunked)
--- a/packages/bendwind-bench/src/bendwind_bench/load/tests/test_load.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/tests/test_load.py
@@ -6,7 +6,7 @@
     Outcome,
     RequestKind,
     Sample,
-    check_promises,
+    check_guarantees,
     schedule_sends,
 )
 
@@ -40,8 +40,8 @@
 
 
 class VerdictTests(unittest.TestCase):
-    def broken(self, samples, runs):
-        return len(check_promises(samples, collections.Counter(runs)).broken)
+    def count_violations(self, samples, runs):
+        return len(check_guarantees(samples, collections.Counter(runs)).violations)
 
     def test_kept_promises_pass(self):
         samples = [
@@ -50,23 +50,25 @@
             make_sample(Outcome.NOT_RUN, "r2"),
             make_sample(Outcome.UNKNOWN, "r3"),
         ]
-        self.assertEqual(self.broken(samples, {("r1", 0): 1}), 0)
+        self.assertEqual(self.count_violations(samples, {("r1", 0): 1}), 0)
 
     def test_not_run_that_ran_is_broken(self):
-        self.assertEqual(self.broken([make_sample(Outcome.NOT_RUN)], {("r1", 0): 1}), 1)
+        self.assertEqual(self.count_violations([make_sample(Outcome.NOT_RUN)], {("r1", 0): 1}), 1)
 
     def test_marked_request_run_under_two_sends_is_broken(self):
         samples = [make_sample(Outcome.WHOLE), make_sample(Outcome.WHOLE, number=1)]
-        self.assertEqual(self.broken(samples, {("r1", 0): 1, ("r1", 1): 1}), 1)
+        self.assertEqual(self.count_violations(samples, {("r1", 0): 1, ("r1", 1): 1}), 1)
 
     def test_unmarked_request_may_run_twice(self):
-        self.assertEqual(self.broken([make_sample(Outcome.WHOLE, marked=False)], {("r1", 0): 2}), 0)
+        self.assertEqual(
+            self.count_violations([make_sample(Outcome.WHOLE, marked=False)], {("r1", 0): 2}), 0
+        )
 
     def test_wrong_answer_and_answer_from_nowhere_are_broken(self):
-        self.assertEqual(self.broken([make_sample(Outcome.BROKEN)], {("r1", 0): 1}), 1)
-        self.assertEqual(self.broken([make_sample(Outcome.WHOLE)], {}), 1)
+        self.assertEqual(self.count_violations([make_sample(Outcome.BROKEN)], {("r1", 0): 1}), 1)
+        self.assertEqual(self.count_violations([make_sample(Outcome.WHOLE)], {}), 1)
 
     def test_resend_told_not_run_after_the_first_ran_is_counted_as_misleading(self):
         samples = [make_sample(Outcome.WHOLE), make_sample(Outcome.NOT_RUN, number=1)]
-        verdict = check_promises(samples, collections.Counter({("r1", 0): 1}))
-        self.assertEqual((verdict.is_ok, verdict.misleading), (True, 1))
+        guarantees = check_guarantees(samples, collections.Counter({("r1", 0): 1}))
+        self.assertEqual((guarantees.is_ok, guarantees.misleading_not_run), (True, 1))
--- a/packages/bendwind-bench/src/bendwind_bench/load/worker.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/worker.py
@@ -14,21 +14,21 @@
 from bendwind_bench.upstream.stand_in import make_body
 from bendwind_core.core import MILLISECONDS_PER_SECOND, Milliseconds
 
-_TOLD = {
+_OUTCOMES = {
     "not-run": Outcome.NOT_RUN,
     "unknown": Outcome.UNKNOWN,
     "refused": Outcome.REFUSED,
 }
 _NO_ANSWER = 0
-TIMER_STEP_S = 0.001
-MOST_ADDRESSES = 3
+TIMER_RESOLUTION_S = 0.001
+MAX_ADDRESSES = 3
 
 
 def classify(send: Send, request_body: bytes, answer: Message) -> tuple[Outcome, str]:
     """Tell the outcome of an answer and, where it has one, the reason."""
-    told = answer.find(b"bendwind-outcome")
-    if told:
-        return _TOLD.get(told, Outcome.BROKEN), answer.find(b"bendwind-reason") or told
+    outcome = answer.find(b"bendwind-outcome")
+    if outcome:
+        return _OUTCOMES.get(outcome, Outcome.BROKEN), answer.find(b"bendwind-reason") or outcome
     if answer.find(b"bendwind-shed") == "not-run":
         return Outcome.NOT_RUN, "shed by the upstream"
     if answer.find(b"bench-request") != send.request:
@@ -51,7 +51,7 @@
         addresses = {address for group in groups for address in group}
         self.pools = {address: pool_of(address) for address in addresses}
         self.samples: list[Sample] = []
-        self.open = 0
+        self.in_flight = 0
         self.started = 0.0
 
     async def run(self) -> list[Sample]:
@@ -61,23 +61,23 @@
         async with trio.open_nursery() as nursery:
             for send in sends:
                 await _wait_until(self.started + send.at_s)
-                if self.open >= self.plan.most_open:
+                if self.in_flight >= self.plan.most_open:
                     self._record(send, Outcome.UNKNOWN, _NO_ANSWER, "not sent: too many open")
                     continue
-                self.open += 1
+                self.in_flight += 1
                 nursery.start_soon(self._send, send)
         for pool in self.pools.values():
             pool.close()
         return self.samples
 
-    def _age_ms(self, send: Send) -> Milliseconds:
+    def _elapsed_ms(self, send: Send) -> Milliseconds:
         return (trio.current_time() - self.started - send.at_s) * MILLISECONDS_PER_SECOND
 
     async def _send(self, send: Send) -> None:
         kind = self.plan.kinds[send.kind]
         body = make_body(send.request, kind.request_bytes)
         delay_s = self.plan.client_delay_ms / MILLISECONDS_PER_SECOND
-        late_ms = self._age_ms(send)
+        late_ms = self._elapsed_ms(send)
         outcome, status, reason, call = Outcome.UNKNOWN, _NO_ANSWER, "no answer in time", ""
         with trio.move_on_after(self.plan.timeout_ms / MILLISECONDS_PER_SECOND):
             try:
@@ -90,7 +90,7 @@
                 reason = f"connection ended: {error}"
             except OSError:
                 outcome, reason = Outcome.NOT_RUN, "no connection"
-        self.open -= 1
+        self.in_flight -= 1
         self._record(send, outcome, status, reason, call, late_ms)
 
     async def _exchange(self, send: Send, kind: RequestKind, body: bytes) -> Message:
@@ -104,24 +104,24 @@
             headers.append((b"Bench-Chunked", b"1"))
         if kind.keyed:
             headers.append((b"Idempotency-Key", send.request.encode()))
-        for address in self._addresses(send, kind)[:-1]:
+        for address in self._list_addresses(send, kind)[:-1]:
             with contextlib.suppress(OSError):
                 return await self.pools[address].request(kind.method, kind.path, headers, body)
-        last = self._addresses(send, kind)[-1]
+        last = self._list_addresses(send, kind)[-1]
         return await self.pools[last].request(kind.method, kind.path, headers, body)
 
-    def _addresses(self, send: Send, kind: RequestKind) -> list[str]:
+    def _list_addresses(self, send: Send, kind: RequestKind) -> list[str]:
         # A caller that can open no connection goes on to the next address: nothing was sent.
         known = kind.addresses or self.plan.direct.get(kind.service) or self.plan.entries
         first = known.index(send.address)
-        return (known[first:] + known[:first])[:MOST_ADDRESSES]
+        return (known[first:] + known[:first])[:MAX_ADDRESSES]
 
     def _record(self, send: Send, outcome: Outcome, status: int, reason: str, call="", late_ms=0.0):
         kind = self.plan.kinds[send.kind]
         self.samples.append(
             Sample(
                 send.at_s,
-                self._age_ms(send),
+                self._elapsed_ms(send),
                 kind.service,
                 outcome,
                 status,
@@ -139,7 +139,7 @@
 
 async def _wait_until(time_s: float) -> None:
     # Timers of the event loop end on whole milliseconds, so the last stretch is spent looking.
-    await trio.sleep_until(time_s - TIMER_STEP_S)
+    await trio.sleep_until(time_s - TIMER_RESOLUTION_S)
     while trio.current_time() < time_s:
         await trio.lowlevel.checkpoint()
 
--- a/packages/bendwind-bench/src/bendwind_bench/mix.py
+++ b/packages/bendwind-bench/src/bendwind_bench/mix.py
@@ -2,7 +2,7 @@
 
 from bendwind_bench.campaign import Campaign, run_campaign
 from bendwind_bench.deployment import find_description, run_deployment
-from bendwind_bench.reports import summary_table
+from bendwind_bench.reports import format_summary_table
 
 
 async def run_mix(name: str, rate: float, seconds: float, workers: int, seed: int, direct: bool):
@@ -20,6 +20,6 @@
             client_delay_ms=description.client_delay_ms,
         )
         samples, verdict = await run_campaign(deployment, campaign)
-    print(summary_table(samples, verdict))
-    print("\n".join(verdict.broken[:10]))
+    print(format_summary_table(samples, verdict))
+    print("\n".join(verdict.violations[:10]))
     return 0 if verdict.is_ok else 1
--- a/packages/bendwind-bench/src/bendwind_bench/reports/latency.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/latency.py
@@ -32,8 +32,8 @@
     histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
     for latency in latencies_ms:
         histogram.record_value(max(LOWEST_US, min(HIGHEST_US, round(latency * US_PER_MS))))
-    marks = (50.0, 90.0, 99.0, 99.9, 100.0)
-    return [histogram.get_value_at_percentile(mark) / US_PER_MS for mark in marks]
+    percentiles = (50.0, 90.0, 99.0, 99.9, 100.0)
+    return [histogram.get_value_at_percentile(mark) / US_PER_MS for mark in percentiles]
 
 
 def summarize(samples: list[Sample]) -> LatencySummary:
--- a/packages/bendwind-bench/src/bendwind_bench/reports/page.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/page.py
@@ -7,7 +7,7 @@
 from bendwind_bench.reports.result import FOLDER, Result, read_results
 
 PAGE = Path("docs/MEASUREMENTS.md")
-_HEAD = """# Measurements
+_HEADER = """# Measurements
 
 Written by `python -m bendwind_bench page` from the JSON files in `measurements/`; change nothing
 here by hand. Each figure is the median over the runs of its experiment. All processes ran on one
@@ -18,7 +18,7 @@
 
 def write_page() -> None:
     """Write the page from every result there is."""
-    parts = [_HEAD, *(_format_result(result) for result in read_results())]
+    parts = [_HEADER, *(_format_result(result) for result in read_results())]
     PAGE.write_text("\n".join(parts))
 
 
@@ -71,8 +71,8 @@
             continue
         median = statistics.median(values)
         spread = f"{format_number(min(values))} to {format_number(max(values))}"
-        verdict = "reached" if check.is_reached(median) else "**not reached**"
+        conclusion = "reached" if check.is_reached(median) else "**not reached**"
         lines.append(
-            f"| {check.text} | {check.limit} | {format_number(median)} | {spread} | {verdict} |"
+            f"| {check.text} | {check.limit} | {format_number(median)} | {spread} | {conclusion} |"
         )
     return [*lines, ""]
--- a/packages/bendwind-bench/src/bendwind_bench/reports/table.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/table.py
@@ -1,6 +1,6 @@
 """Lay out results as text tables."""
 
-from bendwind_bench.load import Outcome, Sample, Verdict
+from bendwind_bench.load import GuaranteeReport, Outcome, Sample
 from bendwind_bench.reports.latency import summarize
 
 SUMMARY_HEADER = [
@@ -33,16 +33,18 @@
     return "\n".join(lines)
 
 
-def summary_table(samples: list[Sample], verdict: Verdict) -> str:
+def format_summary_table(samples: list[Sample], guarantees: GuaranteeReport) -> str:
     """Lay out one row per service: calls, latencies, outcomes and doubled runs."""
     services = sorted({sample.service for sample in samples})
-    rows = [_summary_row(service, samples, verdict) for service in services]
+    rows = [_format_summary_row(service, samples, guarantees) for service in services]
     return format_table(SUMMARY_HEADER, rows)
 
 
-def _summary_row(service: str, samples: list[Sample], verdict: Verdict) -> list[str]:
+def _format_summary_row(
+    service: str, samples: list[Sample], guarantees: GuaranteeReport
+) -> list[str]:
     summary = summarize([sample for sample in samples if sample.service == service])
     kinds = (Outcome.WHOLE, Outcome.NOT_RUN, Outcome.UNKNOWN, Outcome.REFUSED, Outcome.FAILED)
     counts = [str(summary.outcomes.get(kind, 0)) for kind in kinds]
     times = [f"{summary.p50_ms:.1f}", f"{summary.p99_ms:.1f}"]
-    return [service, str(summary.sends), *times, *counts, str(verdict.doubled[service])]
+    return [service, str(summary.sends), *times, *counts, str(guarantees.doubled[service])]
--- a/packages/bendwind-bench/src/bendwind_bench/tests/test_end_to_end.py
+++ b/packages/bendwind-bench/src/bendwind_bench/tests/test_end_to_end.py
@@ -5,7 +5,7 @@
 
 from bendwind_bench.campaign import Campaign, run_campaign
 from bendwind_bench.deployment import Action, Fault, ServiceDescription
-from bendwind_bench.experiments.scene import describe_scene, run_scene
+from bendwind_bench.experiments.phase_runner import describe_small_deployment, run_small_deployment
 from bendwind_bench.load import Outcome, RequestKind
 
 INTENT = """
@@ -38,7 +38,9 @@
     def test_promises_hold_while_a_node_is_killed(self):
         async def main():
             service = ServiceDescription("emisor", 3, 8, 50, 5.0)
-            async with run_scene(describe_scene([service]), INTENT, 1, False, KINDS) as deployment:
+            async with run_small_deployment(
+                describe_small_deployment([service]), INTENT, 1, False, KINDS
+            ) as deployment:
                 victim = deployment.layout.members[2].name
                 campaign = Campaign(
                     "end",
@@ -48,12 +50,16 @@
                     [Fault(2.0, Action.KILL, victim)],
                     timeout_ms=20_000.0,
                 )
-                samples, verdict = await run_campaign(deployment, campaign)
+                samples, guarantees = await run_campaign(deployment, campaign)
                 upstreams = [member.upstream.name for member in deployment.layout.members]
-                return samples, verdict, [await deployment.counters(name) for name in upstreams]
+                return (
+                    samples,
+                    guarantees,
+                    [await deployment.read_counters(name) for name in upstreams],
+                )
 
-        samples, verdict, counters = trio.run(main)
-        self.assertEqual(verdict.broken, [])
+        samples, guarantees, counters = trio.run(main)
+        self.assertEqual(guarantees.violations, [])
         # A request that waits at an upstream was sent beyond its slots.
         self.assertEqual([item["most_waiting"] for item in counters], [0, 0, 0])
         self.assertTrue(all(item["most_connections"] <= 50 for item in counters))
--- a/packages/bendwind-bench/src/bendwind_bench/tests/test_limits_of_several_nodes.py
+++ b/packages/bendwind-bench/src/bendwind_bench/tests/test_limits_of_several_nodes.py
@@ -10,7 +10,7 @@
 import trio
 
 from bendwind_bench.deployment import ServiceDescription
-from bendwind_bench.experiments.scene import describe_scene, run_scene
+from bendwind_bench.experiments.phase_runner import describe_small_deployment, run_small_deployment
 from bendwind_bench.http import HttpBrokenError, pool_of
 from bendwind_bench.load import RequestKind
 from bendwind_bench.upstream import Change
@@ -29,25 +29,27 @@
 LIMIT_PER_S = 5.0
 OFFERED_PER_S = 50.0
 # What callers are to get of all that the limit allows, while nothing is at fault.
-LEAST_SERVED = 0.85
+MIN_SERVED_SHARE = 0.85
 SETTLE_S = 4.0
 MEASURE_S = 6.0
 # A machine that does much else takes longer to start a process and to let leases end.
-MOST_SPANS = 5
+MAX_MEASUREMENTS = 5
 KIND = RequestKind("emisor", "/records/1")
 
 
 class SeveralNodesTest(unittest.TestCase):
     def test_limit_is_kept_and_used_through_a_restart_and_a_change_of_its_owner(self):
-        trio.run(self.play)
+        trio.run(self.run_through_owner_changes)
 
-    async def play(self):
+    async def run_through_owner_changes(self):
         services = [ServiceDescription("emisor", 1, 8, 50, 5.0)]
         services.append(ServiceDescription("agenda", 2, 8, 50, 5.0))
-        scene = run_scene(describe_scene(services), INTENT, 1, False, [KIND])
-        async with scene as deployment, trio.open_nursery() as nursery:
+        running = run_small_deployment(
+            describe_small_deployment(services), INTENT, 1, False, [KIND]
+        )
+        async with running as deployment, trio.open_nursery() as nursery:
             for number in range(3):
-                nursery.start_soon(self.offer, deployment, number)
+                nursery.start_soon(self.send_requests, deployment, number)
             await deployment.change("emisor-1", [Change(rate_limit=LIMIT_PER_S)])
             await trio.sleep(SETTLE_S)
             served = [await self.find_served(deployment)]
@@ -61,13 +63,13 @@
             await deployment.change("emisor-1", [Change(node=address)])
             await trio.sleep(2 * SETTLE_S)
             served.append(await self.find_served(deployment))
-            counters = await deployment.counters("emisor-1")
+            counters = await deployment.read_counters("emisor-1")
             nursery.cancel_scope.cancel()
         self.assertLessEqual(counters["limit_worst"], 1.0)
         for per_second in served:
-            self.assertGreaterEqual(per_second, LEAST_SERVED * LIMIT_PER_S)
+            self.assertGreaterEqual(per_second, MIN_SERVED_SHARE * LIMIT_PER_S)
 
-    async def offer(self, deployment, number):
+    async def send_requests(self, deployment, number):
         """Call through one of the nodes, at a third of the whole rate."""
         address = deployment.layout.members[number].callers_address
         async with trio.open_nursery() as nursery:
@@ -83,17 +85,17 @@
 
     async def find_served(self, deployment):
         """Return what is served in the first span in which that is enough, or in the last one."""
-        for _ in range(MOST_SPANS):
+        for _ in range(MAX_MEASUREMENTS):
             per_second = await self.measure(deployment)
-            if per_second >= LEAST_SERVED * LIMIT_PER_S:
+            if per_second >= MIN_SERVED_SHARE * LIMIT_PER_S:
                 break
         return per_second
 
     async def measure(self, deployment):
         """Return how many requests a second the upstream runs."""
-        before, begun_at = await deployment.counters("emisor-1"), trio.current_time()
+        before, started_at = await deployment.read_counters("emisor-1"), trio.current_time()
         await trio.sleep(MEASURE_S)
-        after, span = await deployment.counters("emisor-1"), trio.current_time() - begun_at
+        after, span = await deployment.read_counters("emisor-1"), trio.current_time() - started_at
         return (after["runs"] - before["runs"]) / span
 
 
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
@@ -66,13 +66,13 @@
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
         self.runs_file = os.open(settings.runs_file, flags) if settings.runs_file else None
 
-    def note_arrival(self) -> None:
+    def record_arrival(self) -> None:
         """Count a request against the limit, and against having said that it leaves."""
         self.limit.note_arrival(trio.current_time())
         self.counters.limit_worst = self.limit.worst
         self.counters.while_leaving += self.is_leaving
 
-    def must_shed(self) -> bool:
+    def should_shed(self) -> bool:
         """Tell whether a request that arrives now is refused unrun."""
         statistics = self.limiter.statistics()
         is_full = statistics.tasks_waiting >= self.settings.queue
@@ -81,33 +81,37 @@
             self.counters.most_waiting = max(self.counters.most_waiting, waiting)
         return is_full or self.rng.random() < self.shed_share
 
-    def must_fail(self) -> bool:
+    def should_fail(self) -> bool:
         """Tell whether a request that arrives now fails at once."""
         return self.rng.random() < self.fail_share
 
-    def count_run(self, request: str, send: str) -> None:
+    def record_run(self, request: str, send: str) -> None:
         """Note that a request is run; the line outlives the death of the process."""
         self.counters.runs += 1
         if self.runs_file is not None:
             os.write(self.runs_file, f"{request} {send}\n".encode())
 
-    def draw_work(self) -> float:
+    def draw_service_time(self) -> float:
         """Draw a service time in seconds at normal speed."""
         sigma = self.settings.spread
         mean = self.settings.service_ms / MILLISECONDS_PER_SECOND
-        work = self.rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
+        service_time = self.rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
         age_ms = (trio.current_time() - self.started_at) * MILLISECONDS_PER_SECOND
-        return work * self.settings.cold_factor if age_ms < self.settings.cold_ms else work
+        return (
+            service_time * self.settings.cold_factor
+            if age_ms < self.settings.cold_ms
+            else service_time
+        )
 
-    async def work(self, job: Job, until_closed) -> bool:
+    async def run_job(self, job: Job, wait_closed) -> bool:
         """Take a drawn time for the job and tell whether it ended undisturbed."""
-        end = trio.current_time() + self.draw_work() * self.factor
+        end = trio.current_time() + self.draw_service_time() * self.factor
         job.ends_at = job.scope.deadline = end
         self.serving.add(job)
         self.counters.most_in_flight = max(self.counters.most_in_flight, len(self.serving))
         try:
             with job.scope:
-                await until_closed()
+                await wait_closed()
                 job.is_cancelled = True
         finally:
             self.serving.discard(job)
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/stand_in.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/stand_in.py
@@ -15,13 +15,13 @@
 from bendwind_bench.upstream.settings import Change, UpstreamSettings
 from bendwind_core.core import MILLISECONDS_PER_SECOND
 
-ANNOUNCE_EVERY_S = 1.0
-DRAIN_LIMIT_S = 20.0
-ATTEMPTS = "/.bendwind/attempts/"
+ANNOUNCE_INTERVAL_S = 1.0
+DRAIN_TIMEOUT_S = 20.0
+ATTEMPTS_PATH = "/.bendwind/attempts/"
 SHED = (b"Bendwind-Shed", b"not-run")
 RATE_LIMIT = b"Bendwind-Rate-Limit"
 LEAVING = b"Bendwind-Leaving"
-UNNAMED = "-"
+MISSING_ID = "-"
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 Answer = tuple[int, list[tuple[bytes, bytes]], bytes]
@@ -55,7 +55,7 @@
         http = HttpStream(stream, h11.SERVER)
         try:
             while (request := await http.receive()) is not None:
-                if not await self._answer(http, request):
+                if not await self._handle_request(http, request):
                     break
         except (h11.ProtocolError, trio.BrokenResourceError, HttpBrokenError):
             pass
@@ -63,18 +63,18 @@
             self.connections -= 1
             await trio.aclose_forcefully(stream)
 
-    async def _answer(self, http: HttpStream, request: Message) -> bool:
+    async def _handle_request(self, http: HttpStream, request: Message) -> bool:
         target = request.head.target.decode()
-        if target.startswith(ATTEMPTS):
-            answer = self._cancel(target.removeprefix(ATTEMPTS))
+        if target.startswith(ATTEMPTS_PATH):
+            answer = self._cancel(target.removeprefix(ATTEMPTS_PATH))
         elif target == "/.bendwind/health":
             answer = (200 if self.executor.healthy else 503, [], b"")
         elif target == "/.bendwind/load":
             answer = self._report_load()
         elif target.startswith("/.bench/"):
-            answer = self._control(target, request)
+            answer = self._handle_control(target, request)
         else:
-            self.executor.note_arrival()
+            self.executor.record_arrival()
             status, headers, body = await self._run(http, request)
             answer = status, [*headers, *self._make_notice()], body
         return await _send_answer(http, request, answer)
@@ -95,24 +95,24 @@
     def _report_load(self) -> Answer:
         self.executor.counters.loads += 1
         statistics = self.executor.limiter.statistics()
-        lie = self.executor.reported_in_flight
+        override = self.executor.reported_in_flight
         load = {
-            "in_flight": statistics.borrowed_tokens if lie < 0 else lie,
+            "in_flight": statistics.borrowed_tokens if override < 0 else override,
             "queued": statistics.tasks_waiting,
             "slots": self.settings.slots,
         }
         return 200, [(b"Content-Type", b"application/json")], msgspec.json.encode(load)
 
-    def _control(self, target: str, request: Message) -> Answer:
+    def _handle_control(self, target: str, request: Message) -> Answer:
         if target == "/.bench/counters":
             return 200, [], msgspec.json.encode(self.executor.counters)
         if target != "/.bench/changes":
             return 404, [], b""
         for change in msgspec.json.decode(request.body, type=list[Change]):
-            self.nursery.start_soon(self._change_later, change)
+            self.nursery.start_soon(self._apply_later, change)
         return 204, [], b""
 
-    async def _change_later(self, change: Change) -> None:
+    async def _apply_later(self, change: Change) -> None:
         await trio.sleep(change.at_ms / MILLISECONDS_PER_SECOND)
         self.executor.apply(change)
         if change.draining is not None:
@@ -120,13 +120,13 @@
 
     async def _run(self, http: HttpStream, request: Message) -> Answer:
         executor = self.executor
-        if executor.must_shed():
+        if executor.should_shed():
             executor.counters.shed += 1
             return 503, [SHED], b""
-        name = request.find(b"bench-request") or UNNAMED
-        send = request.find(b"bench-send") or UNNAMED
-        if executor.must_fail():
-            executor.count_run(name, send)
+        name = request.find(b"bench-request") or MISSING_ID
+        send = request.find(b"bench-send") or MISSING_ID
+        if executor.should_fail():
+            executor.record_run(name, send)
             executor.counters.failed += 1
             return 500, _echo(name, request), b""
         attempt = request.find(b"bendwind-attempt")
@@ -147,8 +147,8 @@
             try:
                 if job.is_cancelled:
                     return 503, [SHED], b""
-                executor.count_run(name, send)
-                if not await executor.work(job, partial(_wait_closed, http.stream.socket)):
+                executor.record_run(name, send)
+                if not await executor.run_job(job, partial(_wait_closed, http.stream.socket)):
                     executor.counters.cancelled += 1
                     return 503, _echo(name, request), b""
                 size = int(request.find(b"bench-answer-bytes") or 0)
@@ -170,28 +170,28 @@
         keys = ("name", "service", "host", "port", "slots", "connections")
         body = {key: getattr(self.settings, key) for key in keys}
         body |= {"state": state, "born_ms": self.born_ms}
-        with trio.move_on_after(ANNOUNCE_EVERY_S):
+        with trio.move_on_after(ANNOUNCE_INTERVAL_S):
             try:
                 await send_json(node, "POST", "/v1/upstreams", body)
             except (OSError, HttpBrokenError):
                 return
 
-    async def keep_announcing(self) -> None:
+    async def announce_periodically(self) -> None:
         """Announce every second."""
         while True:
             await self.announce()
-            await trio.sleep(ANNOUNCE_EVERY_S)
+            await trio.sleep(ANNOUNCE_INTERVAL_S)
 
-    async def leave(self) -> None:
+    async def drain_and_withdraw(self) -> None:
         """Drain, wait for the requests in flight and withdraw the announcement."""
         self.executor.draining = True
         await self.announce()
-        with trio.move_on_after(DRAIN_LIMIT_S):
-            await trio.sleep(ANNOUNCE_EVERY_S)
+        with trio.move_on_after(DRAIN_TIMEOUT_S):
+            await trio.sleep(ANNOUNCE_INTERVAL_S)
             while self.executor.limiter.statistics().borrowed_tokens:
                 await trio.sleep(0.05)
         if self.executor.node:
-            with trio.move_on_after(ANNOUNCE_EVERY_S):
+            with trio.move_on_after(ANNOUNCE_INTERVAL_S):
                 try:
                     path = f"/v1/upstreams/{self.settings.name}"
                     await send_json(self.executor.node, "DELETE", path)
@@ -235,9 +235,9 @@
         listeners = await trio.open_tcp_listeners(settings.port, host=settings.host, backlog=512)
         task_status.started(listeners[0].socket.getsockname()[1])
         nursery.start_soon(trio.serve_listeners, stand_in.serve, listeners)
-        nursery.start_soon(stand_in.keep_announcing)
+        nursery.start_soon(stand_in.announce_periodically)
         with trio.open_signal_receiver(signal.SIGTERM) as signals:
             async for _ in signals:
-                await stand_in.leave()
+                await stand_in.drain_and_withdraw()
                 nursery.cancel_scope.cancel()
                 return
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/tests/test_stand_in.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/tests/test_stand_in.py
@@ -11,7 +11,7 @@
 from bendwind_bench.load import read_runs
 from bendwind_bench.upstream import Change, UpstreamSettings, run_upstream
 
-ENDLESS_MS = 600_000.0
+NEVER_ENDING_MS = 600_000.0
 
 
 class StandInTests(unittest.TestCase):
@@ -85,7 +85,10 @@
 
     def test_request_beyond_slots_and_queue_is_shed_unrun(self):
         async def main():
-            async with self.running(service_ms=ENDLESS_MS, slots=1, queue=1) as (pool, nursery):
+            async with self.running(service_ms=NEVER_ENDING_MS, slots=1, queue=1) as (
+                pool,
+                nursery,
+            ):
                 nursery.start_soon(self.call, pool, "r1")
                 await self.wait_in_flight(pool, 1)
                 nursery.start_soon(self.call, pool, "r2")
@@ -100,7 +103,7 @@
 
     def test_cancelled_attempt_ends_at_once(self):
         async def main():
-            async with self.running(service_ms=ENDLESS_MS) as (pool, nursery):
+            async with self.running(service_ms=NEVER_ENDING_MS) as (pool, nursery):
                 answers = []
 
                 async def call():
@@ -119,7 +122,7 @@
 
     def test_closed_connection_frees_its_slot(self):
         async def main():
-            async with self.running(service_ms=ENDLESS_MS, slots=1) as (pool, _):
+            async with self.running(service_ms=NEVER_ENDING_MS, slots=1) as (pool, _):
                 with trio.CancelScope() as scope:
                     async with trio.open_nursery() as calls:
                         calls.start_soon(self.call, pool)
@@ -135,7 +138,7 @@
 
     def test_deadline_passed_in_queue_is_shed_and_in_slot_is_not(self):
         async def main():
-            async with self.running(service_ms=ENDLESS_MS, slots=1) as (pool, nursery):
+            async with self.running(service_ms=NEVER_ENDING_MS, slots=1) as (pool, nursery):
                 first = await self.call(pool, "r1", Bendwind_Timeout_Ms=20)
                 self.assertEqual((first.status, first.find(b"bendwind-shed")), (504, ""))
                 nursery.start_soon(self.call, pool, "r2")
@@ -148,7 +151,7 @@
 
     def test_change_of_speed_reaches_requests_being_served(self):
         async def main():
-            async with self.running(service_ms=ENDLESS_MS) as (pool, _):
+            async with self.running(service_ms=NEVER_ENDING_MS) as (pool, _):
                 async with trio.open_nursery() as calls:
                     calls.start_soon(self.call, pool)
                     await self.wait_in_flight(pool, 1)
