--- a/packages/bendwind-bench/src/bendwind_bench/deployment/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""Offer deployments of real processes on loopback, and faults injected into them."""
+"""Provide deployments of real processes on loopback, and fault injection."""
 
 from bendwind_bench.deployment.description import (
     DeploymentDescription,
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/description.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/description.py
@@ -1,4 +1,4 @@
-"""Read what a deployment consists of from its TOML file."""
+"""Read the description of a deployment from its TOML file."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 
 class ServiceDescription(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """State a service and what each of its stand-in upstreams offers."""
+    """Describe a service and the capacity of each of its stand-in upstreams."""
 
     name: str
     upstreams: int
@@ -22,7 +22,7 @@
 
 
 class DeploymentDescription(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """State data centres, delays, services and the mix of requests that callers send."""
+    """Describe data centres, delays, services and the mix of requests that callers send."""
 
     name: str
     region: str
@@ -36,9 +36,9 @@
 
 
 def find_description(name: str) -> tuple[DeploymentDescription, Path]:
-    """Read the named example, or the file of this path, and the path of its intent.
+    """Return the description of a named example or of a TOML file, and the path of its intent.
 
-    Errors: raises msgspec.ValidationError naming the key that is wrong.
+    Errors: raises msgspec.ValidationError that names the invalid key.
     """
     file = Path(name) if name.endswith(".toml") else EXAMPLES / name / "deployment.toml"
     description = msgspec.toml.decode(file.read_bytes(), type=DeploymentDescription)
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/faults.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/faults.py
@@ -1,4 +1,4 @@
-"""Inject faults into a running deployment by schedule."""
+"""Inject faults into a running deployment on a schedule."""
 
 import enum
 import shutil
@@ -13,7 +13,7 @@
 
 
 class Action(enum.StrEnum):
-    """Name what a fault does to its target."""
+    """List the actions of a fault on its target."""
 
     KILL = "kill"
     FREEZE = "freeze"
@@ -25,7 +25,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Do something to the process or stand-in of this name at a time after the start."""
+    """Describe an action on the process or stand-in named `target`, `at_s` after the start."""
 
     at_s: Seconds
     action: Action
@@ -42,7 +42,7 @@
 
 
 async def inject_faults(deployment: Deployment, faults: list[Fault], report=None) -> None:
-    """Inject each fault at its time, counted from now, and report its label."""
+    """Inject each fault at its time, counted from now, and report its label when it starts."""
     start = trio.current_time()
     async with trio.open_nursery() as nursery:
         for fault in sorted(faults, key=lambda fault: fault.at_s):
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/layout.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/layout.py
@@ -1,4 +1,4 @@
-"""Place a deployment's processes on free loopback ports and write their settings files."""
+"""Assign free loopback ports to a deployment's processes and write their settings files."""
 
 import random
 import socket
@@ -11,14 +11,14 @@
 from bendwind_bench.upstream import UpstreamSettings
 
 HOST = "127.0.0.1"
-# Below the range that outgoing connections take their ports from, so that none takes the port of
-# a process which is being restarted.
+# Below the range of ephemeral ports, so that no outgoing connection takes the port of a process
+# that is being restarted.
 PORTS = range(15000, 32000)
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Hold one upstream, the node beside it, and the ports of both."""
+    """Hold one upstream, the node on its machine, and the ports of both."""
 
     name: str
     data_centre: str
@@ -31,17 +31,17 @@
 
     @property
     def callers_address(self) -> str:
-        """Return where callers reach the node."""
+        """Return the address of the node for callers."""
         return f"{HOST}:{self.callers}"
 
     @property
     def operators_address(self) -> str:
-        """Return where operators reach the node."""
+        """Return the address of the node for operators."""
         return f"{HOST}:{self.operators}"
 
     @property
     def upstream_address(self) -> str:
-        """Return where the stand-in listens."""
+        """Return the address on which the stand-in listens."""
         return f"{HOST}:{self.upstream.port}"
 
 
@@ -54,11 +54,11 @@
     members: tuple[Member, ...]
 
     def find(self, name: str) -> Member:
-        """Return the member whose instance or upstream has this name."""
+        """Return the member whose node or upstream has this name."""
         return next(item for item in self.members if name in (item.name, item.upstream.name))
 
     def list_serving(self, service: str) -> tuple[Member, ...]:
-        """Return the members whose upstream offers a service."""
+        """Return the members whose upstream serves a service."""
         return tuple(item for item in self.members if item.upstream.service == service)
 
     @property
@@ -73,7 +73,7 @@
 
 
 class _PortAllocator:
-    """Hand out ports that nobody listens on; each only once."""
+    """Allocate ports on which no process listens, each of them once."""
 
     def __init__(self):
         self.candidates = iter(random.sample(PORTS, len(PORTS)))
@@ -92,7 +92,7 @@
 
 
 def make_layout(description: DeploymentDescription, folder: Path, seed: int = 0) -> Layout:
-    """Place every upstream beside a node, in data centres by turns."""
+    """Create a node for every upstream and assign the pairs to data centres in turn."""
     ports = _PortAllocator()
     numbers = {centre: 0 for centre in description.data_centres}
     members: list[Member] = []
@@ -155,7 +155,7 @@
 
 
 def _format_keys(values: dict) -> str:
-    # A JSON text, number or truth value is the same in TOML.
+    # A JSON string, number or Boolean has the same form in TOML.
     return "".join(
         f"{key} = {msgspec.json.encode(value).decode()}\n" for key, value in values.items()
     )
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/process.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/process.py
@@ -1,4 +1,4 @@
-"""Start, signal and end one process."""
+"""Start, signal and end one child process."""
 
 import os
 import signal
@@ -9,12 +9,12 @@
 
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
-# Of the fields of /proc/PID/stat after the command: user time, system time, resident pages.
+# Indexes of fields in /proc/PID/stat after the command: user time, system time, resident pages.
 _USER, _SYSTEM, _RESIDENT = 11, 12, 21
 
 
 class Process:
-    """Own one process, its command and its log file."""
+    """Manage one process, its command and its log file."""
 
     def __init__(self, name: str, command: list[str], log: Path):
         self.name = name
@@ -33,23 +33,23 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process was started and has not ended."""
+        """Return whether the process was started and has not ended."""
         return self.popen is not None and self.popen.poll() is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process if it runs."""
+        """Send a signal to the process if it is running."""
         if self.is_running:
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once, even when it is frozen."""
+        """Kill the process, even if it is stopped by a signal."""
         self.is_expected_down = True
         if self.is_running:
             self.popen.kill()
             self.popen.wait()
 
     async def stop(self, timeout_s: float = 30.0) -> int | None:
-        """Ask the process to stop; return its exit code, or None if it had to be killed."""
+        """Send SIGTERM and return the exit code, or None if the process had to be killed."""
         self.is_expected_down = True
         self.signal(signal.SIGTERM)
         with trio.move_on_after(timeout_s):
@@ -60,7 +60,7 @@
         return None
 
     def cpu_seconds(self) -> float:
-        """Return the processor time taken so far."""
+        """Return the processor time used so far, in seconds."""
         fields = self._read_stat()
         return (int(fields[_USER]) + int(fields[_SYSTEM])) / CLOCK_TICKS
 
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
@@ -1,4 +1,4 @@
-"""Run a deployment's real processes on loopback and end them all."""
+"""Run the processes of a deployment on loopback and end all of them afterwards."""
 
 import contextlib
 import itertools
@@ -27,11 +27,11 @@
 
 
 class NotReadyError(Exception):
-    """Report a process that did not come up, with the end of its log."""
+    """Report a process that did not become ready, with the end of its log."""
 
 
 class Deployment:
-    """Own the processes of a layout; `direct` leaves the nodes out."""
+    """Manage the processes of a layout; with `direct` there are only upstreams, no nodes."""
 
     def __init__(self, layout: Layout, direct: bool):
         self.layout = layout
@@ -41,12 +41,12 @@
 
     @property
     def runs_files(self) -> list[Path]:
-        """Return the files in which the stand-ins note what they run."""
+        """Return the files in which the stand-ins record their runs."""
         return [Path(member.upstream.runs_file) for member in self.layout.members]
 
     @property
     def entries(self) -> list[str]:
-        """Return the callers' addresses of the nodes that are meant to be up."""
+        """Return the addresses for callers of all nodes except those that are down on purpose."""
         return [
             member.callers_address
             for member in self.layout.members
@@ -84,13 +84,13 @@
         return [*self.nodes.values(), *self.upstreams.values()]
 
     def find_process(self, name: str) -> Process:
-        """Return the process of this instance or upstream name."""
+        """Return the process of the node or upstream with this name."""
         return self.nodes.get(name) or self.upstreams[name]
 
     async def wait_ready(self, members: tuple[Member, ...] | None = None) -> None:
-        """Wait until stand-ins and nodes answer.
+        """Wait until the stand-ins and nodes answer.
 
-        Errors: raises NotReadyError when one ends or takes too long.
+        Errors: raises NotReadyError if a process ends or takes longer than READY_TIMEOUT_S.
         """
         for member in members or self.layout.members:
             upstream = self.upstreams[member.upstream.name]
@@ -110,7 +110,7 @@
         raise NotReadyError(f"{process.name} is not ready\n{tail}")
 
     async def wait_served(self, kinds: Sequence[RequestKind], timeout_s: float = 60.0) -> bool:
-        """Wait until a request of every kind is served at every node."""
+        """Return whether every node serves a request of every kind within the timeout."""
         with trio.move_on_after(timeout_s):
             for address in self.entries:
                 for kind in kinds:
@@ -119,18 +119,18 @@
         return False
 
     async def change(self, upstream: str, changes: list) -> None:
-        """Change the behaviour of a stand-in by a schedule that starts now."""
+        """Change the behaviour of a stand-in on a schedule that starts now."""
         member = self.layout.find(upstream)
         await send_json(member.upstream_address, "POST", "/.bench/changes", changes)
 
     async def read_counters(self, upstream: str) -> dict:
-        """Return what a stand-in counted."""
+        """Return the counters of a stand-in."""
         member = self.layout.find(upstream)
         answer = await send_json(member.upstream_address, "GET", "/.bench/counters")
         return msgspec.json.decode(answer.body)
 
     def kill_all(self) -> None:
-        """End every process that still runs."""
+        """Kill every process that is still running."""
         for process in self.list_processes():
             process.kill()
 
@@ -151,7 +151,7 @@
 
 @contextlib.asynccontextmanager
 async def run_deployment(description, direct: bool = False, seed: int = 0, ready: bool = True):
-    """Run a deployment's processes while the block lasts."""
+    """Run a deployment's processes for the duration of the context."""
     RUN_FOLDER.mkdir(exist_ok=True)
     folder = Path(tempfile.mkdtemp(prefix=f"{description.name}-", dir=RUN_FOLDER))
     deployment = Deployment(make_layout(description, folder, seed), direct)
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the experiments by name."""
+"""Provide the experiments by name."""
 
 from bendwind_bench.experiments.run import EXPERIMENTS, run_experiment
 
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/added_latency.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/added_latency.py
@@ -1,4 +1,4 @@
-"""Measure what a node adds to a call, by its own upstream and through another node."""
+"""Measure the latency that a node adds to a call, for its own upstream and through another node."""
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.deployment import Deployment, ServiceDescription
@@ -34,14 +34,14 @@
 
 
 def describe_solo(slots: int = 64, service_ms: float = 0.001):
-    """Describe three services of one upstream each, so that there are three nodes."""
+    """Describe three services with one upstream each, so that there are three nodes."""
     return describe_small_deployment(
         [ServiceDescription(name, 1, slots, 200, service_ms, 0.0) for name in SERVICES]
     )
 
 
 def find_addresses(deployment: Deployment) -> dict[str, str]:
-    """Return the address that each way of calling asks."""
+    """Return the address to which each path of a call sends its requests."""
     own, other = deployment.layout.members[:2]
     addresses = {"direct": own.upstream_address}
     if not deployment.direct:
@@ -50,7 +50,7 @@
 
 
 async def run_once(seed: int, direct: bool) -> Measurements:
-    """Measure the ways side by side."""
+    """Measure all paths concurrently."""
     measurements = Measurements()
     async with run_small_deployment(describe_solo(), INTENT, seed, direct) as deployment:
         addresses = find_addresses(deployment)
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/claims.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/claims.py
@@ -1,4 +1,4 @@
-"""Measure what a claim adds to a call, and how many a group can take."""
+"""Measure the latency that a claim adds to a call, and the rate of claims that a group sustains."""
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.experiments.added_latency import describe_solo
@@ -32,7 +32,7 @@
 
 
 async def run_once(seed: int, direct: bool) -> Measurements:
-    """Measure requests without and with keys, then rising rates of claims."""
+    """Measure requests without and with keys, then increasing rates of claims."""
     measurements = Measurements()
     steps = [("unkeyed", PLAIN, RATE), ("keyed", KEYED, RATE), ("resent", RESENT, RATE)]
     steps += [(f"keyed, {rate:.0f} a second", KEYED, rate) for rate in RATES]
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/fast_failure.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/fast_failure.py
@@ -1,4 +1,4 @@
-"""Measure what callers see of an upstream that fails fast."""
+"""Measure the errors that callers see while an upstream fails fast."""
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.experiments.phase_runner import (
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/measuring.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/measuring.py
@@ -1,4 +1,4 @@
-"""Measure what the nodes spend on measuring the load of upstreams."""
+"""Measure the cost to the nodes of measuring the load of upstreams."""
 
 import timeit
 from dataclasses import dataclass
@@ -32,7 +32,7 @@
 NORMAL_RATE = 20.0
 TIMES = (0.1, 1.0, 10.0)
 SECONDS = 8.0
-# Default of measuring.messages_per_s.
+# Default of the setting measuring.messages_per_s.
 BUDGET_PER_S = 20.0
 CHECKS = [
     Check("share of measuring at 0.1 times, %", "0.1x/share %", 1.0),
@@ -60,7 +60,7 @@
 
 
 def measure_message(message: PeerMessage) -> Cost:
-    """Measure a message encoded and decoded once."""
+    """Measure the size of a message and the time to encode and decode it once."""
     rounds = timeit.repeat(
         lambda: decode_message(encode_message(message)), number=REPEATS, repeat=ROUNDS
     )
@@ -68,7 +68,7 @@
 
 
 def measure_sample() -> Cost:
-    """Measure what a load sample adds to an answer."""
+    """Measure the cost that a load sample adds to an answer."""
     attempt = AttemptId("centre-1-1", 1_790_000_000_000, 123_456)
     bare = measure_message(NotRun(attempt, NotRunReason.SHED))
     with_sample = measure_message(NotRun(attempt, NotRunReason.SHED, SAMPLE))
@@ -76,7 +76,7 @@
 
 
 def measure_probe() -> Cost:
-    """Measure a probe or its answer, whose numbers are alike."""
+    """Measure the mean cost of a probe and its reply, which are equally frequent."""
     probe = measure_message(LoadProbe("status-1"))
     report = measure_message(LoadReport("status-1", "status", SAMPLE))
     return Cost((probe.size + report.size) / 2, (probe.cpu_ms + report.cpu_ms) / 2)
@@ -93,7 +93,7 @@
 
 
 async def run_once(seed: int, direct: bool) -> Measurements:
-    """Measure each multiple of the normal traffic once."""
+    """Measure each multiple of the normal rate once."""
     measurements = Measurements()
     sample = measure_sample()
     probe = measure_probe()
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/overload.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/overload.py
@@ -1,4 +1,4 @@
-"""Measure goodput and memory as the load grows to ten times what the upstreams can carry."""
+"""Measure goodput and memory as the load grows to ten times the capacity of the upstreams."""
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.deployment import ServiceDescription
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/phase_runner.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/phase_runner.py
@@ -1,4 +1,4 @@
-"""Run one phase of an experiment against a small deployment and measure it."""
+"""Run the phases of an experiment against a small deployment and measure them."""
 
 import contextlib
 from collections.abc import Sequence
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """Hold what one phase gave; samples of its first moments are left out."""
+    """Hold the results of one phase, without the samples of the first EXCLUDED_START_S."""
 
     samples: list[Sample]
     guarantees: GuaranteeReport
@@ -54,19 +54,19 @@
         }
 
     def select(self, address: str) -> "Phase":
-        """Return the part of the samples that one address took."""
+        """Return the phase with only the samples that were sent to one address."""
         own = [sample for sample in self.samples if sample.address == address]
         return replace(self, samples=own)
 
     @property
     def cpu_ms_per_call(self) -> float:
-        """Return the processor time that all nodes took, divided by the calls."""
+        """Return the processor time of all nodes, divided by the number of calls."""
         return self.node_cpu_s * MILLISECONDS_IN_SECOND / max(1, len(self.samples))
 
 
 @dataclass(slots=True)
 class Measurements:
-    """Collect the figures, plot panels and broken promises of one run."""
+    """Collect the figures, plot panels and violated guarantees of one run."""
 
     figures: dict[str, dict[str, float]] = field(default_factory=dict)
     panels: list[Panel] = field(default_factory=list)
@@ -75,7 +75,7 @@
     async def measure(
         self, deployment: Deployment, variant: str, campaign: Campaign, spans: Sequence[Span] = ()
     ) -> dict[str, float]:
-        """Run a phase, keep what it gave under the variant's name and return its figures."""
+        """Run a phase, record its results under the variant's name and return its figures."""
         phase = await run_phase(deployment, campaign)
         self.record_phase(variant, phase, spans)
         if deployment.nodes:
@@ -83,7 +83,7 @@
         return self.figures[variant]
 
     def record_phase(self, variant: str, phase: Phase, spans: Sequence[Span] = ()) -> None:
-        """Keep a phase's figures, samples and broken promises."""
+        """Record a phase's figures, samples and violated guarantees."""
         self.figures[variant] = phase.figures()
         self.panels.append(Panel(variant, phase.samples, spans))
         self.violations += phase.guarantees.violations
@@ -105,18 +105,21 @@
     direct: bool,
     kinds: Sequence[RequestKind] = (),
 ):
-    """Run a deployment with an intent in force, serving these kinds, while the block lasts."""
+    """Run a deployment for the duration of the context.
+
+    With nodes, the intent is in force and each kind of request is served before the context starts.
+    """
     async with run_deployment(description, direct, seed) as deployment:
         if not direct:
             await apply_intent(deployment, intent)
             any_kinds = [RequestKind(service.name, "/") for service in description.services]
             if not await deployment.wait_served([*any_kinds, *kinds]):
-                raise IntentRefusedError("a kind of request is not served")
+                raise IntentRefusedError("not every kind of request is served at every node")
         yield deployment
 
 
 async def measure_idle(deployment: Deployment, seconds: float) -> dict[str, float]:
-    """Return what the nodes spend on control alone, with no calls."""
+    """Return the resources that the nodes use without calls, for control alone."""
     await trio.sleep(SETTLE_S)
     before = _sum_cpu(deployment)
     await trio.sleep(seconds)
@@ -129,7 +132,7 @@
 
 
 async def run_phase(deployment: Deployment, campaign: Campaign) -> Phase:
-    """Send a load and measure what callers saw and what the nodes spent."""
+    """Send a load; measure the results that callers see and the resources that the nodes use."""
     await trio.sleep(SETTLE_S)
     cpu_before = _sum_cpu(deployment)
     peak = _PeakMemory(deployment)
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/run.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/run.py
@@ -1,4 +1,4 @@
-"""Repeat an experiment, write its result, plot and table, and rewrite the page."""
+"""Run an experiment several times, write its result, plot and table, and regenerate the page."""
 
 import importlib
 import os
@@ -23,7 +23,7 @@
 
 
 async def run_experiment(name: str, runs: int, seed: int, direct: bool) -> int:
-    """Run an experiment; the exit code is 1 when a promise was broken."""
+    """Run an experiment and return the exit code, which is 1 if a guarantee was violated."""
     module = importlib.import_module(f"bendwind_bench.experiments.{EXPERIMENTS[name]}")
     result = _begin(name, module, runs, seed)
     violations: list[str] = []
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/slowdown.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/slowdown.py
@@ -1,4 +1,4 @@
-"""Measure tail latency while one of four upstreams slows tenfold for moments."""
+"""Measure tail latency while one of four upstreams becomes ten times slower for short periods."""
 
 import random
 
@@ -44,7 +44,7 @@
 
 
 def write_intent(policy: str) -> str:
-    """Write the intent of the one service with a policy."""
+    """Return the intent of the one service with a policy."""
     hedge = f"hedge_after_ms = {HEDGE_AFTER * SERVICE_MS}\n" if policy == HEDGED else ""
     policy = "score" if policy == HEDGED else policy
     return (
@@ -54,7 +54,7 @@
 
 
 def draw_slowdowns(seed: int) -> list[Span]:
-    """Draw when which upstream is slow; the label is its name."""
+    """Draw the spans in which an upstream is slow; the label is the upstream's name."""
     rng = random.Random(seed)
     spans = []
     at_s = rng.uniform(0.5, 1.5)
@@ -66,7 +66,7 @@
 
 
 def make_campaign(policy: str, seed: int, **keys) -> Campaign:
-    """Make the load that every policy meets."""
+    """Return the campaign that sends the same load under every policy."""
     return Campaign(
         policy.replace(", ", "-").replace(" ", "-"), RATE, SECONDS, KINDS, seed=seed, **keys
     )
--- a/packages/bendwind-bench/src/bendwind_bench/experiments/throughput.py
+++ b/packages/bendwind-bench/src/bendwind_bench/experiments/throughput.py
@@ -1,4 +1,4 @@
-"""Measure how many calls a second one node carries and what each costs it."""
+"""Measure the throughput of one node and the processor time that each call costs it."""
 
 from bendwind_bench.campaign import Campaign
 from bendwind_bench.experiments.added_latency import INTENT, KINDS, describe_solo
--- a/packages/bendwind-bench/src/bendwind_bench/load/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/__init__.py
@@ -1,4 +1,4 @@
-"""Offer open-loop load: plans, the workers that send them, and the checks of what came back."""
+"""Provide open-loop load: plans, the workers that send them, and the checks of the answers."""
 
 from bendwind_bench.load.guarantees import GuaranteeReport, check_guarantees, read_runs
 from bendwind_bench.load.plan import LoadPlan, RequestKind, Send, schedule_sends
--- a/packages/bendwind-bench/src/bendwind_bench/load/guarantees.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/guarantees.py
@@ -1,4 +1,4 @@
-"""Check what callers were told against what the stand-ins ran."""
+"""Check the outcomes that callers received against the runs of the stand-ins."""
 
 import collections
 from collections.abc import Iterable
@@ -13,9 +13,10 @@
 
 @dataclass(slots=True)
 class GuaranteeReport:
-    """List the broken promises, each as one line.
+    """Hold the violated guarantees, each as one line.
 
-    `misleading` counts resends that were told not-run though an earlier send had run.
+    `doubled` counts by service the marked requests that ran more than once. `misleading_not_run`
+    counts sends that were answered not-run although another send of the request ran.
     """
 
     violations: list[str] = field(default_factory=list)
@@ -24,7 +25,7 @@
 
     @property
     def is_ok(self) -> bool:
-        """Tell whether every promise held."""
+        """Return whether no guarantee was violated."""
         return not self.violations
 
 
@@ -42,7 +43,11 @@
 
 
 def check_guarantees(samples: list[Sample], runs: RunCounts) -> GuaranteeReport:
-    """Check that not-run requests never ran, marked ones ran once at most, answers were own."""
+    """Check the guarantees given to callers.
+
+    A send answered not-run never ran, a marked request ran once at most, and every answer was the
+    request's own and came from a run.
+    """
     guarantees = GuaranteeReport()
     totals = RunCounts()
     for (request, _), count in runs.items():
@@ -66,9 +71,9 @@
         guarantees.violations.append(f"{name} got {sample.reason}")
     if sample.outcome is Outcome.NOT_RUN and own_runs:
         guarantees.violations.append(
-            f"{name} was told not-run ({sample.reason}) but ran {own_runs} times"
+            f"{name} was answered not-run ({sample.reason}) but ran {own_runs} times"
         )
     if sample.outcome is Outcome.NOT_RUN and totals[sample.request] > own_runs:
         guarantees.misleading_not_run += 1
     if sample.outcome is Outcome.WHOLE and not totals[sample.request]:
-        guarantees.violations.append(f"{name} got an answer though no upstream ran it")
+        guarantees.violations.append(f"{name} got an answer although no upstream ran it")
--- a/packages/bendwind-bench/src/bendwind_bench/load/plan.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/plan.py
@@ -1,4 +1,4 @@
-"""Fix every request of a load before it starts, from a seed."""
+"""Schedule every request of a load before it starts, from a seed."""
 
 import random
 
@@ -10,8 +10,8 @@
 class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Describe one kind of request and its weight in the mix.
 
-    A `marked` request must not be repeated. A `keyed` one carries an Idempotency-Key, and a share
-    `resend` of these is sent again with the same key. `addresses` take it in place of the plan's.
+    A `marked` request must not be run twice. A `keyed` one carries an Idempotency-Key, and a share
+    `resend` of these is sent again with the same key. `addresses` replace those of the plan.
     """
 
     service: str
@@ -28,10 +28,10 @@
 
 
 class LoadPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """State a load: when it starts, its rate, its mix and the addresses that take it.
+    """Describe a load: its start, its rate, its mix of requests and the addresses that receive it.
 
     `start_at` is wall-clock time in seconds since 1970. `direct` maps a service to the addresses
-    of its upstreams, which then take its requests in turn in place of the `entries`.
+    of its upstreams, which then receive its requests, drawn at random, instead of the `entries`.
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Plan one sending of a request; a resend has the request's name and its own `number`."""
+    """Hold one scheduled send; a resend has the id of the request and a `number` of its own."""
 
     at_s: Seconds
     request: str
@@ -63,7 +63,7 @@
 
 
 def schedule_sends(plan: LoadPlan) -> list[Send]:
-    """Draw all sends of a plan in order of time, with Poisson arrivals."""
+    """Draw all sends of a plan, sorted by time, with Poisson arrivals."""
     rng = random.Random(f"{plan.name} {plan.seed}")
     weights = [kind.weight for kind in plan.kinds]
     sends = []
--- a/packages/bendwind-bench/src/bendwind_bench/load/sample.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/sample.py
@@ -1,4 +1,4 @@
-"""Describe what became of one send, as its caller saw it."""
+"""Define the result of one send, as its caller saw it."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Classify what the caller was told."""
+    """List the outcomes that a caller sees."""
 
     WHOLE = "whole"
     FAILED = "failed"
@@ -19,9 +19,9 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """Record one send; latency counts from the time the plan gave it.
+    """Hold the result of one send; its latency counts from the send time in the plan.
 
-    Units: `late_ms` is the part of the latency by which the load tool itself was late.
+    Units: `late_ms` is the part of the latency by which the load generator itself was late.
     """
 
     at_s: Seconds
--- a/packages/bendwind-bench/src/bendwind_bench/load/tests/test_load.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/tests/test_load.py
@@ -25,11 +25,11 @@
 
 
 class ScheduleTests(unittest.TestCase):
-    def test_same_seed_gives_same_sends_and_another_seed_others(self):
+    def test_sends_depend_only_on_seed(self):
         self.assertEqual(schedule_sends(make_plan(seed=1)), schedule_sends(make_plan(seed=1)))
         self.assertNotEqual(schedule_sends(make_plan(seed=1)), schedule_sends(make_plan(seed=2)))
 
-    def test_only_keyed_requests_are_sent_again_under_one_name(self):
+    def test_only_keyed_requests_are_resent_with_the_same_id(self):
         sends = schedule_sends(make_plan())
         numbers = collections.Counter(send.request for send in sends)
         kinds = {send.request: KINDS[send.kind] for send in sends}
@@ -39,11 +39,11 @@
         self.assertEqual(sends, sorted(sends, key=lambda send: send.at_s))
 
 
-class VerdictTests(unittest.TestCase):
+class GuaranteeTests(unittest.TestCase):
     def count_violations(self, samples, runs):
         return len(check_guarantees(samples, collections.Counter(runs)).violations)
 
-    def test_kept_promises_pass(self):
+    def test_kept_guarantees_give_no_violation(self):
         samples = [
             make_sample(Outcome.WHOLE),
             make_sample(Outcome.UNKNOWN, number=1),
@@ -52,10 +52,10 @@
         ]
         self.assertEqual(self.count_violations(samples, {("r1", 0): 1}), 0)
 
-    def test_not_run_that_ran_is_broken(self):
+    def test_not_run_request_that_ran_is_a_violation(self):
         self.assertEqual(self.count_violations([make_sample(Outcome.NOT_RUN)], {("r1", 0): 1}), 1)
 
-    def test_marked_request_run_under_two_sends_is_broken(self):
+    def test_marked_request_run_by_two_sends_is_a_violation(self):
         samples = [make_sample(Outcome.WHOLE), make_sample(Outcome.WHOLE, number=1)]
         self.assertEqual(self.count_violations(samples, {("r1", 0): 1, ("r1", 1): 1}), 1)
 
@@ -64,11 +64,11 @@
             self.count_violations([make_sample(Outcome.WHOLE, marked=False)], {("r1", 0): 2}), 0
         )
 
-    def test_wrong_answer_and_answer_from_nowhere_are_broken(self):
+    def test_wrong_answer_and_answer_without_run_are_violations(self):
         self.assertEqual(self.count_violations([make_sample(Outcome.BROKEN)], {("r1", 0): 1}), 1)
         self.assertEqual(self.count_violations([make_sample(Outcome.WHOLE)], {}), 1)
 
-    def test_resend_told_not_run_after_the_first_ran_is_counted_as_misleading(self):
+    def test_not_run_answer_to_resend_after_first_send_ran_is_misleading(self):
         samples = [make_sample(Outcome.WHOLE), make_sample(Outcome.NOT_RUN, number=1)]
         guarantees = check_guarantees(samples, collections.Counter({("r1", 0): 1}))
         self.assertEqual((guarantees.is_ok, guarantees.misleading_not_run), (True, 1))
--- a/packages/bendwind-bench/src/bendwind_bench/load/worker.py
+++ b/packages/bendwind-bench/src/bendwind_bench/load/worker.py
@@ -1,4 +1,4 @@
-"""Send a planned load at its planned times and record what came back."""
+"""Send a planned load at its scheduled times and record the results."""
 
 import contextlib
 import time
@@ -25,25 +25,25 @@
 
 
 def classify(send: Send, request_body: bytes, answer: Message) -> tuple[Outcome, str]:
-    """Tell the outcome of an answer and, where it has one, the reason."""
+    """Return the outcome of an answer and its reason, which may be empty."""
     outcome = answer.find(b"bendwind-outcome")
     if outcome:
         return _OUTCOMES.get(outcome, Outcome.BROKEN), answer.find(b"bendwind-reason") or outcome
     if answer.find(b"bendwind-shed") == "not-run":
         return Outcome.NOT_RUN, "shed by the upstream"
     if answer.find(b"bench-request") != send.request:
-        return Outcome.BROKEN, f"answer to {answer.find(b'bench-request') or 'nobody'}"
+        return Outcome.BROKEN, f"answer to request {answer.find(b'bench-request') or '(none)'}"
     if answer.find(b"bench-body-crc") != str(zlib.crc32(request_body)):
-        return Outcome.BROKEN, "the upstream read another body"
+        return Outcome.BROKEN, "the upstream received a different body"
     if answer.status != 200:
         return Outcome.FAILED, f"status {answer.status}"
     if answer.body != make_body(send.request, send.answer_bytes):
-        return Outcome.BROKEN, "another body"
+        return Outcome.BROKEN, "unexpected answer body"
     return Outcome.WHOLE, ""
 
 
 class Worker:
-    """Own the connections and the samples of one load process."""
+    """Send the load of one process; hold its connections and samples."""
 
     def __init__(self, plan: LoadPlan):
         self.plan = plan
@@ -55,14 +55,16 @@
         self.started = 0.0
 
     async def run(self) -> list[Sample]:
-        """Send everything and return the samples in order of completion."""
+        """Send all requests and return the samples in order of completion."""
         sends = schedule_sends(self.plan)
         self.started = trio.current_time() + self.plan.start_at - time.time()
         async with trio.open_nursery() as nursery:
             for send in sends:
                 await _wait_until(self.started + send.at_s)
                 if self.in_flight >= self.plan.most_open:
-                    self._record(send, Outcome.UNKNOWN, _NO_ANSWER, "not sent: too many open")
+                    self._record(
+                        send, Outcome.UNKNOWN, _NO_ANSWER, "not sent: too many requests in flight"
+                    )
                     continue
                 self.in_flight += 1
                 nursery.start_soon(self._send, send)
@@ -111,7 +113,7 @@
         return await self.pools[last].request(kind.method, kind.path, headers, body)
 
     def _list_addresses(self, send: Send, kind: RequestKind) -> list[str]:
-        # A caller that can open no connection goes on to the next address: nothing was sent.
+        # A caller that cannot connect tries the next address, which is safe since nothing was sent.
         known = kind.addresses or self.plan.direct.get(kind.service) or self.plan.entries
         first = known.index(send.address)
         return (known[first:] + known[:first])[:MAX_ADDRESSES]
@@ -138,7 +140,7 @@
 
 
 async def _wait_until(time_s: float) -> None:
-    # Timers of the event loop end on whole milliseconds, so the last stretch is spent looking.
+    # Timers of the event loop have a resolution of a millisecond, so the rest is a busy wait.
     await trio.sleep_until(time_s - TIMER_RESOLUTION_S)
     while trio.current_time() < time_s:
         await trio.lowlevel.checkpoint()
--- a/packages/bendwind-bench/src/bendwind_bench/losses/runs.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/runs.py
@@ -34,7 +34,7 @@
 def find_outer_request(request: str) -> str:
     """Return the id of the request that an inner call belongs to, empty for other calls.
 
-    >>> find_outer("5f3c.a1")
+    >>> find_outer_request("5f3c.a1")
     '5f3c'
     """
     return request.rpartition(_SEPARATOR)[0]
--- a/packages/bendwind-bench/src/bendwind_bench/reports/latency.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/latency.py
@@ -14,7 +14,7 @@
 
 
 class LatencySummary(msgspec.Struct, frozen=True):
-    """Hold counts by outcome and the latencies of whole answers."""
+    """Hold the number of sends by outcome and the latencies of whole answers."""
 
     sends: int
     outcomes: dict[str, int]
@@ -26,7 +26,7 @@
 
 
 def summarize_latency(latencies_ms: list[Milliseconds]) -> list[Milliseconds]:
-    """Return the 50th, 90th, 99th and 99.9th percentile and the maximum."""
+    """Return the 50th, 90th, 99th and 99.9th percentiles and the maximum."""
     from hdrh.histogram import HdrHistogram
 
     histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
@@ -37,7 +37,7 @@
 
 
 def summarize(samples: list[Sample]) -> LatencySummary:
-    """Summarize samples; latencies are those of whole answers."""
+    """Summarize samples; only whole answers count for latencies."""
     outcomes = collections.Counter(str(sample.outcome) for sample in samples)
     whole = [sample.latency_ms for sample in samples if sample.outcome is Outcome.WHOLE]
     return LatencySummary(len(samples), dict(outcomes), *summarize_latency(whole))
--- a/packages/bendwind-bench/src/bendwind_bench/reports/number.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/number.py
@@ -1,8 +1,8 @@
-"""Write figures for pages."""
+"""Format figures for pages."""
 
 
 def format_number(value: float) -> str:
-    """Write a figure with three significant digits.
+    """Format a figure with three significant digits; larger integer parts are kept whole.
 
     >>> format_number(0.012345), format_number(1234.5), format_number(0.0)
     ('0.0123', '1234', '0')
--- a/packages/bendwind-bench/src/bendwind_bench/reports/page.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/page.py
@@ -1,4 +1,4 @@
-"""Rewrite the page of measurements from the results, so that no figure is typed by hand."""
+"""Generate the page of measurements from the results, so that no figure is typed by hand."""
 
 import statistics
 from pathlib import Path
@@ -17,13 +17,13 @@
 
 
 def write_page() -> None:
-    """Write the page from every result there is."""
+    """Write the page from all stored results."""
     parts = [_HEADER, *(_format_result(result) for result in read_results())]
     PAGE.write_text("\n".join(parts))
 
 
 def print_result(result: Result) -> None:
-    """Print the medians of the runs so far."""
+    """Print the medians and checks of the runs so far."""
     print("\n".join([*_format_medians(result), "", *_format_checks(result)]), flush=True)
 
 
--- a/packages/bendwind-bench/src/bendwind_bench/reports/plot.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/plot.py
@@ -1,4 +1,4 @@
-"""Plot latency over time with the faults marked."""
+"""Plot latency over time, with the faults marked."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """Mark the time during which a fault lasted."""
+    """Hold the time during which a fault lasted."""
 
     start_s: Seconds
     end_s: Seconds
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Panel:
-    """Hold one part of a plot: samples and the faults during them."""
+    """Hold one panel of a plot: its samples and the faults during them."""
 
     title: str
     samples: list[Sample]
@@ -37,7 +37,7 @@
 
 
 def write_plot(panels: list[Panel], file: Path) -> None:
-    """Draw the panels one above the other, on the same axes, into a PNG file."""
+    """Plot the panels one above the other, on the same axes, to a PNG file."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/packages/bendwind-bench/src/bendwind_bench/reports/result.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/result.py
@@ -1,4 +1,4 @@
-"""Hold an experiment's measured figures and what they are held against."""
+"""Store an experiment's measured figures and the checks that apply to them."""
 
 import statistics
 from pathlib import Path
@@ -6,16 +6,16 @@
 import msgspec
 
 FOLDER = Path("docs/measurements")
-# Written by the measurements behind docs/CAPACITY.md.
+# Written by the measurements behind docs/CAPACITY.md, which are no experiments.
 _NOT_EXPERIMENTS = frozenset({"capacity.json"})
 
 Figures = dict[str, dict[str, float]]
 
 
 class Check(msgspec.Struct, frozen=True):
-    """Compare a figure, or its ratio to another, with what it should reach.
+    """Compare a figure, or its ratio to another figure, with a limit.
 
-    A figure is named `variant/metric`.
+    A figure is named `variant/metric`. The limit is a minimum with `at_least`, else a maximum.
     """
 
     text: str
@@ -25,7 +25,7 @@
     at_least: bool = False
 
     def measure(self, figures: Figures) -> float | None:
-        """Return the value in one run, or None where it was not measured."""
+        """Return the value in one run, or None if it was not measured."""
         value = _find(figures, self.figure)
         if not self.divided_by or value is None:
             return value
@@ -33,12 +33,12 @@
         return value / divisor if divisor else None
 
     def is_reached(self, value: float) -> bool:
-        """Tell whether a value is as good as it should be."""
+        """Return whether a value satisfies the limit."""
         return value >= self.limit if self.at_least else value <= self.limit
 
 
 class Result(msgspec.Struct):
-    """Hold everything that one experiment measured."""
+    """Hold the measurements of one experiment and the conditions of its runs."""
 
     name: str
     title: str
@@ -53,7 +53,7 @@
     notes: list[str] = []
 
     def medians(self) -> Figures:
-        """Return the median of each figure over the runs that have it."""
+        """Return the median of each figure over the runs that contain it."""
         return {
             variant: {
                 metric: statistics.median(_values(self.runs, variant, metric))
@@ -63,7 +63,7 @@
         }
 
     def check_values(self, check: Check) -> list[float]:
-        """Return what a check measured in each run."""
+        """Return the value of a check in each run that has one."""
         return [value for run in self.runs if (value := check.measure(run)) is not None]
 
 
@@ -85,7 +85,7 @@
 
 
 def write_result(result: Result) -> Path:
-    """Write a result beside the plots."""
+    """Write a result as JSON to the folder of the plots."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     file = FOLDER / f"{result.name}.json"
     file.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
@@ -93,6 +93,6 @@
 
 
 def read_results() -> list[Result]:
-    """Read every result that was written, by name."""
+    """Read all stored results, sorted by name."""
     files = sorted(file for file in FOLDER.glob("*.json") if file.name not in _NOT_EXPERIMENTS)
     return [msgspec.json.decode(file.read_bytes(), type=Result) for file in files]
--- a/packages/bendwind-bench/src/bendwind_bench/reports/table.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/table.py
@@ -1,4 +1,4 @@
-"""Lay out results as text tables."""
+"""Format results as text tables."""
 
 from bendwind_bench.load import GuaranteeReport, Outcome, Sample
 from bendwind_bench.reports.latency import summarize
@@ -18,7 +18,7 @@
 
 
 def format_table(header: list[str], rows: list[list[str]]) -> str:
-    """Lay out rows under a header, text to the left and numbers to the right.
+    """Format rows under a header, the first column aligned left and the others right.
 
     >>> print(format_table(["a", "n"], [["x", "10"]]))
     a   n
@@ -34,7 +34,7 @@
 
 
 def format_summary_table(samples: list[Sample], guarantees: GuaranteeReport) -> str:
-    """Lay out one row per service: calls, latencies, outcomes and doubled runs."""
+    """Format one row per service: calls, latencies, outcomes and requests that ran twice."""
     services = sorted({sample.service for sample in samples})
     rows = [_format_summary_row(service, samples, guarantees) for service in services]
     return format_table(SUMMARY_HEADER, rows)
--- a/packages/bendwind-bench/src/bendwind_bench/reports/tests/test_reports.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/tests/test_reports.py
@@ -10,7 +10,7 @@
 
 
 class SummaryTests(unittest.TestCase):
-    def test_latencies_are_those_of_whole_answers(self):
+    def test_latencies_include_only_whole_answers(self):
         samples = [make_sample(float(ms)) for ms in range(1, 101)]
         summary = summarize([*samples, make_sample(9000.0, Outcome.UNKNOWN)])
         self.assertEqual(summary.outcomes, {"whole": 100, "unknown": 1})
@@ -27,7 +27,7 @@
         result = self.make([{"a": {"p99": 1.0}}, {"a": {"p99": 9.0}}, {"a": {"p99": 2.0}}, {}])
         self.assertEqual(result.medians(), {"a": {"p99": 2.0}})
 
-    def test_ratio_is_taken_within_each_run(self):
+    def test_ratio_is_computed_within_each_run(self):
         check = Check("a / b", "a/p99", 0.5, "b/p99")
         runs = [{"a": {"p99": 1.0}, "b": {"p99": 2.0}}, {"a": {"p99": 9.0}, "b": {"p99": 3.0}}]
         values = self.make(runs, check).check_values(check)
--- a/packages/bendwind-bench/src/bendwind_bench/tests/test_end_to_end.py
+++ b/packages/bendwind-bench/src/bendwind_bench/tests/test_end_to_end.py
@@ -35,7 +35,7 @@
 
 
 class EndToEndTests(unittest.TestCase):
-    def test_promises_hold_while_a_node_is_killed(self):
+    def test_guarantees_hold_while_a_node_is_killed(self):
         async def main():
             service = ServiceDescription("emisor", 3, 8, 50, 5.0)
             async with run_small_deployment(
@@ -60,7 +60,7 @@
 
         samples, guarantees, counters = trio.run(main)
         self.assertEqual(guarantees.violations, [])
-        # A request that waits at an upstream was sent beyond its slots.
+        # A request waits at an upstream only if it was sent beyond the upstream's slots.
         self.assertEqual([item["most_waiting"] for item in counters], [0, 0, 0])
         self.assertTrue(all(item["most_connections"] <= 50 for item in counters))
         whole = collections.Counter(
--- a/packages/bendwind-bench/src/bendwind_bench/tests/test_limits_of_several_nodes.py
+++ b/packages/bendwind-bench/src/bendwind_bench/tests/test_limits_of_several_nodes.py
@@ -1,7 +1,8 @@
-"""Have an upstream that names a limit be called through several real nodes.
+"""Test that several real nodes respect the rate limit that an upstream announces.
 
-Its owner node is killed and started again, and its announcements move to another node, while all
-offer ten times as much. An owner that had just started knew nothing of the limit.
+The owner node of the upstream is killed and restarted, and then the upstream announces itself to
+another node, while all nodes together receive ten times the limit. This guards against the failure
+that a newly started owner does not know the limit and exceeds it.
 """
 
 import contextlib
@@ -28,17 +29,17 @@
 """
 LIMIT_PER_S = 5.0
 OFFERED_PER_S = 50.0
-# What callers are to get of all that the limit allows, while nothing is at fault.
+# Minimum share of the rate limit that must be served while no fault is in progress.
 MIN_SERVED_SHARE = 0.85
 SETTLE_S = 4.0
 MEASURE_S = 6.0
-# A machine that does much else takes longer to start a process and to let leases end.
+# On a busy machine, the start of a process and the expiry of leases take longer.
 MAX_MEASUREMENTS = 5
 KIND = RequestKind("emisor", "/records/1")
 
 
 class SeveralNodesTest(unittest.TestCase):
-    def test_limit_is_kept_and_used_through_a_restart_and_a_change_of_its_owner(self):
+    def test_limit_is_respected_and_used_after_restart_and_change_of_owner(self):
         trio.run(self.run_through_owner_changes)
 
     async def run_through_owner_changes(self):
@@ -70,7 +71,7 @@
             self.assertGreaterEqual(per_second, MIN_SERVED_SHARE * LIMIT_PER_S)
 
     async def send_requests(self, deployment, number):
-        """Call through one of the nodes, at a third of the whole rate."""
+        """Send requests through one of the nodes, at a third of the total rate."""
         address = deployment.layout.members[number].callers_address
         async with trio.open_nursery() as nursery:
             while True:
@@ -84,7 +85,7 @@
         pool.close()
 
     async def find_served(self, deployment):
-        """Return what is served in the first span in which that is enough, or in the last one."""
+        """Return the rate of the first measurement that is high enough, or of the last one."""
         for _ in range(MAX_MEASUREMENTS):
             per_second = await self.measure(deployment)
             if per_second >= MIN_SERVED_SHARE * LIMIT_PER_S:
@@ -92,7 +93,7 @@
         return per_second
 
     async def measure(self, deployment):
-        """Return how many requests a second the upstream runs."""
+        """Return the number of requests that the upstream runs per second."""
         before, started_at = await deployment.read_counters("emisor-1"), trio.current_time()
         await trio.sleep(MEASURE_S)
         after, span = await deployment.read_counters("emisor-1"), trio.current_time() - started_at
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
@@ -1,4 +1,4 @@
-"""Serve requests in a bounded number of slots, at a speed that the bench changes."""
+"""Run requests in a bounded number of slots, at a speed that the benchmark can change."""
 
 import math
 import os
@@ -22,7 +22,7 @@
     ends_at: float = 0.0
 
     def cancel(self) -> None:
-        """Give the request up."""
+        """Cancel the request."""
         self.is_cancelled = True
         self.scope.cancel()
 
@@ -44,7 +44,7 @@
 
 
 class Executor:
-    """Own the slots of a stand-in, its jobs and its present behaviour."""
+    """Manage the slots of a stand-in, its jobs and its current behaviour."""
 
     def __init__(self, settings: UpstreamSettings):
         self.settings = settings
@@ -67,13 +67,13 @@
         self.runs_file = os.open(settings.runs_file, flags) if settings.runs_file else None
 
     def record_arrival(self) -> None:
-        """Count a request against the limit, and against having said that it leaves."""
+        """Count a request for the rate limit, and those that arrive after the leaving notice."""
         self.limit.note_arrival(trio.current_time())
         self.counters.limit_worst = self.limit.worst
         self.counters.while_leaving += self.is_leaving
 
     def should_shed(self) -> bool:
-        """Tell whether a request that arrives now is refused unrun."""
+        """Return whether a request that arrives now is refused without being run."""
         statistics = self.limiter.statistics()
         is_full = statistics.tasks_waiting >= self.settings.queue
         if statistics.borrowed_tokens >= statistics.total_tokens:
@@ -82,17 +82,17 @@
         return is_full or self.rng.random() < self.shed_share
 
     def should_fail(self) -> bool:
-        """Tell whether a request that arrives now fails at once."""
+        """Return whether a request that arrives now fails immediately."""
         return self.rng.random() < self.fail_share
 
     def record_run(self, request: str, send: str) -> None:
-        """Note that a request is run; the line outlives the death of the process."""
+        """Record that a request is run; the written line survives the end of the process."""
         self.counters.runs += 1
         if self.runs_file is not None:
             os.write(self.runs_file, f"{request} {send}\n".encode())
 
     def draw_service_time(self) -> float:
-        """Draw a service time in seconds at normal speed."""
+        """Draw a random service time in seconds, at normal speed."""
         sigma = self.settings.spread
         mean = self.settings.service_ms / MILLISECONDS_PER_SECOND
         service_time = self.rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
@@ -104,7 +104,7 @@
         )
 
     async def run_job(self, job: Job, wait_closed) -> bool:
-        """Take a drawn time for the job and tell whether it ended undisturbed."""
+        """Occupy the slot for a drawn service time; return whether the job was not cancelled."""
         end = trio.current_time() + self.draw_service_time() * self.factor
         job.ends_at = job.scope.deadline = end
         self.serving.add(job)
@@ -118,7 +118,7 @@
         return not job.is_cancelled
 
     def apply(self, change: Change) -> None:
-        """Put a change of behaviour into force."""
+        """Apply a change of behaviour."""
         if change.factor is not None:
             self._set_factor(change.factor)
         if change.fail_share is not None:
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/settings.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/settings.py
@@ -1,4 +1,4 @@
-"""Define the settings of a stand-in upstream and the changes a bench makes to its behaviour."""
+"""Define the settings of a stand-in upstream and the changes that a benchmark makes to it."""
 
 from pathlib import Path
 
@@ -8,9 +8,9 @@
 
 
 class UpstreamSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """State what a stand-in offers and how it behaves at its start.
+    """Hold the capacity of a stand-in and its initial behaviour.
 
-    `node` is the address of the node beside it; empty to announce to nobody.
+    `node` is the address of the node to which it announces itself; if empty, it does not announce.
     `spread` is the sigma of the log-normal service time, whose mean is `service_ms`.
     """
 
@@ -31,12 +31,14 @@
 
 
 class Change(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Change a stand-in's behaviour at a time after the request; a field left out stays as it is.
-
-    `factor` multiplies service times, also of requests being served. `noisy_slots` are taken by a
-    neighbour. `reported_in_flight` is a lie told in place of the true load; below 0 ends the lie.
-    `rate_limit` is named in each answer, in requests a second; below 0 ends it. With `leaving` each
-    answer says that the stand-in leaves. `node` is whom it announces itself to from then on.
+    """Describe a change of a stand-in's behaviour; a field left out keeps its value.
+
+    `at_ms` is the delay after the control request. `factor` multiplies service times, also those of
+    requests being served. `noisy_slots` are slots lost to a noisy neighbour. `reported_in_flight`
+    is a false value reported instead of the true load; a negative value ends this. `rate_limit` is
+    announced in each answer, in requests per second; a negative value ends this. With `leaving`
+    each answer announces that the stand-in leaves. `node` is the address to which it announces
+    itself from then on.
     """
 
     at_ms: Milliseconds = 0.0
@@ -55,6 +57,6 @@
 def read_upstream_settings(file: Path) -> UpstreamSettings:
     """Read a stand-in's settings from TOML.
 
-    Errors: raises msgspec.ValidationError naming the key that is wrong.
+    Errors: raises msgspec.ValidationError that names the invalid key.
     """
     return msgspec.toml.decode(file.read_bytes(), type=UpstreamSettings)
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/stand_in.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/stand_in.py
@@ -1,4 +1,4 @@
-"""Run a stand-in upstream: HTTP, the upstream protocol and the bench's control requests."""
+"""Run a stand-in upstream: HTTP, the upstream protocol and the benchmark's control requests."""
 
 import signal
 import socket
@@ -28,7 +28,7 @@
 
 
 def make_body(request: str, size: int) -> bytes:
-    """Make the body that answers a request, so that its sender can tell it from any other.
+    """Return the body for a request; it contains the request's id, so that mix-ups are detected.
 
     >>> make_body("r7", 5)
     b'r7.r7'
@@ -38,7 +38,7 @@
 
 
 class StandIn:
-    """Own the listening socket, the connections and the announcements of a stand-in."""
+    """Serve the connections of a stand-in and announce it to its node."""
 
     def __init__(self, settings: UpstreamSettings):
         self.settings = settings
@@ -80,7 +80,7 @@
         return await _send_answer(http, request, answer)
 
     def _make_notice(self) -> list[tuple[bytes, bytes]]:
-        """Say what the stand-in takes and whether it leaves, as any of its answers does."""
+        """Return the headers with the rate limit and the leaving notice, sent with every answer."""
         limit = self.executor.limit.per_second
         notice = [] if limit is None else [(RATE_LIMIT, f"{limit:g}".encode())]
         return [*notice, (LEAVING, b"1")] if self.executor.is_leaving else notice
@@ -162,7 +162,7 @@
         return 504, _echo(name, request), b""
 
     async def announce(self) -> None:
-        """Tell the node beside this upstream of it; a node that is away is asked again later."""
+        """Announce the stand-in to its node; if the node is unreachable, the next call retries."""
         node = self.executor.node
         if not node:
             return
@@ -177,7 +177,7 @@
                 return
 
     async def announce_periodically(self) -> None:
-        """Announce every second."""
+        """Announce the stand-in every ANNOUNCE_INTERVAL_S."""
         while True:
             await self.announce()
             await trio.sleep(ANNOUNCE_INTERVAL_S)
@@ -228,7 +228,7 @@
 
 
 async def run_upstream(settings: UpstreamSettings, task_status=trio.TASK_STATUS_IGNORED) -> None:
-    """Run a stand-in until SIGTERM, then drain and leave."""
+    """Run a stand-in until SIGTERM, then drain it and withdraw its announcement."""
     stand_in = StandIn(settings)
     async with trio.open_nursery() as nursery:
         stand_in.nursery = nursery
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/tests/test_stand_in.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/tests/test_stand_in.py
@@ -54,7 +54,7 @@
     def runs(self):
         return {key: count for key, count in read_runs([self.runs_file]).items()}
 
-    def test_changed_stand_in_says_in_its_answers_what_it_takes_and_that_it_leaves(self):
+    def test_answers_carry_rate_limit_and_leaving_notice_after_change(self):
         async def main():
             async with self.running(service_ms=0.1) as (pool, _):
                 self.assertFalse((await self.call(pool)).find(b"bendwind-rate-limit"))
@@ -69,7 +69,7 @@
 
         trio.run(main)
 
-    def test_answer_echoes_request_whole_and_chunked(self):
+    def test_answer_echoes_request_with_and_without_chunked_encoding(self):
         async def main():
             async with self.running(service_ms=0.1) as (pool, _):
                 for chunked in (0, 1):
@@ -83,7 +83,7 @@
 
         trio.run(main)
 
-    def test_request_beyond_slots_and_queue_is_shed_unrun(self):
+    def test_request_beyond_slots_and_queue_is_shed_without_running(self):
         async def main():
             async with self.running(service_ms=NEVER_ENDING_MS, slots=1, queue=1) as (
                 pool,
@@ -101,7 +101,7 @@
 
         trio.run(main)
 
-    def test_cancelled_attempt_ends_at_once(self):
+    def test_cancelled_attempt_ends_immediately(self):
         async def main():
             async with self.running(service_ms=NEVER_ENDING_MS) as (pool, nursery):
                 answers = []
@@ -136,7 +136,7 @@
 
         trio.run(main)
 
-    def test_deadline_passed_in_queue_is_shed_and_in_slot_is_not(self):
+    def test_request_past_deadline_is_shed_in_queue_but_not_in_slot(self):
         async def main():
             async with self.running(service_ms=NEVER_ENDING_MS, slots=1) as (pool, nursery):
                 first = await self.call(pool, "r1", Bendwind_Timeout_Ms=20)
@@ -149,7 +149,7 @@
 
         trio.run(main)
 
-    def test_change_of_speed_reaches_requests_being_served(self):
+    def test_change_of_speed_applies_to_requests_being_served(self):
         async def main():
             async with self.running(service_ms=NEVER_ENDING_MS) as (pool, _):
                 async with trio.open_nursery() as calls:
@@ -159,7 +159,7 @@
 
         trio.run(main)
 
-    def test_failing_lying_and_unhealthy_upstream(self):
+    def test_stand_in_fails_misreports_load_and_is_unhealthy_after_change(self):
         async def main():
             async with self.running(service_ms=0.1) as (pool, _):
                 await self.change(pool, fail_share=1.0, reported_in_flight=7, healthy=False)
@@ -169,7 +169,7 @@
 
         trio.run(main)
 
-    def test_garbage_closes_only_its_connection(self):
+    def test_invalid_request_closes_only_its_connection(self):
         async def main():
             async with self.running(service_ms=0.1) as (pool, _):
                 stream = await trio.open_tcp_stream("127.0.0.1", pool.port)
@@ -181,7 +181,7 @@
 
 
 class PoolTests(unittest.TestCase):
-    def test_cut_body_is_never_a_whole_answer(self):
+    def test_truncated_body_raises_error(self):
         async def cut(stream):
             await stream.receive_some()
             await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345")
