--- a/packages/bendwind-bench/src/bendwind_bench/deployment/layout.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/layout.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Hold one upstream, the node on its machine, and the ports of both."""
+    """Hold one upstream, the node to which it announces itself, and the ports of both."""
 
     name: str
     data_centre: str
--- a/packages/bendwind-bench/src/bendwind_bench/losses/account.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/account.py
@@ -1,4 +1,4 @@
-"""Compute for every call its outcome, its waits and whether it was run in vain."""
+"""Compute for every call its outcome, its waits and whether it ran for nothing."""
 
 import collections
 import enum
--- a/packages/bendwind-bench/src/bendwind_bench/losses/free.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/free.py
@@ -143,7 +143,7 @@
 
 
 def _list_bad_spans(observations: list[tuple[float, bool]], longest: Milliseconds) -> list[Span]:
-    """Return the spans from each bad observation to the next observation, `longest` at most."""
+    """Return the spans from each bad observation to the next one, each `longest` at most."""
     ordered = sorted(observations)
     spans = []
     for position, (at, is_bad) in enumerate(ordered):
--- a/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_account.py
+++ b/packages/bendwind-bench/src/bendwind_bench/losses/tests/test_account.py
@@ -64,8 +64,10 @@
         waits = dispatch("a", 990, 100.0, 200.0)
         long = call("a", ms=400.0)
         other = dispatch("b", 750, 50.0, 0.0, "v")
-        beside = call("b", 750, ms=50.0, attempts=(AttemptFacts("v", 0.0, "200", 50.0),), number=2)
-        rows = list_rows(read(long, waits, other, beside))
+        other_call = call(
+            "b", 750, ms=50.0, attempts=(AttemptFacts("v", 0.0, "200", 50.0),), number=2
+        )
+        rows = list_rows(read(long, waits, other, other_call))
         row = next(row for row in rows if row.call.request == "a")
         # The attempt waited from 690 to 890, and the other upstream ran a request from 700 to 750.
         self.assertEqual((row.waited_ms, row.waited_free_ms), (200.0, 150.0))
--- a/packages/bendwind-bench/src/bendwind_bench/reports/result.py
+++ b/packages/bendwind-bench/src/bendwind_bench/reports/result.py
@@ -6,7 +6,7 @@
 import msgspec
 
 FOLDER = Path("docs/measurements")
-# Written by the measurements behind docs/CAPACITY.md, which are no experiments.
+# Written by the measurements behind docs/CAPACITY.md, which are not experiments.
 _NOT_EXPERIMENTS = frozenset({"capacity.json"})
 
 Figures = dict[str, dict[str, float]]
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/__init__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""Provide the stand-in upstream: a process that plays an upstream in benchmarks."""
+"""Provide the stand-in upstream: a process that simulates an upstream in benchmarks."""
 
 from bendwind_bench.upstream.settings import Change, UpstreamSettings, read_upstream_settings
 from bendwind_bench.upstream.stand_in import run_upstream
--- a/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
+++ b/packages/bendwind-bench/src/bendwind_bench/upstream/executor.py
@@ -67,7 +67,7 @@
         self.runs_file = os.open(settings.runs_file, flags) if settings.runs_file else None
 
     def record_arrival(self) -> None:
-        """Count a request for the rate limit, and those that arrive after the leaving notice."""
+        """Count a request against the rate limit and, after a leaving notice, as unwanted."""
         self.limit.note_arrival(trio.current_time())
         self.counters.limit_worst = self.limit.worst
         self.counters.while_leaving += self.is_leaving
