--- a/packages/bendwind-bench/src/bendwind_bench/__main__.py
+++ b/packages/bendwind-bench/src/bendwind_bench/__main__.py
@@ -70,9 +70,9 @@
                 first group is the data centre; without it, the data centre is read from the
                 lines that processes log at their start.
         """
-        from bendwind_bench.losses import account_for
+        from bendwind_bench.losses import report_losses
 
-        return account_for(logs, str(by), str(plot), str(place))
+        return report_losses(logs, str(by), str(plot), str(place))
 
     def emulate(
         self,
--- a/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
+++ b/packages/bendwind-bench/src/bendwind_bench/deployment/runner.py
@@ -1,4 +1,4 @@
-"""Run a deployment's real processes on loopback and end them all."""
+"""Run the processes of a deployment on loopback and end all of them afterwards."""
 
 import contextlib
 import itertools
@@ -22,16 +22,16 @@
 from bendwind_bench.load import RequestKind
 
 RUN_FOLDER = Path("run")
-READY_WITHIN_S = 60.0
-POLL_S = 0.1
+READY_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
 
 
 class NotReadyError(Exception):
-    """Report a process that did not come up, with the end of its log."""
+    """Report a process that did not become ready, with the end of its log."""
 
 
 class Deployment:
-    """Own the processes of a layout; `direct` leaves the nodes out."""
+    """Manage the processes of a layout; with `direct` there are only upstreams, no nodes."""
 
     def __init__(self, layout: Layout, direct: bool):
         self.layout = layout
@@ -41,12 +41,12 @@
 
     @property
     def runs_files(self) -> list[Path]:
-        """Return the files in which the stand-ins note what they run."""
+        """Return the files in which the stand-ins record their runs."""
         return [Path(member.upstream.runs_file) for member in self.layout.members]
 
     @property
     def entries(self) -> list[str]:
-        """Return the callers' addresses of the nodes that are meant to be up."""
+        """Return the addresses for callers of all nodes except those that are down on purpose."""
         return [
             member.callers_address
             for member in self.layout.members
@@ -57,7 +57,7 @@
         """Return the upstreams' own addresses by service."""
         services = [service.name for service in self.layout.description.services]
         return {
-            name: [member.upstream_address for member in self.layout.serving(name)]
+            name: [member.upstream_address for member in self.layout.list_serving(name)]
             for name in services
         }
 
@@ -71,7 +71,7 @@
             )
             if not self.direct:
                 self.nodes[member.name] = self._make_process(member.name, ["bendwind_node.main"])
-        for process in self.processes():
+        for process in self.list_processes():
             process.start()
 
     def _make_process(self, name: str, module: list[str]) -> Process:
@@ -79,63 +79,63 @@
         command = [sys.executable, "-m", *module, f"--config={config}"]
         return Process(name, command, self.layout.folder / f"{name}.log")
 
-    def processes(self) -> list[Process]:
+    def list_processes(self) -> list[Process]:
         """Return every process."""
         return [*self.nodes.values(), *self.upstreams.values()]
 
     def find_process(self, name: str) -> Process:
-        """Return the process of this instance or upstream name."""
+        """Return the process of the node or upstream with this name."""
         return self.nodes.get(name) or self.upstreams[name]
 
     async def wait_ready(self, members: tuple[Member, ...] | None = None) -> None:
-        """Wait until stand-ins and nodes answer.
+        """Wait until the stand-ins and nodes answer.
 
-        Errors: raises NotReadyError when one ends or takes too long.
+        Errors: raises NotReadyError if a process ends or takes longer than READY_TIMEOUT_S.
         """
         for member in members or self.layout.members:
             upstream = self.upstreams[member.upstream.name]
-            await self._wait_answer(upstream, member.upstream_address, "/.bendwind/health")
+            await self._wait_until_ready(upstream, member.upstream_address, "/.bendwind/health")
             if not self.direct:
                 node = self.nodes[member.name]
-                await self._wait_answer(node, member.operators_address, "/v1/status")
+                await self._wait_until_ready(node, member.operators_address, "/v1/status")
 
-    async def _wait_answer(self, process: Process, address: str, path: str) -> None:
-        with trio.move_on_after(READY_WITHIN_S):
+    async def _wait_until_ready(self, process: Process, address: str, path: str) -> None:
+        with trio.move_on_after(READY_TIMEOUT_S):
             while process.is_running:
                 with contextlib.suppress(OSError, HttpBrokenError):
                     if (await send_json(address, "GET", path)).status == 200:
                         return
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
         tail = process.log.read_text(errors="replace")[-2000:]
         raise NotReadyError(f"{process.name} is not ready\n{tail}")
 
-    async def wait_served(self, kinds: Sequence[RequestKind], within_s: float = 60.0) -> bool:
-        """Wait until a request of every kind is served at every node."""
-        with trio.move_on_after(within_s):
+    async def wait_served(self, kinds: Sequence[RequestKind], timeout_s: float = 60.0) -> bool:
+        """Return whether every node serves a request of every kind within the timeout."""
+        with trio.move_on_after(timeout_s):
             for address in self.entries:
                 for kind in kinds:
-                    await _wait_served(address, kind)
+                    await _wait_until_served(address, kind)
             return True
         return False
 
     async def change(self, upstream: str, changes: list) -> None:
-        """Change the behaviour of a stand-in by a schedule that starts now."""
+        """Change the behaviour of a stand-in on a schedule that starts now."""
         member = self.layout.find(upstream)
         await send_json(member.upstream_address, "POST", "/.bench/changes", changes)
 
-    async def counters(self, upstream: str) -> dict:
-        """Return what a stand-in counted."""
+    async def read_counters(self, upstream: str) -> dict:
+        """Return the counters of a stand-in."""
         member = self.layout.find(upstream)
         answer = await send_json(member.upstream_address, "GET", "/.bench/counters")
         return msgspec.json.decode(answer.body)
 
     def kill_all(self) -> None:
-        """End every process that still runs."""
-        for process in self.processes():
+        """Kill every process that is still running."""
+        for process in self.list_processes():
             process.kill()
 
 
-async def _wait_served(address: str, kind: RequestKind) -> None:
+async def _wait_until_served(address: str, kind: RequestKind) -> None:
     pool = create_pool(address)
     for number in itertools.count():
         headers = [(b"Bendwind-Service", kind.service.encode())]
@@ -145,13 +145,13 @@
         with contextlib.suppress(OSError, HttpBrokenError):
             if (await pool.request(kind.method, kind.path, headers)).status == 200:
                 break
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
     pool.close()
 
 
 @contextlib.asynccontextmanager
 async def run_deployment(description, direct: bool = False, seed: int = 0, ready: bool = True):
-    """Run a deployment's processes while the block lasts."""
+    """Run a deployment's processes for the duration of the context."""
     RUN_FOLDER.mkdir(exist_ok=True)
     folder = Path(tempfile.mkdtemp(prefix=f"{description.name}-", dir=RUN_FOLDER))
     deployment = Deployment(make_layout(description, folder, seed), direct)
